--- a/bench/src/main/java/asterpulley/bench/DecisionBenchmark.java
+++ b/bench/src/main/java/asterpulley/bench/DecisionBenchmark.java
@@ -25,15 +25,17 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What the decision module costs by the size of the fleet: a decision (a tunnel taken, opened and ended), a load report, a
- * tick. Every server was asked of late and has room, as on a calm day.
+ * What the decision module costs by the size of the fleet: a decision (a tunnel taken, opened and
+ * ended), a load report, a tick. Every server was asked of late and has room, as on a calm day.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 @Warmup(iterations = 5, time = 300, timeUnit = TimeUnit.MILLISECONDS)
 @Measurement(iterations = 8, time = 300, timeUnit = TimeUnit.MILLISECONDS)
-@Fork(value = 2, jvmArgs = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx1g"})
+@Fork(
+        value = 2,
+        jvmArgs = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx1g"})
 public class DecisionBenchmark {
     private static final class Quiet implements Front {
         private final Guide guide;
@@ -104,7 +106,11 @@
 
     @Param({"15", "400", "4000"})
     int servers;
-    /** Four rooms by the crossing fee alone, with pools and limits, and with these while home is dark. */
+
+    /**
+     * Four rooms by the crossing fee alone, with pools and limits, and with these while home is
+     * dark.
+     */
     @Param({"fee", "pools", "dark"})
     String rooms;
 
@@ -124,7 +130,7 @@
         charter.credit = new double[] {1};
         charter.returnShare = 0.02;
         charter.share = 1;
-        guide = !rooms.equals("fee") ? new Guide(charter, 1000, l -> { }, c -> { }) : null;
+        guide = !rooms.equals("fee") ? new Guide(charter, 1000, l -> {}, c -> {}) : null;
         front = new Quiet(guide);
         Settings settings = new Settings();
         settings.profiles.add(new Settings.Profile());
@@ -132,7 +138,14 @@
         balance = new Balance(settings, 1, front);
         List<Listed> listed = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            listed.add(new Listed("s" + i, i % ROOMS, 0, 0, Listed.State.RUNNING, Double.NEGATIVE_INFINITY));
+            listed.add(
+                    new Listed(
+                            "s" + i,
+                            i % ROOMS,
+                            0,
+                            0,
+                            Listed.State.RUNNING,
+                            Double.NEGATIVE_INFINITY));
         }
         settings.crossingFee = 0.02;
         balance.list(listed, true);
--- a/bench/src/main/java/asterpulley/bench/PoolsCost.java
+++ b/bench/src/main/java/asterpulley/bench/PoolsCost.java
@@ -6,8 +6,9 @@
 import java.util.Locale;
 
 /**
- * What pools cost a decision, as ratios of one run: the same fleet by the crossing fee alone, with pools, and with home
- * dark, measured in turn within each round, so that what else the machine does falls on all three.
+ * What pools cost a decision, as ratios of one run: the same fleet by the crossing fee alone, with
+ * pools, and with home dark, measured in turn within each round, so that what else the machine does
+ * falls on all three.
  */
 public final class PoolsCost {
     private static final String[] ROOMS = {"fee", "pools", "dark"};
@@ -15,11 +16,15 @@
     private static final int ROUNDS = 15;
     private static final long ROUND_NANOS = 150_000_000;
 
-    private PoolsCost() {
-    }
+    private PoolsCost() {}
 
     public static void main(String[] args) {
-        System.out.printf(Locale.ROOT, "%8s %10s %28s %28s%n", "servers", "fee, us", "pools over fee (least, most)",
+        System.out.printf(
+                Locale.ROOT,
+                "%8s %10s %28s %28s%n",
+                "servers",
+                "fee, us",
+                "pools over fee (least, most)",
                 "dark over fee (least, most)");
         for (int servers : SERVERS) {
             List<DecisionBenchmark> each = new ArrayList<>();
@@ -29,7 +34,9 @@
                 one.rooms = rooms;
                 each.add(one);
             }
-            double[] fee = new double[ROUNDS], pools = new double[ROUNDS], dark = new double[ROUNDS];
+            double[] fee = new double[ROUNDS],
+                    pools = new double[ROUNDS],
+                    dark = new double[ROUNDS];
             for (int r = -3; r < ROUNDS; r++) {
                 double[] took = new double[ROOMS.length];
                 for (int i = 0; i < ROOMS.length; i++) {
@@ -43,7 +50,13 @@
                     dark[r] = took[2] / took[0];
                 }
             }
-            System.out.printf(Locale.ROOT, "%8d %10.1f %28s %28s%n", servers, median(fee), spread(pools), spread(dark));
+            System.out.printf(
+                    Locale.ROOT,
+                    "%8d %10.1f %28s %28s%n",
+                    servers,
+                    median(fee),
+                    spread(pools),
+                    spread(dark));
         }
     }
 
@@ -67,7 +80,11 @@
     }
 
     private static String spread(double[] of) {
-        return String.format(Locale.ROOT, "%.2f (%.2f, %.2f)", median(of), Arrays.stream(of).min().orElse(0),
+        return String.format(
+                Locale.ROOT,
+                "%.2f (%.2f, %.2f)",
+                median(of),
+                Arrays.stream(of).min().orElse(0),
                 Arrays.stream(of).max().orElse(0));
     }
 }
--- a/bench/src/main/java/asterpulley/bench/SizeCost.java
+++ b/bench/src/main/java/asterpulley/bench/SizeCost.java
@@ -23,17 +23,16 @@
 import java.util.zip.Deflater;
 
 /**
- * What size costs in process: a whole list by its entries (bytes, time to read it, garbage, what stays), the module's heap by servers and
- * by groups, and in virtual time how often it seeks and how long its own work for control takes. Figures are of this JVM alone: no socket
- * is in them.
+ * What size costs in process: a whole list by its entries (bytes, time to read it, garbage, what
+ * stays), the module's heap by servers and by groups, and in virtual time how often it seeks and
+ * how long its own work for control takes. Figures are of this JVM alone: no socket is in them.
  */
 public final class SizeCost {
     private static final int ROUNDS = 9;
     private static final int RELAYS = 6_400;
     private static final double TICK = 0.1;
 
-    private SizeCost() {
-    }
+    private SizeCost() {}
 
     /** Answers every probe a tick later and counts them. */
     static final class Counting implements Front {
@@ -94,7 +93,9 @@
         for (int i = 0; i < entries; i++) {
             Map<String, Object> host = new HashMap<>();
             host.put("host", "feed-" + i);
-            host.put("dial", "10." + (i >> 14 & 63) + "." + (i >> 7 & 127) + "." + (i & 127) + ":" + 20_000);
+            host.put(
+                    "dial",
+                    "10." + (i >> 14 & 63) + "." + (i >> 7 & 127) + "." + (i & 127) + ":" + 20_000);
             host.put("site", "zone-" + i % 11);
             host.put("class", "feed");
             host.put("block", i / 100);
@@ -120,7 +121,14 @@
     static List<Listed> fleet(int servers) {
         List<Listed> listed = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            listed.add(new Listed("feed-" + i, i % 11, 0, i / 100, Listed.State.RUNNING, Double.NEGATIVE_INFINITY));
+            listed.add(
+                    new Listed(
+                            "feed-" + i,
+                            i % 11,
+                            0,
+                            i / 100,
+                            Listed.State.RUNNING,
+                            Double.NEGATIVE_INFINITY));
         }
         return listed;
     }
@@ -141,7 +149,10 @@
         return balance;
     }
 
-    /** Bytes in use after collections; the serial collector leaves some of the dead in place but for every fourth time. */
+    /**
+     * Bytes in use after collections; the serial collector leaves some of the dead in place but for
+     * every fourth time.
+     */
     static long used() {
         Runtime runtime = Runtime.getRuntime();
         long least = Long.MAX_VALUE;
@@ -164,7 +175,8 @@
         long before = used();
         for (int g = 0; g < groups; g++) {
             String group = "topic-" + g;
-            // As on a return: it stands where it stood, and a second one of the group is placed by the module.
+            // As on a return: it stands where it stood, and a second one of the group is placed by
+            // the module.
             tunnels.add(balance.standing(2L * g, 0, 0, group, null, "feed-" + g % servers));
         }
         double standing = used() - before;
@@ -185,7 +197,10 @@
         return balance;
     }
 
-    /** The same where the module chose the server, and so has put the fleet in the group's order; then, once all of them have ended. */
+    /**
+     * The same where the module chose the server, and so has put the fleet in the group's order;
+     * then, once all of them have ended.
+     */
     static double[] bytesPerPlacedGroup(int servers, int groups) {
         Counting front = new Counting();
         Balance balance = told(servers, true, front);
@@ -200,7 +215,8 @@
         }
         double bytes = used() - before;
         if (tunnels.size() < groups) {
-            throw new IllegalStateException("only " + tunnels.size() + " of " + groups + " were placed");
+            throw new IllegalStateException(
+                    "only " + tunnels.size() + " of " + groups + " were placed");
         }
         tunnels.forEach(t -> t.ended(0, Outcome.OK, 0, true));
         tunnels.clear();
@@ -209,7 +225,10 @@
         return new double[] {bytes / groups, after / groups};
     }
 
-    /** How many of so many tunnels that come at once are set up at once by a relay that has just started. */
+    /**
+     * How many of so many tunnels that come at once are set up at once by a relay that has just
+     * started.
+     */
     static int atOnce(int servers, int tunnels) {
         Counting front = new Counting();
         Balance balance = told(servers, false, front);
@@ -220,8 +239,9 @@
     }
 
     /**
-     * Seeks a second and the part of a core that ticks and reports take, with tunnels that stand at the first so many servers; {@code opening}: so
-     * many tunnels a second are set up besides, and end a tick later.
+     * Seeks a second and the part of a core that ticks and reports take, with tunnels that stand at
+     * the first so many servers; {@code opening}: so many tunnels a second are set up besides, and
+     * end a tick later.
      */
     static double[] control(int servers, int used, double fee, double opening, double seconds) {
         Counting front = new Counting();
@@ -261,7 +281,9 @@
             }
         }
         tunnels.size();
-        return new double[] {(front.probes - probes) / seconds, took / 1e9 / seconds, front.declined};
+        return new double[] {
+            (front.probes - probes) / seconds, took / 1e9 / seconds, front.declined
+        };
     }
 
     /** Bytes of that text where it were sent compressed, which nothing does today. */
@@ -281,13 +303,26 @@
     private static String spread(double[] of) {
         double[] sorted = of.clone();
         Arrays.sort(sorted);
-        return String.format(Locale.ROOT, "%.2f (%.2f, %.2f)", sorted[sorted.length / 2], sorted[0], sorted[sorted.length - 1]);
+        return String.format(
+                Locale.ROOT,
+                "%.2f (%.2f, %.2f)",
+                sorted[sorted.length / 2],
+                sorted[0],
+                sorted[sorted.length - 1]);
     }
 
     public static void main(String[] args) throws IOException {
         Fleet.Names names = new Fleet.Names(Map.of("zones", List.of(), "models", List.of()));
-        System.out.printf(Locale.ROOT, "%8s %10s %8s %10s %24s %14s %14s%n", "entries", "bytes", "an entry", "deflated", "read, ms (least, most)",
-                "garbage, MB", "kept, MB");
+        System.out.printf(
+                Locale.ROOT,
+                "%8s %10s %8s %10s %24s %14s %14s%n",
+                "entries",
+                "bytes",
+                "an entry",
+                "deflated",
+                "read, ms (least, most)",
+                "garbage, MB",
+                "kept, MB");
         for (int entries : new int[] {100, 1_000, 4_000, 10_000, 100_000}) {
             String text = text(entries);
             double[] took = new double[ROUNDS];
@@ -305,10 +340,19 @@
             long before = used();
             Fleet kept = read(text, names);
             long after = used();
-            System.out.printf(Locale.ROOT, "%8d %10d %8.1f %10d %24s %14.2f %14.2f%n", kept.servers().size(), text.length(),
-                    text.length() / (double) entries, deflated(text), spread(took), garbage / 1e6, (after - before) / 1e6);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%8d %10d %8.1f %10d %24s %14.2f %14.2f%n",
+                    kept.servers().size(),
+                    text.length(),
+                    text.length() / (double) entries,
+                    deflated(text),
+                    spread(took),
+                    garbage / 1e6,
+                    (after - before) / 1e6);
         }
-        System.out.printf(Locale.ROOT, "%n%8s %18s %22s%n", "servers", "module, MB", "bytes a listed server");
+        System.out.printf(
+                Locale.ROOT, "%n%8s %18s %22s%n", "servers", "module, MB", "bytes a listed server");
         for (int servers : new int[] {100, 1_000, 4_000, 10_000, 100_000}) {
             List<Listed> listed = fleet(servers);
             long before = used();
@@ -316,32 +360,93 @@
             long bytes = used() - before;
             balance.hashCode();
             listed.size();
-            System.out.printf(Locale.ROOT, "%8d %18.2f %22.0f%n", servers, bytes / 1e6, bytes / (double) servers);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%8d %18.2f %22.0f%n",
+                    servers,
+                    bytes / 1e6,
+                    bytes / (double) servers);
         }
-        System.out.printf(Locale.ROOT, "%n%8s %8s %26s %26s %26s%n", "servers", "groups", "bytes a group, reopened", "bytes a group, placed",
+        System.out.printf(
+                Locale.ROOT,
+                "%n%8s %8s %26s %26s %26s%n",
+                "servers",
+                "groups",
+                "bytes a group, reopened",
+                "bytes a group, placed",
                 "once all have ended");
-        for (int[] of : new int[][] {{100, 2_000}, {400, 2_000}, {1_000, 2_000}, {4_000, 2_000}, {4_000, 4_000}, {10_000, 2_000}}) {
+        for (int[] of :
+                new int[][] {
+                    {100, 2_000},
+                    {400, 2_000},
+                    {1_000, 2_000},
+                    {4_000, 2_000},
+                    {4_000, 4_000},
+                    {10_000, 2_000}
+                }) {
             double[] placed = bytesPerPlacedGroup(of[0], of[1]);
-            System.out.printf(Locale.ROOT, "%8d %8d %26.0f %26.0f %26.0f%n", of[0], of[1], bytesPerGroup(of[0], of[1]), placed[0], placed[1]);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%8d %8d %26.0f %26.0f %26.0f%n",
+                    of[0],
+                    of[1],
+                    bytesPerGroup(of[0], of[1]),
+                    placed[0],
+                    placed[1]);
         }
-        System.out.printf(Locale.ROOT, "%n%8s %48s%n", "servers", "set up at once after a start, of 100, " + RELAYS + " relays");
+        System.out.printf(
+                Locale.ROOT,
+                "%n%8s %48s%n",
+                "servers",
+                "set up at once after a start, of 100, " + RELAYS + " relays");
         for (int servers : new int[] {100, 1_000, 4_000, 10_000, 30_000}) {
             System.out.printf(Locale.ROOT, "%8d %48d%n", servers, atOnce(servers, 100));
         }
-        System.out.printf(Locale.ROOT, "%n%8s %8s %8s %10s %10s %18s %34s%n", "servers", "used", "fee", "setups/s", "declined",
-                "probes a second", "core share of ticks and reports");
-        for (double[] of : new double[][] {{10, 10, 0, 0}, {100, 100, 0, 0}, {400, 400, 0, 0}, {400, 37, 0, 0}, {1_000, 1_000, 0, 0},
-                {1_000, 91, 0, 0}, {4_000, 4_000, 0, 0}, {4_000, 364, 0, 0}, {10_000, 909, 0, 0}, {4_000, 4_000, 0, 29},
-                {4_000, 4_000, 0.002, 29}, {4_000, 364, 0.002, 29}, {4_000, 4_000, 0.05, 29}}) {
+        System.out.printf(
+                Locale.ROOT,
+                "%n%8s %8s %8s %10s %10s %18s %34s%n",
+                "servers",
+                "used",
+                "fee",
+                "setups/s",
+                "declined",
+                "probes a second",
+                "core share of ticks and reports");
+        for (double[] of :
+                new double[][] {
+                    {10, 10, 0, 0},
+                    {100, 100, 0, 0},
+                    {400, 400, 0, 0},
+                    {400, 37, 0, 0},
+                    {1_000, 1_000, 0, 0},
+                    {1_000, 91, 0, 0},
+                    {4_000, 4_000, 0, 0},
+                    {4_000, 364, 0, 0},
+                    {10_000, 909, 0, 0},
+                    {4_000, 4_000, 0, 29},
+                    {4_000, 4_000, 0.002, 29},
+                    {4_000, 364, 0.002, 29},
+                    {4_000, 4_000, 0.05, 29}
+                }) {
             double[] share = new double[3];
             double probes = 0, declined = 0;
             for (int i = 0; i < share.length; i++) {
-                double[] one = control((int) of[0], (int) of[1], of[2], of[3], of[0] > 1_000 ? 6 : 20);
+                double[] one =
+                        control((int) of[0], (int) of[1], of[2], of[3], of[0] > 1_000 ? 6 : 20);
                 probes = one[0];
                 declined = one[2];
                 share[i] = one[1] * 100;
             }
-            System.out.printf(Locale.ROOT, "%8.0f %8.0f %8.3f %10.0f %10.0f %18.1f %32s %%%n", of[0], of[1], of[2], of[3], declined, probes, spread(share));
+            System.out.printf(
+                    Locale.ROOT,
+                    "%8.0f %8.0f %8.3f %10.0f %10.0f %18.1f %32s %%%n",
+                    of[0],
+                    of[1],
+                    of[2],
+                    of[3],
+                    declined,
+                    probes,
+                    spread(share));
         }
     }
 }
--- a/bench/src/test/java/asterpulley/bench/SizeCostTest.java
+++ b/bench/src/test/java/asterpulley/bench/SizeCostTest.java
@@ -15,7 +15,9 @@
     @Test
     void theListIsReadAsRelaysReadIt() throws IOException {
         String text = SizeCost.text(50);
-        Fleet fleet = SizeCost.read(text, new Fleet.Names(Map.of("zones", List.of(), "models", List.of())));
+        Fleet fleet =
+                SizeCost.read(
+                        text, new Fleet.Names(Map.of("zones", List.of(), "models", List.of())));
         assertTrue(fleet.whole());
         assertEquals(50, fleet.servers().size());
         assertEquals(50, fleet.dials().size());
@@ -53,7 +55,9 @@
         assertTrue(more > bytes * 0.9 && more < bytes * 1.2, Long.toString(more));
         double group = SizeCost.bytesPerGroup(100, 2_000);
         double[] placed = SizeCost.bytesPerPlacedGroup(100, 2_000);
-        assertTrue(placed[0] > 100 && placed[0] < 5_000 && placed[1] < placed[0], placed[0] + ", " + placed[1]);
+        assertTrue(
+                placed[0] > 100 && placed[0] < 5_000 && placed[1] < placed[0],
+                placed[0] + ", " + placed[1]);
         // A standing tunnel, its group's name and count.
         assertTrue(group > 100 && group < 5_000, Double.toString(group));
     }
--- a/cli/src/main/java/asterpulley/cli/CheckCommand.java
+++ b/cli/src/main/java/asterpulley/cli/CheckCommand.java
@@ -11,17 +11,26 @@
 import picocli.CommandLine.Parameters;
 
 /** Reads an operator's file and tells all that is wrong with it, without starting anything. */
-@Command(name = "check", mixinStandardHelpOptions = true,
-        description = "Tells all that is wrong with a file, with line and path, in one pass; starts nothing.")
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description =
+                "Tells all that is wrong with a file, with line and path, in one pass; starts nothing.")
 final class CheckCommand implements Callable<Integer> {
     /** What kinds of file there are. */
-    enum Kind { RELAY, EXPERIMENT }
+    enum Kind {
+        RELAY,
+        EXPERIMENT
+    }
 
     @Parameters(paramLabel = "FILE.toml", description = "The file.")
     private Path file;
 
-    @Option(names = "--as", paramLabel = "relay|experiment",
-            description = "What it is; by default a relay's file where it says listen, else an experiment.")
+    @Option(
+            names = "--as",
+            paramLabel = "relay|experiment",
+            description =
+                    "What it is; by default a relay's file where it says listen, else an experiment.")
     private Kind kind;
 
     @Override
--- a/cli/src/main/java/asterpulley/cli/JsonLog.java
+++ b/cli/src/main/java/asterpulley/cli/JsonLog.java
@@ -10,7 +10,9 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Log lines as one JSON object a line: at, level, logger, message, and a trace where there is one. */
+/**
+ * Log lines as one JSON object a line: at, level, logger, message, and a trace where there is one.
+ */
 final class JsonLog extends Formatter {
     private static final JsonFactory JSON = new JsonFactory();
 
--- a/cli/src/main/java/asterpulley/cli/LabCommand.java
+++ b/cli/src/main/java/asterpulley/cli/LabCommand.java
@@ -29,14 +29,21 @@
 import picocli.CommandLine.Parameters;
 
 /** The laboratory's commands. */
-@Command(name = "lab", mixinStandardHelpOptions = true, description = "Plays experiments, drives load, measures cost.",
-        subcommands = {LabCommand.Run.class, LabCommand.Load.class, LabCommand.Costs.class, LabCommand.Deliver.class,
-            LabCommand.Start.class})
+@Command(
+        name = "lab",
+        mixinStandardHelpOptions = true,
+        description = "Plays experiments, drives load, measures cost.",
+        subcommands = {
+            LabCommand.Run.class,
+            LabCommand.Load.class,
+            LabCommand.Costs.class,
+            LabCommand.Deliver.class,
+            LabCommand.Start.class
+        })
 final class LabCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
@@ -45,19 +52,28 @@
     }
 
     /** Where an experiment is played. */
-    enum On { MODEL, SOCKETS, BOTH }
+    enum On {
+        MODEL,
+        SOCKETS,
+        BOTH
+    }
 
     /** Plays one experiment. */
-    @Command(name = "run", mixinStandardHelpOptions = true,
-            description = "Plays an experiment and says whether what it expects holds: status 0 or 3.")
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Plays an experiment and says whether what it expects holds: status 0 or 3.")
     static final class Run implements Callable<Integer> {
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
+        @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
         @Parameters(paramLabel = "FILE.toml", description = "The experiment.")
         private Path file;
 
-        @Option(names = "--on", paramLabel = "model|sockets|both", description = "The carrier; by default as the file says.")
+        @Option(
+                names = "--on",
+                paramLabel = "model|sockets|both",
+                description = "The carrier; by default as the file says.")
         private On on;
 
         @Option(names = "--seed", description = "Another seed than the file's.")
@@ -69,14 +85,22 @@
         @Option(names = "--no-baselines", description = "Leaves out the file's baselines.")
         private boolean bare;
 
-        @Option(names = "--policy", paramLabel = "NAME",
+        @Option(
+                names = "--policy",
+                paramLabel = "NAME",
                 description = "Plays only this, asterpulley or a baseline, in virtual time.")
         private String policy;
 
-        @Option(names = "--json", paramLabel = "FILE", description = "Writes all figures as JSON; - for standard output.")
+        @Option(
+                names = "--json",
+                paramLabel = "FILE",
+                description = "Writes all figures as JSON; - for standard output.")
         private Path json;
 
-        @Option(names = "--html", paramLabel = "FILE", description = "Writes a page with plots over time.")
+        @Option(
+                names = "--html",
+                paramLabel = "FILE",
+                description = "Writes a page with plots over time.")
         private Path html;
 
         @Override
@@ -101,12 +125,22 @@
             }
             boolean toOut = json != null && json.toString().equals("-");
             Lab lab = new Lab(toOut ? System.err : System.out);
-            if (policy != null && !policy.equals(Model.MODULE) && !List.of(PlanReader.BASELINES).contains(policy)) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "--policy: '" + policy + "' is none of "
-                        + Model.MODULE + ", " + String.join(", ", PlanReader.BASELINES));
+            if (policy != null
+                    && !policy.equals(Model.MODULE)
+                    && !List.of(PlanReader.BASELINES).contains(policy)) {
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(),
+                        "--policy: '"
+                                + policy
+                                + "' is none of "
+                                + Model.MODULE
+                                + ", "
+                                + String.join(", ", PlanReader.BASELINES));
             }
-            List<Outcome> all = policy != null ? List.of(lab.model(plan, policy))
-                    : lab.play(plan, on == null ? plan.on : on.name().toLowerCase());
+            List<Outcome> all =
+                    policy != null
+                            ? List.of(lab.model(plan, policy))
+                            : lab.play(plan, on == null ? plan.on : on.name().toLowerCase());
             boolean good = lab.verdict(plan, all);
             if (toOut) {
                 System.out.write(Reports.json(plan, all));
@@ -128,7 +162,9 @@
                 return Main.BAD_INPUT;
             }
             if (on != null && on != On.SOCKETS || policy != null) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "a fleet experiment is played by hollow relays on sockets");
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(),
+                        "a fleet experiment is played by hollow relays on sockets");
             }
             plan.seed = seed != null ? seed : plan.seed;
             if (quick) {
@@ -151,53 +187,90 @@
     }
 
     /** Drives an address. */
-    @Command(name = "load", mixinStandardHelpOptions = true, description = {
-        "Drives a relay, or a server directly, at a stated rate, and prints what clients saw.",
-        "Times count from when an opening was due, also where it had to wait for another."})
+    @Command(
+            name = "load",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Drives a relay, or a server directly, at a stated rate, and prints what clients saw.",
+                "Times count from when an opening was due, also where it had to wait for another."
+            })
     static final class Load implements Callable<Integer> {
-        @Option(names = "--to", required = true, paramLabel = "ADDRESS:PORT", description = "What to drive; loopback only.")
+        @Option(
+                names = "--to",
+                required = true,
+                paramLabel = "ADDRESS:PORT",
+                description = "What to drive; loopback only.")
         private String to;
 
-        @Option(names = "--rate", defaultValue = "100", description = "Openings a second; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--rate",
+                defaultValue = "100",
+                description = "Openings a second; ${DEFAULT-VALUE}.")
         private double rate;
 
         @Option(names = "--for-s", defaultValue = "10", description = "Seconds; ${DEFAULT-VALUE}.")
         private double seconds;
 
-        @Option(names = "--life-s", defaultValue = "1", description = "How long each tunnel stands; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--life-s",
+                defaultValue = "1",
+                description = "How long each tunnel stands; ${DEFAULT-VALUE}.")
         private double life;
 
-        @Option(names = "--patience-s", defaultValue = "3", description = "How long a client waits; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--patience-s",
+                defaultValue = "3",
+                description = "How long a client waits; ${DEFAULT-VALUE}.")
         private double patience;
 
-        @Option(names = "--concurrency", defaultValue = "10000", description = "Open at once at most; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--concurrency",
+                defaultValue = "10000",
+                description = "Open at once at most; ${DEFAULT-VALUE}.")
         private int concurrency;
 
-        @Option(names = "--profile", defaultValue = "live", description = "The profile's name; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--profile",
+                defaultValue = "live",
+                description = "The profile's name; ${DEFAULT-VALUE}.")
         private String profile;
 
-        @Option(names = "--customer", defaultValue = "all", description = "The customer's name; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--customer",
+                defaultValue = "all",
+                description = "The customer's name; ${DEFAULT-VALUE}.")
         private String customer;
 
-        @Option(names = "--seed", defaultValue = "1", description = "Of the times between openings; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "Of the times between openings; ${DEFAULT-VALUE}.")
         private long seed;
 
         @Option(names = "--json", paramLabel = "FILE", description = "Writes the figures as JSON.")
         private Path json;
 
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
+        @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
         @Override
         public Integer call() throws IOException {
             LoadTool.Order order = new LoadTool.Order();
-            order.to = Addresses.read(to).orElseThrow(() -> wrong("--to: '" + to + "' is not an address and a port"));
+            order.to =
+                    Addresses.read(to)
+                            .orElseThrow(
+                                    () -> wrong("--to: '" + to + "' is not an address and a port"));
             if (!order.to.getAddress().isLoopbackAddress()) {
                 throw wrong("--to: only loopback addresses are driven");
             }
-            if (!(rate > 0 && rate <= 100_000 && seconds > 0 && seconds <= 3600 && life >= 0 && patience > 0
+            if (!(rate > 0
+                    && rate <= 100_000
+                    && seconds > 0
+                    && seconds <= 3600
+                    && life >= 0
+                    && patience > 0
                     && concurrency > 0)) {
-                throw wrong("a rate up to 100000 a second, a time up to 3600 s, and nothing below 0");
+                throw wrong(
+                        "a rate up to 100000 a second, a time up to 3600 s, and nothing below 0");
             }
             order.rate = rate;
             order.seconds = seconds;
@@ -226,37 +299,54 @@
     }
 
     /** Measures what a relay costs. */
-    @Command(name = "cost", mixinStandardHelpOptions = true, description = {
-        "Measures a relay on this machine: setup time through it over direct, in turn; processor time a setup; memory a",
-        "standing tunnel. Prints ratios with their spread."})
+    @Command(
+            name = "cost",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Measures a relay on this machine: setup time through it over direct, in turn; processor time a setup; memory a",
+                "standing tunnel. Prints ratios with their spread."
+            })
     static final class Costs implements Callable<Integer> {
-        @Option(names = "--rate", defaultValue = "300", description = "Openings a second; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--rate",
+                defaultValue = "300",
+                description = "Openings a second; ${DEFAULT-VALUE}.")
         private double rate;
 
-        @Option(names = "--round-s", defaultValue = "4", description = "Seconds a round; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--round-s",
+                defaultValue = "4",
+                description = "Seconds a round; ${DEFAULT-VALUE}.")
         private double seconds;
 
         @Option(names = "--rounds", defaultValue = "5", description = "Rounds; ${DEFAULT-VALUE}.")
         private int rounds;
 
-        @Option(names = "--standing", defaultValue = "4000", description = "Tunnels for the memory; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--standing",
+                defaultValue = "4000",
+                description = "Tunnels for the memory; ${DEFAULT-VALUE}.")
         private int standing;
 
-        @Option(names = "--servers", defaultValue = "5", description = "Servers in the relay's list; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--servers",
+                defaultValue = "5",
+                description = "Servers in the relay's list; ${DEFAULT-VALUE}.")
         private int servers;
 
         @Option(names = "--json", paramLabel = "FILE", description = "Writes the figures as JSON.")
         private Path json;
 
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
+        @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
         @Override
         public Integer call() throws IOException {
             if (servers < 1 || servers > 20_000) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "--servers: 1 to 20000");
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(), "--servers: 1 to 20000");
             }
-            Map<String, Object> figures = Cost.measure(rate, seconds, rounds, standing, servers, System.out);
+            Map<String, Object> figures =
+                    Cost.measure(rate, seconds, rounds, standing, servers, System.out);
             print(figures);
             if (json != null) {
                 Files.write(json, JSON.writeValueAsBytes(figures));
@@ -266,43 +356,79 @@
     }
 
     /** Measures deliveries. */
-    @Command(name = "deliver", mixinStandardHelpOptions = true, description = {
-        "Measures what a relay pays for the lines that servers send to standing clients: processor time a line by size, rate",
-        "and connections; heap a connection; and a line to all at once. Lists are separated by commas."})
+    @Command(
+            name = "deliver",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Measures what a relay pays for the lines that servers send to standing clients: processor time a line by size, rate",
+                "and connections; heap a connection; and a line to all at once. Lists are separated by commas."
+            })
     static final class Deliver implements Callable<Integer> {
         /** Relay, servers and clients each hold a socket or two a connection. */
         private static final int MOST_STANDING = 20_000;
+
         private static final double LONGEST = 300;
 
-        @Option(names = "--standing", split = ",", defaultValue = "100,1000", paramLabel = "N", description = "Connections that stand; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--standing",
+                split = ",",
+                defaultValue = "100,1000",
+                paramLabel = "N",
+                description = "Connections that stand; ${DEFAULT-VALUE}.")
         private List<Integer> standing;
 
-        @Option(names = "--sizes", split = ",", defaultValue = "64,256,1024,4096", paramLabel = "BYTES", description = "Bytes of a line; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--sizes",
+                split = ",",
+                defaultValue = "64,256,1024,4096",
+                paramLabel = "BYTES",
+                description = "Bytes of a line; ${DEFAULT-VALUE}.")
         private List<Integer> sizes;
 
-        @Option(names = "--rates", split = ",", defaultValue = "5000", paramLabel = "N", description = "Lines a second, to all connections together; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--rates",
+                split = ",",
+                defaultValue = "5000",
+                paramLabel = "N",
+                description = "Lines a second, to all connections together; ${DEFAULT-VALUE}.")
         private List<Double> rates;
 
-        @Option(names = "--round-s", defaultValue = "1.5", description = "Seconds a round; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--round-s",
+                defaultValue = "1.5",
+                description = "Seconds a round; ${DEFAULT-VALUE}.")
         private double seconds;
 
-        @Option(names = "--servers", split = ",", defaultValue = "5", paramLabel = "N", description = "Servers in the relay's list; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--servers",
+                split = ",",
+                defaultValue = "5",
+                paramLabel = "N",
+                description = "Servers in the relay's list; ${DEFAULT-VALUE}.")
         private List<Integer> servers;
 
-        @Option(names = "--quiet-s", defaultValue = "10", description = "Seconds in which nothing is sent; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--quiet-s",
+                defaultValue = "10",
+                description = "Seconds in which nothing is sent; ${DEFAULT-VALUE}.")
         private double quiet;
 
-        @Option(names = "--rounds", defaultValue = "3", description = "Rounds, 0 for none; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--rounds",
+                defaultValue = "3",
+                description = "Rounds, 0 for none; ${DEFAULT-VALUE}.")
         private int rounds;
 
-        @Option(names = "--bursts", defaultValue = "5", description = "Lines to all at once, 0 for none; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--bursts",
+                defaultValue = "5",
+                description = "Lines to all at once, 0 for none; ${DEFAULT-VALUE}.")
         private int bursts;
 
         @Option(names = "--json", paramLabel = "FILE", description = "Writes the figures as JSON.")
         private Path json;
 
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
+        @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
         @Override
         public Integer call() throws IOException {
@@ -315,48 +441,87 @@
             order.seconds = seconds;
             order.rounds = rounds;
             order.bursts = bursts;
-            if (!(Deliveries.within(standing, 1, MOST_STANDING) && Deliveries.within(rates, 1, 100_000) && seconds > 0 && quiet > 0
-                    && rounds >= 0 && bursts >= 0 && Deliveries.within(servers, 1, MOST_STANDING) && Deliveries.within(sizes, Deliveries.SMALLEST, Deliveries.LARGEST))) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "up to " + MOST_STANDING + " connections, lines of "
-                        + Deliveries.SMALLEST + " to " + Deliveries.LARGEST + " bytes, up to 100000 a second, and nothing below 0");
+            if (!(Deliveries.within(standing, 1, MOST_STANDING)
+                    && Deliveries.within(rates, 1, 100_000)
+                    && seconds > 0
+                    && quiet > 0
+                    && rounds >= 0
+                    && bursts >= 0
+                    && Deliveries.within(servers, 1, MOST_STANDING)
+                    && Deliveries.within(sizes, Deliveries.SMALLEST, Deliveries.LARGEST))) {
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(),
+                        "up to "
+                                + MOST_STANDING
+                                + " connections, lines of "
+                                + Deliveries.SMALLEST
+                                + " to "
+                                + Deliveries.LARGEST
+                                + " bytes, up to 100000 a second, and nothing below 0");
             }
             if (order.length() > LONGEST) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "this would take " + Math.round(order.length())
-                        + " s; more than " + Math.round(LONGEST) + " s are to be several runs");
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(),
+                        "this would take "
+                                + Math.round(order.length())
+                                + " s; more than "
+                                + Math.round(LONGEST)
+                                + " s are to be several runs");
             }
             Map<String, Object> figures = Deliveries.measure(order, System.out);
             if (json != null) {
                 Files.write(json, JSON.writeValueAsBytes(figures));
             }
-            return verdict(figures, "kept_pace", "no verdict: this tool could not keep its own pace, or lines were lost");
+            return verdict(
+                    figures,
+                    "kept_pace",
+                    "no verdict: this tool could not keep its own pace, or lines were lost");
         }
     }
 
     /** Measures whole lists. */
-    @Command(name = "start", mixinStandardHelpOptions = true, description = {
-        "Measures what a whole list of servers costs a relay: the time of a start that is handed one, the time that one of",
-        "discovery's keeps it busy, and memory. Lists are separated by commas."})
+    @Command(
+            name = "start",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Measures what a whole list of servers costs a relay: the time of a start that is handed one, the time that one of",
+                "discovery's keeps it busy, and memory. Lists are separated by commas."
+            })
     static final class Start implements Callable<Integer> {
-        @Option(names = "--entries", split = ",", defaultValue = "100,1000,10000", paramLabel = "N", description = "Servers in the list; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--entries",
+                split = ",",
+                defaultValue = "100,1000,10000",
+                paramLabel = "N",
+                description = "Servers in the list; ${DEFAULT-VALUE}.")
         private List<Integer> entries;
 
-        @Option(names = "--rounds", defaultValue = "3", description = "Starts of each; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--rounds",
+                defaultValue = "3",
+                description = "Starts of each; ${DEFAULT-VALUE}.")
         private int rounds;
 
-        @Option(names = "--memory-mb", defaultValue = "128", description = "The relay's memory; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--memory-mb",
+                defaultValue = "128",
+                description = "The relay's memory; ${DEFAULT-VALUE}.")
         private int memory;
 
         @Option(names = "--json", paramLabel = "FILE", description = "Writes the figures as JSON.")
         private Path json;
 
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
+        @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
         @Override
         public Integer call() throws IOException {
-            if (!(Deliveries.within(entries, 1, 200_000) && rounds > 0 && rounds <= 20 && memory >= 64 && memory <= 4096)) {
-                throw new CommandLine.ParameterException(spec.commandLine(),
-                        "1 to 200000 entries, 1 to 20 rounds, 64 to 4096 MB");
+            if (!(Deliveries.within(entries, 1, 200_000)
+                    && rounds > 0
+                    && rounds <= 20
+                    && memory >= 64
+                    && memory <= 4096)) {
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(), "1 to 200000 entries, 1 to 20 rounds, 64 to 4096 MB");
             }
             Starts.Order order = new Starts.Order();
             order.entries = entries;
@@ -366,7 +531,8 @@
             if (json != null) {
                 Files.write(json, JSON.writeValueAsBytes(figures));
             }
-            return verdict(figures, "all_ready", "a relay did not become ready, or did not take the list");
+            return verdict(
+                    figures, "all_ready", "a relay did not become ready, or did not take the list");
         }
     }
 
@@ -379,6 +545,9 @@
     }
 
     private static void print(Map<String, Object> figures) {
-        figures.forEach((k, v) -> System.out.printf("%-28s %s%n", k, v instanceof Double d ? Tables.plain(d) : v));
+        figures.forEach(
+                (k, v) ->
+                        System.out.printf(
+                                "%-28s %s%n", k, v instanceof Double d ? Tables.plain(d) : v));
     }
 }
--- a/cli/src/main/java/asterpulley/cli/RelayFile.java
+++ b/cli/src/main/java/asterpulley/cli/RelayFile.java
@@ -12,14 +12,13 @@
 import java.util.Set;
 
 /**
- * An operator's file for one relay, read into what the platform would tell that relay. It must know every key that it
- * takes, and hold nothing that the relay does not.
+ * An operator's file for one relay, read into what the platform would tell that relay. It must know
+ * every key that it takes, and hold nothing that the relay does not.
  */
 final class RelayFile {
     private static final double LONG = 3600;
 
-    private RelayFile() {
-    }
+    private RelayFile() {}
 
     /** Reads the whole of it; ask the sheet for its problems before it is used. */
     static Map<String, Object> read(Sheet sheet) {
@@ -27,11 +26,20 @@
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", root.text("name", "relay"));
         config.put("listen", address(root.need("listen"), "listen", "127.0.0.1:0"));
-        config.put("seed", Long.toHexString(root.has("seed") ? root.whole("seed", 1, 0, Integer.MAX_VALUE)
-                : System.nanoTime() ^ ProcessHandle.current().pid()));
+        config.put(
+                "seed",
+                Long.toHexString(
+                        root.has("seed")
+                                ? root.whole("seed", 1, 0, Integer.MAX_VALUE)
+                                : System.nanoTime() ^ ProcessHandle.current().pid()));
         Part limits = root.part("limits");
-        config.put("limits", map("memory_mb", limits.whole("memory_mb", 192, 32, 1 << 20),
-                "sockets", limits.whole("sockets", 1024, 64, 1 << 20)));
+        config.put(
+                "limits",
+                map(
+                        "memory_mb",
+                        limits.whole("memory_mb", 192, 32, 1 << 20),
+                        "sockets",
+                        limits.whole("sockets", 1024, 64, 1 << 20)));
         List<Object> zones = new ArrayList<>(root.texts("zones"));
         if (zones.isEmpty()) {
             zones.add("here");
@@ -66,19 +74,50 @@
         settings.put("tickMs", 4.0);
         Part setups = root.part("setups");
         double back = setups.number("longest_retry_after_s", 1.5, 0, LONG);
-        settings.put("limits", map("probes", setups.flag("probes", true), "retryAfter", back > 0, "maxRetryAfterMs", back * 1e3,
-                "mostSetups", setups.whole("most", 3, 1, 100),
-                "dialTimeoutMs", setups.number("connect_timeout_s", 1, 0.01, 60) * 1e3));
+        settings.put(
+                "limits",
+                map(
+                        "probes",
+                        setups.flag("probes", true),
+                        "retryAfter",
+                        back > 0,
+                        "maxRetryAfterMs",
+                        back * 1e3,
+                        "mostSetups",
+                        setups.whole("most", 3, 1, 100),
+                        "dialTimeoutMs",
+                        setups.number("connect_timeout_s", 1, 0.01, 60) * 1e3));
         Part cold = root.part("cold");
-        settings.put("rules", map("askEveryMs", list.number("deemed_told_s", 6, 0.5, LONG) * 1e3,
-                "coldFrom", cold.number("from", 0.1, 0.01, 1), "coldMs", cold.number("warm_up_s", 20, 0.1, LONG) * 1e3,
-                "fallMultiple", cold.number("fall_multiple", 2, 1, 100),
-                "fallMs", cold.number("fall_s", 1, 0.1, 60) * 1e3));
+        settings.put(
+                "rules",
+                map(
+                        "askEveryMs",
+                        list.number("deemed_told_s", 6, 0.5, LONG) * 1e3,
+                        "coldFrom",
+                        cold.number("from", 0.1, 0.01, 1),
+                        "coldMs",
+                        cold.number("warm_up_s", 20, 0.1, LONG) * 1e3,
+                        "fallMultiple",
+                        cold.number("fall_multiple", 2, 1, 100),
+                        "fallMs",
+                        cold.number("fall_s", 1, 0.1, 60) * 1e3));
         Part fees = root.part("fees");
-        settings.put("fees", map("crossZone", fees.number("crossing", 0, 0, 1), "probe", fees.number("probe", 0, 0, 1)));
+        settings.put(
+                "fees",
+                map(
+                        "crossZone",
+                        fees.number("crossing", 0, 0, 1),
+                        "probe",
+                        fees.number("probe", 0, 0, 1)));
         config.put("settings", settings);
-        Map<String, Object> routes = PoolsFile.read(root, names(zones), names(models), profileNames(settings),
-                Math.max(1, relays / zones.size()), 60);
+        Map<String, Object> routes =
+                PoolsFile.read(
+                        root,
+                        names(zones),
+                        names(models),
+                        profileNames(settings),
+                        Math.max(1, relays / zones.size()),
+                        60);
         if (routes != null) {
             config.put("routes", routes);
         }
@@ -90,7 +129,8 @@
     }
 
     private static List<String> profileNames(Map<String, Object> settings) {
-        return ((List<?>) settings.get("profiles")).stream().map(p -> String.valueOf(((Map<?, ?>) p).get("name"))).toList();
+        return ((List<?>) settings.get("profiles"))
+                .stream().map(p -> String.valueOf(((Map<?, ?>) p).get("name"))).toList();
     }
 
     private static List<Object> servers(Part root, List<Object> zones, List<Object> models) {
@@ -110,8 +150,24 @@
                 models.add(model);
             }
             String state = p.oneOf("state", "up", "up", "draining");
-            hosts.add(map("host", name, "dial", address(p, "dial", "127.0.0.1:1"), "site", zone, "class", model,
-                    "block", p.whole("cell", 0, 0, 1 << 20), "health", state, "share", 1.0, "born_ms", 0));
+            hosts.add(
+                    map(
+                            "host",
+                            name,
+                            "dial",
+                            address(p, "dial", "127.0.0.1:1"),
+                            "site",
+                            zone,
+                            "class",
+                            model,
+                            "block",
+                            p.whole("cell", 0, 0, 1 << 20),
+                            "health",
+                            state,
+                            "share",
+                            1.0,
+                            "born_ms",
+                            0));
         }
         return hosts;
     }
@@ -119,16 +175,30 @@
     private static List<Object> profiles(Part root) {
         List<Object> profiles = new ArrayList<>();
         for (Part p : root.parts("profile")) {
-            String effect = switch (p.oneOf("effect", "repeatable", "repeatable", "referenced", "once-only")) {
-                case "referenced" -> "idempotency_key";
-                case "once-only" -> "non_idempotent";
-                default -> "read_like";
-            };
+            String effect =
+                    switch (p.oneOf(
+                            "effect", "repeatable", "repeatable", "referenced", "once-only")) {
+                        case "referenced" -> "idempotency_key";
+                        case "once-only" -> "non_idempotent";
+                        default -> "read_like";
+                    };
             double goal = p.number("setup_goal_s", 0.5, 0.01, 60);
-            profiles.add(map("name", p.need("name").text("name", ""), "effect", effect,
-                    "group", p.oneOf("reach", "cell", "all", "zone", "cell"), "setupGoalMs", goal * 1e3,
-                    "clientTimeoutMs", p.number("client_timeout_s", Math.max(2, goal), goal, LONG) * 1e3,
-                    "windowMs", p.number("window_s", 0, 0, LONG) * 1e3, "credit", p.number("credit", 1, 0, 1e6)));
+            profiles.add(
+                    map(
+                            "name",
+                            p.need("name").text("name", ""),
+                            "effect",
+                            effect,
+                            "group",
+                            p.oneOf("reach", "cell", "all", "zone", "cell"),
+                            "setupGoalMs",
+                            goal * 1e3,
+                            "clientTimeoutMs",
+                            p.number("client_timeout_s", Math.max(2, goal), goal, LONG) * 1e3,
+                            "windowMs",
+                            p.number("window_s", 0, 0, LONG) * 1e3,
+                            "credit",
+                            p.number("credit", 1, 0, 1e6)));
         }
         if (profiles.isEmpty()) {
             root.need("profile");
@@ -139,14 +209,20 @@
     private static List<Object> customers(Part root) {
         List<Object> customers = new ArrayList<>();
         for (Part p : root.parts("customer")) {
-            customers.add(map("name", p.need("name").text("name", ""), "share", p.number("share", 1, 0, 1)));
+            customers.add(
+                    map(
+                            "name",
+                            p.need("name").text("name", ""),
+                            "share",
+                            p.number("share", 1, 0, 1)));
         }
         return customers;
     }
 
     private static String address(Part of, String key, String missing) {
         String text = of.text(key, missing);
-        return Addresses.read(text).isPresent() ? text
+        return Addresses.read(text).isPresent()
+                ? text
                 : of.wrong(key, "'" + text + "' is not an address and a port", missing);
     }
 
--- a/cli/src/main/java/asterpulley/cli/RoutesCommand.java
+++ b/cli/src/main/java/asterpulley/cli/RoutesCommand.java
@@ -28,15 +28,18 @@
 import picocli.CommandLine.Option;
 
 /** What a relay's routes do with a tunnel. */
-@Command(name = "routes", mixinStandardHelpOptions = true, description = "Explains where a relay's tunnels may go.",
+@Command(
+        name = "routes",
+        mixinStandardHelpOptions = true,
+        description = "Explains where a relay's tunnels may go.",
         subcommands = RoutesCommand.Explain.class)
 final class RoutesCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
+
     /** The module takes times at and before 0 for never. */
     private static final double NOW = 1e6;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
@@ -45,21 +48,39 @@
     }
 
     /** Explains one tunnel. */
-    @Command(name = "explain", mixinStandardHelpOptions = true, description = {
-        "Prints for one tunnel each pool and server, and why it is open or not; then what the decision module does with it.",
-        "The state is what a relay logs on SIGUSR1: its log, or the JSON alone."})
+    @Command(
+            name = "explain",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Prints for one tunnel each pool and server, and why it is open or not; then what the decision module does with it.",
+                "The state is what a relay logs on SIGUSR1: its log, or the JSON alone."
+            })
     static final class Explain implements Callable<Integer> {
-        @Option(names = "--config", required = true, paramLabel = "FILE.toml", description = "The relay's file.")
+        @Option(
+                names = "--config",
+                required = true,
+                paramLabel = "FILE.toml",
+                description = "The relay's file.")
         private Path file;
 
-        @Option(names = "--state", required = true, paramLabel = "FILE",
-                description = "A relay's log, of which the last state counts, or such a state as JSON.")
+        @Option(
+                names = "--state",
+                required = true,
+                paramLabel = "FILE",
+                description =
+                        "A relay's log, of which the last state counts, or such a state as JSON.")
         private Path state;
 
-        @Option(names = "--client", paramLabel = "PROFILE", description = "The client's profile; by default the first.")
+        @Option(
+                names = "--client",
+                paramLabel = "PROFILE",
+                description = "The client's profile; by default the first.")
         private String profile;
 
-        @Option(names = "--customer", paramLabel = "NAME", description = "Its customer; by default the first.")
+        @Option(
+                names = "--customer",
+                paramLabel = "NAME",
+                description = "Its customer; by default the first.")
         private String customer;
 
         @Option(names = "--again", description = "Its first setup has failed.")
@@ -68,8 +89,7 @@
         @Option(names = "--seed", defaultValue = "1", description = "Of ties; ${DEFAULT-VALUE}.")
         private long seed;
 
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
+        @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
         @Override
         public Integer call() throws IOException {
@@ -87,7 +107,7 @@
             int ofCustomer = place(settings, "tenants", customer, "--customer");
             Settings set = SettingsDecoder.settings(settings);
             Charter charter = CharterDecoder.charter(Json.part(told, "routes"), set.zone, settings);
-            Guide guide = new Guide(charter, NOW, line -> { }, counter -> { });
+            Guide guide = new Guide(charter, NOW, line -> {}, counter -> {});
             Map<String, Object> known = state(state);
             try {
                 guide.restore(known, NOW);
@@ -99,10 +119,21 @@
         }
 
         private int place(Map<String, Object> settings, String list, String name, String option) {
-            Integer place = name == null ? Integer.valueOf(0) : SettingsDecoder.places(settings, list).get(name);
+            Integer place =
+                    name == null
+                            ? Integer.valueOf(0)
+                            : SettingsDecoder.places(settings, list).get(name);
             if (place == null) {
-                throw new CommandLine.ParameterException(spec.commandLine(), option + ": '" + name + "' stands in no "
-                        + "[[" + (list.equals("tenants") ? "customer" : "profile") + "]] of " + file);
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(),
+                        option
+                                + ": '"
+                                + name
+                                + "' stands in no "
+                                + "[["
+                                + (list.equals("tenants") ? "customer" : "profile")
+                                + "]] of "
+                                + file);
             }
             return place;
         }
@@ -124,13 +155,15 @@
                         return read(line.substring(at + Serve.ROUTES.length()));
                     }
                 } catch (JsonProcessingException e) {
-                    throw new IOException(file + ":" + (i + 1) + ": this state is cut off or no JSON");
+                    throw new IOException(
+                            file + ":" + (i + 1) + ": this state is cut off or no JSON");
                 }
             }
             try {
                 return read(String.join("\n", lines));
             } catch (JsonProcessingException e) {
-                throw new IOException(file + ": holds no state: neither a line 'routes {...}' nor JSON");
+                throw new IOException(
+                        file + ": holds no state: neither a line 'routes {...}' nor JSON");
             }
         }
 
@@ -148,7 +181,8 @@
         private final int profile, customer;
         private String taken, verdict = "nothing: it waits for load reports";
 
-        private Trial(Guide guide, Settings set, Map<String, Object> known, int profile, int customer) {
+        private Trial(
+                Guide guide, Settings set, Map<String, Object> known, int profile, int customer) {
             this.guide = guide;
             this.set = set;
             this.known = known;
@@ -161,10 +195,14 @@
             balance.list(guide.listed(known, NOW), true);
             for (Map<?, ?> s : servers()) {
                 Report report = new Report();
-                report.load = s.get("load") instanceof Number load ? load.doubleValue() : Double.NaN;
+                report.load =
+                        s.get("load") instanceof Number load ? load.doubleValue() : Double.NaN;
                 // Silent for good: three questions that nobody answered.
                 for (int i = 0; i < (Boolean.TRUE.equals(s.get("silent")) ? 3 : 1); i++) {
-                    balance.probed(name(s), Boolean.TRUE.equals(s.get("silent")) ? Outcome.TIMED_OUT : Outcome.OK, report);
+                    balance.probed(
+                            name(s),
+                            Boolean.TRUE.equals(s.get("silent")) ? Outcome.TIMED_OUT : Outcome.OK,
+                            report);
                 }
             }
             // Cold servers' budgets fill by the tick; what stands there is not known here.
@@ -187,11 +225,23 @@
             for (Object g : Json.list(pool, "guests")) {
                 guests += ((Number) g).doubleValue();
             }
-            System.out.printf("pool %s%s: %s%s, %s of %s silent, mean load %s%s%n", name, home ? ", home" : "",
+            System.out.printf(
+                    "pool %s%s: %s%s, %s of %s silent, mean load %s%s%n",
+                    name,
+                    home ? ", home" : "",
                     String.valueOf(pool.get("condition")).replace('_', ' '),
-                    pool.get("since_s") instanceof Number n ? " for " + Tables.plain(n.doubleValue()) + " s" : "",
-                    pool.get("silent"), pool.get("running"), load(pool, "mean_load"), home ? ""
-                            : ", guests " + Tables.plain(guests) + " of " + Tables.plain(Json.number(pool, "guests_most", 0)));
+                    pool.get("since_s") instanceof Number n
+                            ? " for " + Tables.plain(n.doubleValue()) + " s"
+                            : "",
+                    pool.get("silent"),
+                    pool.get("running"),
+                    load(pool, "mean_load"),
+                    home
+                            ? ""
+                            : ", guests "
+                                    + Tables.plain(guests)
+                                    + " of "
+                                    + Tables.plain(Json.number(pool, "guests_most", 0)));
             for (Map<?, ?> s : servers()) {
                 if (name.equals(s.get("pool"))) {
                     System.out.printf("  %-24s load %-6s %s%n", name(s), load(s, "load"), why(s));
@@ -214,8 +264,10 @@
                 return "not taken: it is silent";
             }
             return s.get("load") instanceof Number load && load.doubleValue() >= new Charter().full
-                    ? "not taken: open, and full by its load" : taken == null ? "not taken: open, and has no room for it now"
-                    : "not taken: open, and its load factor is no lower";
+                    ? "not taken: open, and full by its load"
+                    : taken == null
+                            ? "not taken: open, and has no room for it now"
+                            : "not taken: open, and its load factor is no lower";
         }
 
         private static String load(Map<?, ?> of, String key) {
@@ -255,7 +307,11 @@
 
         @Override
         public void decline(Balance.Tunnel tun, double retryAfter) {
-            verdict = "declined" + (retryAfter > 0 ? ", come back after " + Tables.plain(retryAfter) + " s" : "");
+            verdict =
+                    "declined"
+                            + (retryAfter > 0
+                                    ? ", come back after " + Tables.plain(retryAfter) + " s"
+                                    : "");
         }
 
         @Override
--- a/cli/src/main/java/asterpulley/cli/ServeCommand.java
+++ b/cli/src/main/java/asterpulley/cli/ServeCommand.java
@@ -12,18 +12,32 @@
 import picocli.CommandLine.Option;
 
 /** Starts one relay, by an operator's file or as the platform tells it. */
-@Command(name = "serve", mixinStandardHelpOptions = true, description = {"Relays tunnels on sockets, in the foreground.",
-    "SIGTERM: leaves in order; SIGHUP: reads its file anew; SIGUSR1: prints its counters."})
+@Command(
+        name = "serve",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Relays tunnels on sockets, in the foreground.",
+            "SIGTERM: leaves in order; SIGHUP: reads its file anew; SIGUSR1: prints its counters."
+        })
 final class ServeCommand implements Callable<Integer> {
     /** The form of log lines. */
-    enum Log { TEXT, JSON }
+    enum Log {
+        TEXT,
+        JSON
+    }
 
-    @Option(names = "--config", paramLabel = "FILE.toml",
+    @Option(
+            names = "--config",
+            paramLabel = "FILE.toml",
             description = "The operator's file; without it, LB_CONFIG names the platform's.")
     private Path file;
 
-    @Option(names = "--log", paramLabel = "text|json", defaultValue = "text",
-            description = "The form of log lines: ${COMPLETION-CANDIDATES}; by default ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--log",
+            paramLabel = "text|json",
+            defaultValue = "text",
+            description =
+                    "The form of log lines: ${COMPLETION-CANDIDATES}; by default ${DEFAULT-VALUE}.")
     private Log log;
 
     @Override
@@ -31,9 +45,13 @@
         if (log == Log.JSON) {
             JsonLog.install();
         } else {
-            System.setProperty("java.util.logging.SimpleFormatter.format", "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n");
+            System.setProperty(
+                    "java.util.logging.SimpleFormatter.format",
+                    "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n");
         }
-        return file == null ? Serve.run(System.err) : Serve.run(file.toString(), () -> told(file), System.err);
+        return file == null
+                ? Serve.run(System.err)
+                : Serve.run(file.toString(), () -> told(file), System.err);
     }
 
     /** Read anew at every call; all that is wrong with the file in one message. */
--- a/cli/src/test/java/asterpulley/cli/CommandTest.java
+++ b/cli/src/test/java/asterpulley/cli/CommandTest.java
@@ -29,11 +29,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line as operators use it: statuses, help, files that are wrong, and a relay started from a file. */
+/**
+ * The command line as operators use it: statuses, help, files that are wrong, and a relay started
+ * from a file.
+ */
 @Timeout(60)
 class CommandTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private String out;
 
     private int run(String... args) {
@@ -44,7 +46,9 @@
         System.setOut(to);
         System.setErr(to);
         try {
-            return Main.commands().setOut(new java.io.PrintWriter(to, true)).setErr(new java.io.PrintWriter(to, true))
+            return Main.commands()
+                    .setOut(new java.io.PrintWriter(to, true))
+                    .setErr(new java.io.PrintWriter(to, true))
                     .execute(args);
         } finally {
             System.setOut(stdout);
@@ -61,13 +65,45 @@
 
     @TestFactory
     Stream<DynamicTest> everyCommandHelpsAndBadUsageIsTwo() {
-        return Stream.of("", "serve", "drill", "check", "lab", "lab run", "lab load", "lab cost", "lab deliver", "lab start", "completion", "routes", "routes explain")
-                .map(c -> DynamicTest.dynamicTest("'" + c + "'", () -> {
-                    String[] words = c.isEmpty() ? new String[0] : c.split(" ");
-                    assertEquals(0, run(Stream.concat(Stream.of(words), Stream.of("--help")).toArray(String[]::new)), out);
-                    assertTrue(out.contains("Usage: asterpulley"), out);
-                    assertEquals(2, run(Stream.concat(Stream.of(words), Stream.of("--none")).toArray(String[]::new)), out);
-                }));
+        return Stream.of(
+                        "",
+                        "serve",
+                        "drill",
+                        "check",
+                        "lab",
+                        "lab run",
+                        "lab load",
+                        "lab cost",
+                        "lab deliver",
+                        "lab start",
+                        "completion",
+                        "routes",
+                        "routes explain")
+                .map(
+                        c ->
+                                DynamicTest.dynamicTest(
+                                        "'" + c + "'",
+                                        () -> {
+                                            String[] words =
+                                                    c.isEmpty() ? new String[0] : c.split(" ");
+                                            assertEquals(
+                                                    0,
+                                                    run(
+                                                            Stream.concat(
+                                                                            Stream.of(words),
+                                                                            Stream.of("--help"))
+                                                                    .toArray(String[]::new)),
+                                                    out);
+                                            assertTrue(out.contains("Usage: asterpulley"), out);
+                                            assertEquals(
+                                                    2,
+                                                    run(
+                                                            Stream.concat(
+                                                                            Stream.of(words),
+                                                                            Stream.of("--none"))
+                                                                    .toArray(String[]::new)),
+                                                    out);
+                                        }));
     }
 
     @Test
@@ -78,12 +114,20 @@
 
     @Test
     void aWrongFileIsToldWholeWithItsPlaces() throws IOException {
-        String wrong = file("wrong.toml", "listen = \"nowhere\"\nnmae = \"x\"\n[limits]\nmemory_mb = 3\n"
-                + "[[server]]\nname = \"a\"\ndial = \"127.0.0.1:1\"\nzone = \"c\"\n[[profile]]\neffect = \"twice\"\n");
+        String wrong =
+                file(
+                        "wrong.toml",
+                        "listen = \"nowhere\"\nnmae = \"x\"\n[limits]\nmemory_mb = 3\n"
+                                + "[[server]]\nname = \"a\"\ndial = \"127.0.0.1:1\"\nzone = \"c\"\n[[profile]]\neffect = \"twice\"\n");
         assertEquals(1, run("check", wrong));
-        for (String told : List.of(":1: listen: 'nowhere' is not", ":2: nmae: is no key here; do you mean name?",
-                ":4: limits.memory_mb: 3 is not between", ":8: server[0].zone: 'c' is none",
-                ":9: profile[0].name: is missing", ":10: profile[0].effect: 'twice' is none")) {
+        for (String told :
+                List.of(
+                        ":1: listen: 'nowhere' is not",
+                        ":2: nmae: is no key here; do you mean name?",
+                        ":4: limits.memory_mb: 3 is not between",
+                        ":8: server[0].zone: 'c' is none",
+                        ":9: profile[0].name: is missing",
+                        ":10: profile[0].effect: 'twice' is none")) {
             assertTrue(out.contains(told), told + " in " + out);
         }
         assertEquals(1, run("serve", "--config", wrong));
@@ -93,35 +137,65 @@
 
     @Test
     void aSettingsServiceIsToldOnlyByAnOperatorsFileAndCheckedThere() throws IOException {
-        String relay = "listen = \"127.0.0.1:0\"\n[[profile]]\nname = \"live\"\n[[server]]\nname = \"a\"\ndial = \"127.0.0.1:1\"\n";
-        assertEquals("127.0.0.1:7700", RelayFile.read(Sheet.of("r", relay + "[settings]\nservice = \"127.0.0.1:7700\"\n"))
-                .get("settings_service"));
+        String relay =
+                "listen = \"127.0.0.1:0\"\n[[profile]]\nname = \"live\"\n[[server]]\nname = \"a\"\ndial = \"127.0.0.1:1\"\n";
+        assertEquals(
+                "127.0.0.1:7700",
+                RelayFile.read(Sheet.of("r", relay + "[settings]\nservice = \"127.0.0.1:7700\"\n"))
+                        .get("settings_service"));
         assertTrue(!RelayFile.read(Sheet.of("r", relay)).containsKey("settings_service"));
-        assertEquals(1, run("check", file("r.toml", relay + "[settings]\nservice = \"there\"\nservcie = 1\n")));
-        assertTrue(out.contains(":8: settings.service: 'there' is not an address") && out.contains(":9: settings.servcie: is no key"), out);
+        assertEquals(
+                1,
+                run(
+                        "check",
+                        file("r.toml", relay + "[settings]\nservice = \"there\"\nservcie = 1\n")));
+        assertTrue(
+                out.contains(":8: settings.service: 'there' is not an address")
+                        && out.contains(":9: settings.servcie: is no key"),
+                out);
     }
 
     @Test
     void anExperimentThatFallsShortIsThree() throws IOException {
-        String text = "on = \"model\"\nlength_s = 3\nexpect = [\"credit.share %s 0.5\"]\n[load]\narrivals_per_s = 5\n";
+        String text =
+                "on = \"model\"\nlength_s = 3\nexpect = [\"credit.share %s 0.5\"]\n[load]\narrivals_per_s = 5\n";
         assertEquals(0, run("lab", "run", file("a.toml", text.formatted(">"))), out);
         assertEquals(3, run("lab", "run", file("b.toml", text.formatted("<"))), out);
         assertTrue(out.contains("SHORT"), out);
-        assertEquals(1, run("lab", "run", file("c.toml", text.formatted(">").replace("credit.share", "credits"))), out);
+        assertEquals(
+                1,
+                run(
+                        "lab",
+                        "run",
+                        file("c.toml", text.formatted(">").replace("credit.share", "credits"))),
+                out);
         assertTrue(out.contains("no run gives the figure credits"), out);
     }
 
     @Test
     void aFleetOfHollowRelaysIsCheckedAndPlayed() throws IOException {
-        String fleet = file("fleet.toml", "length_s = 2\nsettle_s = 0.5\nexpect = [\"hollow.bytes_per_s < 0\"]\n[relays]\nreal = 0\n"
-                + "start_within_s = 0.5\n[[size]]\nrelays = 5\nservers = 3\n[[entry]]\nkind = \"change\"\nat_s = 0\nevery_s = 0.5\n");
+        String fleet =
+                file(
+                        "fleet.toml",
+                        "length_s = 2\nsettle_s = 0.5\nexpect = [\"hollow.bytes_per_s < 0\"]\n[relays]\nreal = 0\n"
+                                + "start_within_s = 0.5\n[[size]]\nrelays = 5\nservers = 3\n[[entry]]\nkind = \"change\"\nat_s = 0\nevery_s = 0.5\n");
         assertEquals(0, run("check", fleet), out);
         assertTrue(out.contains("a good experiment"), out);
         Path json = folder.resolve("fleet.json");
         Path html = folder.resolve("fleet.html");
-        assertEquals(3, run("lab", "run", fleet, "--json", json.toString(), "--html", html.toString()), out);
+        assertEquals(
+                3,
+                run("lab", "run", fleet, "--json", json.toString(), "--html", html.toString()),
+                out);
         assertTrue(out.contains("SHORT    hollow.bytes_per_s"), out);
-        assertEquals(5, new ObjectMapper().readTree(json.toFile()).get("plays").get(0).get("relays").asInt());
+        assertEquals(
+                5,
+                new ObjectMapper()
+                        .readTree(json.toFile())
+                        .get("plays")
+                        .get(0)
+                        .get("relays")
+                        .asInt());
         assertTrue(Files.readString(html).contains("5 hollow relays"));
         assertEquals(2, run("lab", "run", fleet, "--on", "model"), out);
         assertEquals(1, run("check", file("wrong-fleet.toml", "[[size]]\nrelays = 5\n")), out);
@@ -130,15 +204,22 @@
 
     @Test
     void aRunWritesJsonAndAPageThatNeedsNoNetwork() throws IOException {
-        String e = file("e.toml", "on = \"model\"\nlength_s = 3\nexpect = [\"rules.broken = 0\"]\nbaselines = [\"random\"]\n");
+        String e =
+                file(
+                        "e.toml",
+                        "on = \"model\"\nlength_s = 3\nexpect = [\"rules.broken = 0\"]\nbaselines = [\"random\"]\n");
         Path json = folder.resolve("e.json");
         Path html = folder.resolve("e.html");
-        assertEquals(0, run("lab", "run", e, "--json", json.toString(), "--html", html.toString()), out);
+        assertEquals(
+                0, run("lab", "run", e, "--json", json.toString(), "--html", html.toString()), out);
         JsonNode all = new ObjectMapper().readTree(json.toFile());
         assertEquals("holds", all.at("/plays/0/verdict").asText());
         assertEquals("random", all.at("/plays/1/policy").asText());
         String page = Files.readString(html);
-        assertTrue(page.contains("uPlot") && !page.contains("src=\"http") && !page.contains("href=\"http"));
+        assertTrue(
+                page.contains("uPlot")
+                        && !page.contains("src=\"http")
+                        && !page.contains("href=\"http"));
     }
 
     @Test
@@ -150,9 +231,18 @@
 
     @Test
     void measuringIsBounded() {
-        for (String wrong : List.of("deliver --sizes 16", "deliver --standing 0", "deliver --standing 30000", "deliver --rates 0",
-                "deliver --quiet-s 0", "deliver --standing 100,1000,5000 --rates 1000,2000,5000 --rounds 10 --round-s 5",
-                "start --entries 0", "start --memory-mb 8", "start --rounds 0", "cost --servers 0")) {
+        for (String wrong :
+                List.of(
+                        "deliver --sizes 16",
+                        "deliver --standing 0",
+                        "deliver --standing 30000",
+                        "deliver --rates 0",
+                        "deliver --quiet-s 0",
+                        "deliver --standing 100,1000,5000 --rates 1000,2000,5000 --rounds 10 --round-s 5",
+                        "start --entries 0",
+                        "start --memory-mb 8",
+                        "start --rounds 0",
+                        "cost --servers 0")) {
             assertEquals(2, run(("lab " + wrong).split(" ")), wrong + ": " + out);
         }
     }
@@ -172,11 +262,23 @@
 
     @Test
     void aRelayFromAFileServesItsOwnListAndReadsItAnew() throws Exception {
-        try (ServerSocket first = server("one"); ServerSocket second = server("two")) {
+        try (ServerSocket first = server("one");
+                ServerSocket second = server("two")) {
             Path relay = Path.of(file("relay.toml", "operator=\"127.0.0.1:0\"\n" + relay(first)));
-            Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                    System.getProperty("java.class.path"), "asterpulley.cli.Main", "serve", "--config", relay.toString(),
-                    "--log", "json").redirectErrorStream(true).start();
+            Process process =
+                    new ProcessBuilder(
+                                    Path.of(System.getProperty("java.home"), "bin", "java")
+                                            .toString(),
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    "asterpulley.cli.Main",
+                                    "serve",
+                                    "--config",
+                                    relay.toString(),
+                                    "--log",
+                                    "json")
+                            .redirectErrorStream(true)
+                            .start();
             try (BufferedReader log = process.inputReader()) {
                 await(log, "operators are answered at 127.0.0.1:");
                 int port = port(log);
@@ -195,10 +297,16 @@
     }
 
     private static String rooms(int west, ServerSocket east, String limits) {
-        return "listen=\"127.0.0.1:0\"\nzones=[\"west\",\"east\"]\n[spill]\nholds=10\n" + limits + "[pools]\ncalm_s=1\n"
+        return "listen=\"127.0.0.1:0\"\nzones=[\"west\",\"east\"]\n[spill]\nholds=10\n"
+                + limits
+                + "[pools]\ncalm_s=1\n"
                 + "[[profile]]\nname=\"live\"\n[[customer]]\nname=\"all\"\n"
-                + "[[server]]\nname=\"home\"\nzone=\"west\"\ndial=\"127.0.0.1:" + west + "\"\n"
-                + "[[server]]\nname=\"away\"\nzone=\"east\"\ndial=\"127.0.0.1:" + east.getLocalPort() + "\"\n";
+                + "[[server]]\nname=\"home\"\nzone=\"west\"\ndial=\"127.0.0.1:"
+                + west
+                + "\"\n"
+                + "[[server]]\nname=\"away\"\nzone=\"east\"\ndial=\"127.0.0.1:"
+                + east.getLocalPort()
+                + "\"\n";
     }
 
     @Test
@@ -208,9 +316,20 @@
         gone.close();
         try (ServerSocket east = server("east")) {
             Path relay = Path.of(file("rooms.toml", rooms(west, east, "share=0.2\n")));
-            Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                    System.getProperty("java.class.path"), "asterpulley.cli.Main", "serve", "--config", relay.toString(),
-                    "--log", "json").redirectErrorStream(true).start();
+            Process process =
+                    new ProcessBuilder(
+                                    Path.of(System.getProperty("java.home"), "bin", "java")
+                                            .toString(),
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    "asterpulley.cli.Main",
+                                    "serve",
+                                    "--config",
+                                    relay.toString(),
+                                    "--log",
+                                    "json")
+                            .redirectErrorStream(true)
+                            .start();
             try (BufferedReader log = process.inputReader()) {
                 int port = port(log);
                 await(log, "pool west suspect to dark");
@@ -221,11 +340,21 @@
                 one.close();
                 untilUp(port, 4);
                 new ProcessBuilder("kill", "-USR1", Long.toString(process.pid())).start().waitFor();
-                String state = file("state.log", "2026-12-01 INFO " + await(log, "routes {") + "\n");
-                assertEquals(0, run("routes", "explain", "--config", relay.toString(), "--state", state), out);
+                String state =
+                        file("state.log", "2026-12-01 INFO " + await(log, "routes {") + "\n");
+                assertEquals(
+                        0,
+                        run("routes", "explain", "--config", relay.toString(), "--state", state),
+                        out);
                 assertTrue(out.contains("pool west, home: dark for "), out);
-                assertTrue(out.matches("(?s).*home +load - +not taken: (its pool is dark|it is silent).*"), out);
-                assertTrue(out.contains("tunnel: a setup to away") || out.contains("guests hold all that they may"), out);
+                assertTrue(
+                        out.matches(
+                                "(?s).*home +load - +not taken: (its pool is dark|it is silent).*"),
+                        out);
+                assertTrue(
+                        out.contains("tunnel: a setup to away")
+                                || out.contains("guests hold all that they may"),
+                        out);
                 Files.writeString(relay, rooms(west, east, "share=0\n"));
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
                 await(log, "configuration read anew");
@@ -250,8 +379,16 @@
     private static Socket stand(int port, int id) throws IOException {
         Socket s = new Socket("127.0.0.1", port);
         s.setSoTimeout(10_000);
-        s.getOutputStream().write(("OPEN " + id + " a c=live,t=all,d=2000\r\n").getBytes(StandardCharsets.US_ASCII));
-        assertEquals("UP east", new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII)).readLine());
+        s.getOutputStream()
+                .write(
+                        ("OPEN " + id + " a c=live,t=all,d=2000\r\n")
+                                .getBytes(StandardCharsets.US_ASCII));
+        assertEquals(
+                "UP east",
+                new BufferedReader(
+                                new InputStreamReader(
+                                        s.getInputStream(), StandardCharsets.US_ASCII))
+                        .readLine());
         return s;
     }
 
@@ -265,15 +402,35 @@
         args[5] = file("cut.log", "INFO routes {\"pools\":[\n");
         assertEquals(1, run(args), out);
         assertTrue(out.contains("cut.log:1: this state is cut off"), out);
-        args[5] = file("other.json", "{\"servers\":[{\"name\":\"s\",\"pool\":\"north\"}],\"pools\":[]}");
+        args[5] =
+                file(
+                        "other.json",
+                        "{\"servers\":[{\"name\":\"s\",\"pool\":\"north\"}],\"pools\":[]}");
         assertEquals(1, run(args), out);
         assertTrue(out.contains("'north' is a pool of the state"), out);
-        assertEquals(2, run("routes", "explain", "--config", "../deploy/rooms.toml", "--state", args[5], "--client", "x"), out);
+        assertEquals(
+                2,
+                run(
+                        "routes",
+                        "explain",
+                        "--config",
+                        "../deploy/rooms.toml",
+                        "--state",
+                        args[5],
+                        "--client",
+                        "x"),
+                out);
     }
 
     @Test
     void whatIsWrongWithPoolsIsToldWithItsPlace() throws IOException {
-        assertEquals(1, run("check", file("pools.toml", """
+        assertEquals(
+                1,
+                run(
+                        "check",
+                        file(
+                                "pools.toml",
+                                """
                 listen = "127.0.0.1:0"
                 zones = ["west", "east"]
                 [[profile]]
@@ -289,22 +446,39 @@
                 west = ["west"]
                 [return]
                 spare = ["nobody"]
-                """)), out);
-        for (String said : new String[] {":6: spill.share", ":8: spill.keep.storm", ":10: pools.back_below", ":11: pools.home",
-            ":13: pools.prefer.west", ":15: return.spare"}) {
+                """)),
+                out);
+        for (String said :
+                new String[] {
+                    ":6: spill.share",
+                    ":8: spill.keep.storm",
+                    ":10: pools.back_below",
+                    ":11: pools.home",
+                    ":13: pools.prefer.west",
+                    ":15: return.spare"
+                }) {
             assertTrue(out.contains(said), said + " not in " + out);
         }
-        assertEquals(1, run("check", file("alone.toml", "listen=\"127.0.0.1:0\"\n[[profile]]\nname=\"live\"\n[return]\n")));
+        assertEquals(
+                1,
+                run(
+                        "check",
+                        file(
+                                "alone.toml",
+                                "listen=\"127.0.0.1:0\"\n[[profile]]\nname=\"live\"\n[return]\n")));
         assertTrue(out.contains("needs [spill]"), out);
     }
 
     private static String relay(ServerSocket server) {
         return "listen = \"127.0.0.1:0\"\n[[profile]]\nname = \"live\"\n[[server]]\nname = \"s\"\ndial = \"127.0.0.1:"
-                + server.getLocalPort() + "\"\n";
+                + server.getLocalPort()
+                + "\"\n";
     }
 
     private static int port(BufferedReader log) throws IOException {
-        Matcher m = Pattern.compile("serving relay at 127.0.0.1:([0-9]+)").matcher(await(log, "serving"));
+        Matcher m =
+                Pattern.compile("serving relay at 127.0.0.1:([0-9]+)")
+                        .matcher(await(log, "serving"));
         assertTrue(m.find());
         return Integer.parseInt(m.group(1));
     }
@@ -323,26 +497,33 @@
     private static String open(int port, int id) throws IOException {
         try (Socket s = new Socket("127.0.0.1", port)) {
             s.setSoTimeout(10_000);
-            s.getOutputStream().write(("OPEN " + id + " a c=live,d=2000\r\n").getBytes(StandardCharsets.US_ASCII));
-            return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII)).readLine();
+            s.getOutputStream()
+                    .write(
+                            ("OPEN " + id + " a c=live,d=2000\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
+            return new BufferedReader(
+                            new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII))
+                    .readLine();
         }
     }
 
     /** A server that answers in its own name. */
     private static ServerSocket server(String name) throws IOException {
         ServerSocket listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        Thread thread = new Thread(() -> {
-            while (!listening.isClosed()) {
-                try {
-                    Socket s = listening.accept();
-                    Thread one = new Thread(() -> answer(s, name));
-                    one.setDaemon(true);
-                    one.start();
-                } catch (IOException e) {
-                    return;
-                }
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            while (!listening.isClosed()) {
+                                try {
+                                    Socket s = listening.accept();
+                                    Thread one = new Thread(() -> answer(s, name));
+                                    one.setDaemon(true);
+                                    one.start();
+                                } catch (IOException e) {
+                                    return;
+                                }
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
         return listening;
@@ -350,10 +531,16 @@
 
     private static void answer(Socket s, String name) {
         try (s) {
-            BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
+            BufferedReader in =
+                    new BufferedReader(
+                            new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                s.getOutputStream().write((line.startsWith("OPEN") ? "UP " + name + "\r\n" : "PONG x0=0.01\r\n")
-                        .getBytes(StandardCharsets.US_ASCII));
+                s.getOutputStream()
+                        .write(
+                                (line.startsWith("OPEN")
+                                                ? "UP " + name + "\r\n"
+                                                : "PONG x0=0.01\r\n")
+                                        .getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException e) {
             // The relay or the test has ended it.
--- a/core/src/main/java/asterpulley/Balance.java
+++ b/core/src/main/java/asterpulley/Balance.java
@@ -12,81 +12,151 @@
 import java.util.stream.Stream;
 
 /**
- * Decides for one relay where each tunnel goes. The entry point is {@link #take}: it gives a handle on which
- * the front calls what happens later; lists, probe answers and timers come in beside it, and every result
- * leaves through the interface in Front.java. The ordinary path: the ready server with the lowest load factor
- * takes the tunnel; seek timers with a retry count decide who is offline; all full means decline. When each
- * exception to it acts, and why, stands in docs/design.md.
+ * Decides for one relay where each tunnel goes. The entry point is {@link #take}: it gives a handle
+ * on which the front calls what happens later; lists, probe answers and timers come in beside it,
+ * and every result leaves through the interface in Front.java. The ordinary path: the ready server
+ * with the lowest load factor takes the tunnel; seek timers with a retry count decide who is
+ * offline; all full means decline. When each exception to it acts, and why, stands in
+ * docs/design.md.
  */
 public final class Balance {
     /** Unanswered seeks and failed setups in a row that mark a server offline. */
     private static final int SILENT = 3;
-    /** A factor from which a server is full: nearer capacity messages come late, for all its tunnels. */
+
+    /**
+     * A factor from which a server is full: nearer capacity messages come late, for all its
+     * tunnels.
+     */
     private static final double FULL = 0.8;
+
     /** A factor from which shares are held: within a burst's reach of full. */
     private static final double NEAR_FULL = 0.75;
+
     /** A factor above which standing tunnels are moved away, until it is full at most. */
     private static final double CROWDED = 0.95;
-    /** Moves may add this many times the usual rate of setups: what stands behind them has some room. */
+
+    /**
+     * Moves may add this many times the usual rate of setups: what stands behind them has some
+     * room.
+     */
     private static final double MOVE_PACE = 6;
+
     /** A draining server that sent none of its tunnels away for this long leaves it to us. */
     private static final double DRAIN_WAIT = 2;
+
     /** Points of service that steady probes may cost, and the bounds of what that gives. */
     private static final double PROBE_SPEND = 0.01;
+
     private static final double FASTEST_SEEK = 0.4, SLOWEST_SEEK = 3;
-    /** A server is taken to fall silent once in so many seconds, on the worst days that operators met. */
+
+    /**
+     * A server is taken to fall silent once in so many seconds, on the worst days that operators
+     * met.
+     */
     private static final double SILENCE_EVERY = 300;
+
     /** Servers that this relay does not use are sought this much less often than those it does. */
     private static final double UNUSED = 8;
-    /** An older report says too little to place by: the best few are sought before the tunnel goes. */
+
+    /**
+     * An older report says too little to place by: the best few are sought before the tunnel goes.
+     */
     private static final double STALE = 2;
+
     private static final int SOUGHT = 3;
+
     /** The part of a setup goal that may go into waiting for their answers. */
     private static final double SEEK_WAIT = 0.4;
+
     /** Tunnels a second are counted over this time. */
     private static final double RATE_TIME = 10;
+
     /** The most seeks a second that a relay can spare the time for. */
     private static final double MOST_SEEKS = 300;
-    /** Reports are refreshed and arrive late, by up to this: old placements are likelier in them. */
+
+    /**
+     * Reports are refreshed and arrive late, by up to this: old placements are likelier in them.
+     */
     private static final double REPORT_LAG = 1;
-    /** Of what a cold server bears, the sum that relays aim at: what whole tunnels add by chance has room. */
+
+    /**
+     * Of what a cold server bears, the sum that relays aim at: what whole tunnels add by chance has
+     * room.
+     */
     private static final double COLD_SHARE = 0.75;
+
     /** A server that dropped all of ours and went from this load to that one has restarted. */
     private static final double EMPTIED = 0.3, EMPTY = 0.1;
-    /** A crossing's fee is lost all of a tunnel's life; this much more in the factor loses as much. */
+
+    /**
+     * A crossing's fee is lost all of a tunnel's life; this much more in the factor loses as much.
+     */
     private static final double FEE_TO_FACTOR = 4;
-    /** What a group costs a server that holds none of it, in mean loads: not told, of the order of a few. */
+
+    /**
+     * What a group costs a server that holds none of it, in mean loads: not told, of the order of a
+     * few.
+     */
     private static final double GROUP_COST = 2;
-    /** How much more that counts in the choice: it stays for a group's life and spreads to all servers. */
+
+    /**
+     * How much more that counts in the choice: it stays for a group's life and spreads to all
+     * servers.
+     */
     private static final double GROUP_PULL = 10;
+
     /** How much less likely each rank further makes it that a sibling holds the group there. */
     private static final double A_RANK = 0.35;
+
     /** The most siblings that an own placement stands for. */
     private static final double SIBLINGS = 4;
+
     /** Evidence on a server's health halves in this time. */
     private static final double FORGET = 6;
+
     /** Outcomes of setups are compared over this time to tell a shared cause from bad servers. */
     private static final double RECENT = 3;
-    /** A server whose messages are told to take long is full so long; that is told once a second. */
+
+    /**
+     * A server whose messages are told to take long is full so long; that is told once a second.
+     */
     private static final double SLOW_REST = 1.2;
-    /** The most setups out at once to begin with, and how many a listed server, for all relays together. */
+
+    /**
+     * The most setups out at once to begin with, and how many a listed server, for all relays
+     * together.
+     */
     private static final double WINDOW = 8, WINDOW_A_SERVER = 2;
+
     /** A setup that took this part of its goal says that they queue behind the servers. */
     private static final double QUEUED = 0.5;
+
     private static final double WIDEST_WINDOW = 64;
-    /** Mean loads that fill a small server, taken while this relay holds too few tunnels to learn it. */
+
+    /**
+     * Mean loads that fill a small server, taken while this relay holds too few tunnels to learn
+     * it.
+     */
     private static final double SMALLEST = 25;
+
     /** Own tunnels at which what they teach of that weighs as much as the figure taken. */
     private static final double FEW = 10;
+
     private static final double BACK_OFF = 0.5, TIMER = 0.1;
+
     /** What is left of such evidence after a tick. */
     private static final double KEEP = Math.pow(0.5, TIMER / FORGET);
+
     private static final long SEEK = 0, ASK_LIST = 1;
 
     private final Front front;
     private final Random random;
     private final Ledger ledger;
-    /** In force now. A profile's or customer's place never changes: new ones come behind, old ones stay. */
+
+    /**
+     * In force now. A profile's or customer's place never changes: new ones come behind, old ones
+     * stay.
+     */
     private Settings set;
 
     private final Map<String, Integer> index = new HashMap<>();
@@ -98,29 +168,44 @@
     private boolean[] running = {}, listed = {}, offline = {}, full = {}, seeking = {}, eased = {};
     private boolean[] out = {}, owed = {}, unheard = {}, dropped = {};
     private double[] load = {}, extra = {}, placed = {}, own = {}, turns = {};
-    private double[] startedAt = {}, seekAt = {}, seenAt = {}, restUntil = {}, failedAt = {}, workedAt = {};
+    private double[] startedAt = {},
+            seekAt = {},
+            seenAt = {},
+            restUntil = {},
+            failedAt = {},
+            workedAt = {};
     private double[] good = {}, bad = {}, dither = {}, drainedAt = {}, waitedAt = {};
     private final List<List<Tunnel>> held = new ArrayList<>();
     private final List<Tunnel> waiting = new ArrayList<>();
     private final List<ArrayDeque<Placement>> recent = new ArrayList<>();
-    /** What operators leave out, whatever the list says; by name, since it may not be listed now. */
+
+    /**
+     * What operators leave out, whatever the list says; by name, since it may not be listed now.
+     */
     private Set<String> cordoned = Set.of();
+
     private final Map<String, int[]> groups = new HashMap<>();
     private final Map<String, int[]> orders = new HashMap<>();
 
     private double[] profileLoad = {}, profileSeen = {};
     private final double[] modelHeld = new double[64], modelLoad = new double[64];
     private int ownOpen, inFlight;
+
     /** The first is whoever names none of the customers: it has no share, and uses up nobody's. */
     private int[] customerOpen = {};
+
     private double setupLag = 0.02, setupLagSpread = 0.02;
-    private double arrivals = 1, arrivalsAt, listBackOff = BACK_OFF, start = 1, window = 1, windowCutAt;
+    private double arrivals = 1,
+            arrivalsAt,
+            listBackOff = BACK_OFF,
+            start = 1,
+            window = 1,
+            windowCutAt;
     private double openings = 1, openingsAt, fullAt;
     private boolean declining, shared, heldTold, loadTold, blind;
     private double moveCredit = 5;
 
-    private record Placement(double at, double step, double work) {
-    }
+    private record Placement(double at, double step, double work) {}
 
     public Balance(Settings set, long seed, Front front) {
         this.front = front;
@@ -135,13 +220,17 @@
         front.wake(TIMER, SEEK);
     }
 
-    /** These count from now on; tunnels taken keep their profile as it was: deadline, effect and window. */
+    /**
+     * These count from now on; tunnels taken keep their profile as it was: deadline, effect and
+     * window.
+     */
     public void settings(Settings anew) {
         set = anew;
         ledger.set = anew;
         profileLoad = Arrays.copyOf(profileLoad, Math.max(profileLoad.length, set.profiles.size()));
         profileSeen = Arrays.copyOf(profileSeen, profileLoad.length);
-        customerOpen = Arrays.copyOf(customerOpen, Math.max(customerOpen.length, set.shares.size() + 1));
+        customerOpen =
+                Arrays.copyOf(customerOpen, Math.max(customerOpen.length, set.shares.size() + 1));
         sized();
     }
 
@@ -158,7 +247,8 @@
         private double ranAt, sentAt, units, openedAt;
         private final BitSet tried = new BitSet(), sought = new BitSet();
 
-        private Tunnel(long id, int profile, int customer, String group, String key, double budget) {
+        private Tunnel(
+                long id, int profile, int customer, String group, String key, double budget) {
             this.id = id;
             this.profile = profile;
             this.customer = customer >= 0 && customer < set.shares.size() ? customer + 1 : 0;
@@ -166,7 +256,11 @@
             this.group = set.groupsShareWork ? group : null;
             this.kind = set.profiles.get(profile);
             since = front.now();
-            deadline = since + (budget > 0 ? Math.min(budget, kind.clientTimeout) : kind.clientTimeout);
+            deadline =
+                    since
+                            + (budget > 0
+                                    ? Math.min(budget, kind.clientTimeout)
+                                    : kind.clientTimeout);
         }
 
         /** True when nothing more can happen to it. */
@@ -202,7 +296,10 @@
             units = now;
         }
 
-        /** What a message takes at its server now, told only while it is long: work has piled up there. */
+        /**
+         * What a message takes at its server now, told only while it is long: work has piled up
+         * there.
+         */
         public void delay(double message) {
             if (on >= 0) {
                 restUntil[on] = Math.max(restUntil[on], front.now() + SLOW_REST);
@@ -255,12 +352,18 @@
             done = true;
         }
 
-        /** True where the setup that is out may still be written: its connection may have come up late. */
+        /**
+         * True where the setup that is out may still be written: its connection may have come up
+         * late.
+         */
         public boolean mayGo() {
             return out >= 0 && !done && wanted(out) && lawful(this, out);
         }
 
-        /** Asks for the final answer, once nothing of it is out: declined where nothing may have run. */
+        /**
+         * Asks for the final answer, once nothing of it is out: declined where nothing may have
+         * run.
+         */
         public void giveUp() {
             if (mayHaveRun) {
                 front.closeWithError(this);
@@ -272,7 +375,13 @@
 
     // ---- Tunnels
 
-    public Tunnel take(long id, int profile, int customer, String group, String key, double budget,
+    public Tunnel take(
+            long id,
+            int profile,
+            int customer,
+            String group,
+            String key,
+            double budget,
             boolean midFlow) {
         Tunnel tun = new Tunnel(id, profile, customer, group, key, budget);
         double now = front.now();
@@ -281,7 +390,8 @@
         arrivalsAt = now;
         Integer holder = midFlow && key != null ? holders.get(key) : null;
         if (holder != null && listed[holder]) {
-            // Its packets go on where it stands, also while that server drains: elsewhere it would be reset.
+            // Its packets go on where it stands, also while that server drains: elsewhere it would
+            // be reset.
             send(tun, holder, Math.max(set.tick, tun.deadline - now - 2 * set.tick));
         } else {
             place(tun);
@@ -290,7 +400,8 @@
     }
 
     /** A tunnel that already stood on this server when this instance started. */
-    public Tunnel standing(long id, int profile, int customer, String group, String key, String ep) {
+    public Tunnel standing(
+            long id, int profile, int customer, String group, String key, String ep) {
         Tunnel tun = new Tunnel(id, profile, customer, group, key, 0);
         tun.done = true;
         Integer s = index.get(ep);
@@ -309,8 +420,12 @@
         customerOpen[tun.customer]++;
         held.get(s).add(tun);
         // What stands at the start is not sought by all relays at once.
-        seekAt[s] = Math.min(seekAt[s], tun.setups > 0 ? seenAt[s] + SLOWEST_SEEK
-                : front.now() + SLOWEST_SEEK * random.nextDouble());
+        seekAt[s] =
+                Math.min(
+                        seekAt[s],
+                        tun.setups > 0
+                                ? seenAt[s] + SLOWEST_SEEK
+                                : front.now() + SLOWEST_SEEK * random.nextDouble());
         if (tun.key != null) {
             holders.put(tun.key, s);
         }
@@ -319,9 +434,12 @@
         }
     }
 
-    /** How many of this group's tunnels this relay holds, by server, up to this server at the least. */
+    /**
+     * How many of this group's tunnels this relay holds, by server, up to this server at the least.
+     */
     private int[] holding(String group, int s) {
-        return groups.merge(group, new int[s + 1], (a, b) -> a.length > s ? a : Arrays.copyOf(a, s + 1));
+        return groups.merge(
+                group, new int[s + 1], (a, b) -> a.length > s ? a : Arrays.copyOf(a, s + 1));
     }
 
     private void fall(Tunnel tun) {
@@ -344,7 +462,9 @@
     private void place(Tunnel tun) {
         double now = front.now();
         double left = tun.deadline - now - 2 * set.tick;
-        if (tun.setups >= set.mostSetups || left <= set.tick || tun.setups > 0 && ledger.left(now) < 1) {
+        if (tun.setups >= set.mostSetups
+                || left <= set.tick
+                || tun.setups > 0 && ledger.left(now) < 1) {
             giveUp(tun);
             return;
         }
@@ -368,10 +488,12 @@
             }
             return;
         }
-        // Leaves room for a further setup within the goal, but never less than setups take these days.
+        // Leaves room for a further setup within the goal, but never less than setups take these
+        // days.
         double goalLeft = tun.since + tun.kind.setupGoal - now;
         double soon = Math.max(goalLeft / 2, setupLag + 4 * setupLagSpread);
-        // A server that answered just now lives: what keeps a setup there stands behind all of them.
+        // A server that answered just now lives: what keeps a setup there stands behind all of
+        // them.
         boolean lives = now - seenAt[s] < FASTEST_SEEK;
         send(tun, s, shared || lives || goalLeft <= 0 ? left : Math.min(left, soon));
     }
@@ -394,7 +516,10 @@
         front.setup(tun, ep[s], timeout);
     }
 
-    /** No effect twice: what may have run goes again only to servers that know it, while they remember it. */
+    /**
+     * No effect twice: what may have run goes again only to servers that know it, while they
+     * remember it.
+     */
     private boolean lawful(Tunnel tun, int s) {
         if (!tun.mayHaveRun || tun.kind.kind == Settings.Kind.REPEATABLE) {
             return true;
@@ -409,11 +534,17 @@
         };
     }
 
-    /** The final answer to what is given up: at once, and a decline only where trying again is harmless. */
+    /**
+     * The final answer to what is given up: at once, and a decline only where trying again is
+     * harmless.
+     */
     private void giveUp(Tunnel tun) {
         tun.done = true;
-        boolean harmless = !tun.mayHaveRun || tun.kind.kind == Settings.Kind.REPEATABLE
-                || tun.kind.kind == Settings.Kind.REFERENCED && tun.kind.reach == Settings.Reach.ALL;
+        boolean harmless =
+                !tun.mayHaveRun
+                        || tun.kind.kind == Settings.Kind.REPEATABLE
+                        || tun.kind.kind == Settings.Kind.REFERENCED
+                                && tun.kind.reach == Settings.Reach.ALL;
         if (harmless) {
             front.decline(tun, set.longestRetryAfter * (0.5 + 0.5 * random.nextDouble()));
         } else {
@@ -428,7 +559,8 @@
             if (overShare(tun) && factor(s) > NEAR_FULL) {
                 return -1;
             }
-            // A doubtful server is drawn by its chance of success, so that it is never quite forgotten.
+            // A doubtful server is drawn by its chance of success, so that it is never quite
+            // forgotten.
             if (chance(s) > 0.8 || random.nextDouble() < chance(s)) {
                 note(false);
                 return s;
@@ -447,7 +579,10 @@
         return -1;
     }
 
-    /** A referenced tunnel that may have run may also go again to the same server, which knows its mark. */
+    /**
+     * A referenced tunnel that may have run may also go again to the same server, which knows its
+     * mark.
+     */
     private BitSet barred(Tunnel tun) {
         boolean again = tun.mayHaveRun && tun.kind.kind == Settings.Kind.REFERENCED;
         return again ? new BitSet() : (BitSet) tun.tried.clone();
@@ -459,7 +594,8 @@
         double units = units(tun.profile, profileLoad[tun.profile]);
         int[] in = tun.group == null ? null : groups.getOrDefault(tun.group, new int[0]);
         int[] ranks = new int[zones];
-        // Where crossing costs less than one more server with the group, it meets at one place for all zones.
+        // Where crossing costs less than one more server with the group, it meets at one place for
+        // all zones.
         boolean one = FEE_TO_FACTOR * set.crossingFee < A_RANK * GROUP_PULL * GROUP_COST / largest;
         // Past this rank the pull alone is above full, on the largest servers too.
         double last = (FULL * largest / (GROUP_PULL * GROUP_COST) - strangers) / A_RANK;
@@ -488,9 +624,12 @@
             if (f > FULL || !coldRoom(s, now, Math.max(1, units))) {
                 continue;
             }
-            // Who put it back wants to see it used: it gets one tunnel before others that stand lower.
-            f += (units + (holds ? 0 : GROUP_COST)) / capacity(s)
-                    + (zone[s] == set.zone ? 0 : FEE_TO_FACTOR * set.crossingFee) + SIBLINGS * turns[s];
+            // Who put it back wants to see it used: it gets one tunnel before others that stand
+            // lower.
+            f +=
+                    (units + (holds ? 0 : GROUP_COST)) / capacity(s)
+                            + (zone[s] == set.zone ? 0 : FEE_TO_FACTOR * set.crossingFee)
+                            + SIBLINGS * turns[s];
             f = owed[s] && seenAt[s] > startedAt[s] ? -1 : f;
             if (f >= low + 1e-9 || !front.may(tun, s, ep[s])) {
                 continue;
@@ -506,7 +645,10 @@
         return best;
     }
 
-    /** A relay with few tunnels cannot seek all servers all the time: it seeks what counts for this one. */
+    /**
+     * A relay with few tunnels cannot seek all servers all the time: it seeks what counts for this
+     * one.
+     */
     private boolean seekFirst(Tunnel tun) {
         double now = front.now();
         BitSet barred = barred(tun);
@@ -548,10 +690,13 @@
         return front.now() - tun.since < SEEK_WAIT * tun.kind.setupGoal;
     }
 
-    /** Tunnels go on when there is room and what they sought is told, or was waited for long enough. */
+    /**
+     * Tunnels go on when there is room and what they sought is told, or was waited for long enough.
+     */
     private void settle() {
         for (Tunnel tun : List.copyOf(waiting)) {
-            if (tun.done || !mayWait(tun)
+            if (tun.done
+                    || !mayWait(tun)
                     || inFlight < window && tun.sought.stream().noneMatch(s -> seeking[s])) {
                 waiting.remove(tun);
                 if (!tun.done) {
@@ -561,19 +706,28 @@
         }
     }
 
-    /** Near full, verdicts alternate by the millisecond: the mode ends when none was full for a second. */
+    /**
+     * Near full, verdicts alternate by the millisecond: the mode ends when none was full for a
+     * second.
+     */
     private void note(boolean allFull) {
         double now = front.now();
         fullAt = allFull ? now : fullAt;
         if (allFull != declining && (allFull || now - fullAt > 1)) {
             declining = allFull;
-            front.log((allFull ? "all full: declining, " : "room again, ") + n + " servers, own " + ownOpen);
+            front.log(
+                    (allFull ? "all full: declining, " : "room again, ")
+                            + n
+                            + " servers, own "
+                            + ownOpen);
         }
     }
 
     private boolean overShare(Tunnel tun) {
-        return set.excessCredit < 1 && tun.customer > 0
-                && customerOpen[tun.customer] > 1.1 * set.shares.get(tun.customer - 1) * ownOpen + 1;
+        return set.excessCredit < 1
+                && tun.customer > 0
+                && customerOpen[tun.customer]
+                        > 1.1 * set.shares.get(tun.customer - 1) * ownOpen + 1;
     }
 
     // ---- Servers
@@ -596,7 +750,10 @@
         return Math.max(0, load[s] + extra[s]);
     }
 
-    /** The factor with what siblings likely placed until a report tells it; of many, own ones say little. */
+    /**
+     * The factor with what siblings likely placed until a report tells it; of many, own ones say
+     * little.
+     */
     private double crowd(int s) {
         return factor(s) + (blind ? 0 : Math.min(SIBLINGS, set.siblings - 1) * placed[s]);
     }
@@ -606,18 +763,23 @@
         return (units(tun.profile, profileLoad[tun.profile]) + brings) / capacity(s);
     }
 
-    /** All servers in an order that all relays give this group, so that they meet; kept: it costs a sort. */
+    /**
+     * All servers in an order that all relays give this group, so that they meet; kept: it costs a
+     * sort.
+     */
     private int[] order(String group) {
-        return orders.computeIfAbsent(group == null ? "" : group, g -> {
-            long[] keys = new long[n];
-            for (int s = 0; s < n; s++) {
-                int h = (ep[s].hashCode() * 31 ^ g.hashCode()) * 0x9E3779B1;
-                h = (h ^ h >>> 15) * 0x85EBCA6B;
-                keys[s] = (long) (h ^ h >>> 13) << 32 | s;
-            }
-            Arrays.sort(keys);
-            return Arrays.stream(keys).mapToInt(k -> (int) k).toArray();
-        });
+        return orders.computeIfAbsent(
+                group == null ? "" : group,
+                g -> {
+                    long[] keys = new long[n];
+                    for (int s = 0; s < n; s++) {
+                        int h = (ep[s].hashCode() * 31 ^ g.hashCode()) * 0x9E3779B1;
+                        h = (h ^ h >>> 15) * 0x85EBCA6B;
+                        keys[s] = (long) (h ^ h >>> 13) << 32 | s;
+                    }
+                    Arrays.sort(keys);
+                    return Arrays.stream(keys).mapToInt(k -> (int) k).toArray();
+                });
     }
 
     /** A load in mean loads. */
@@ -644,28 +806,44 @@
 
     private double warmth(int s, double now) {
         double age = now - startedAt[s];
-        return age >= set.coldTime ? 1 : set.coldFrom + (1 - set.coldFrom) * Math.max(0, age) / set.coldTime;
+        return age >= set.coldTime
+                ? 1
+                : set.coldFrom + (1 - set.coldFrom) * Math.max(0, age) / set.coldTime;
     }
 
     private boolean cold(int s, double now) {
         return now - startedAt[s] < set.coldTime;
     }
 
-    /** Not pushed over: this relay keeps to its part of what a cold server can take; siblings do the same. */
+    /**
+     * Not pushed over: this relay keeps to its part of what a cold server can take; siblings do the
+     * same.
+     */
     private boolean coldRoom(int s, double now, double work) {
         if (!cold(s, now)) {
             return true;
         }
-        // New tunnels may fill it, warm, over its warm-up, times the multiple; half of what makes it fall may stand.
-        double sent = recent.get(s).stream().mapToDouble(p -> p.at > now - set.fallTime * p.work ? p.work : 0).sum();
+        // New tunnels may fill it, warm, over its warm-up, times the multiple; half of what makes
+        // it fall may stand.
+        double sent =
+                recent.get(s).stream()
+                        .mapToDouble(p -> p.at > now - set.fallTime * p.work ? p.work : 0)
+                        .sum();
         double untold = Math.max(0, extra[s] * capacity(s)), part = coldPart(s);
         double fills = part / warmth(s, now) * COLD_SHARE * set.fallTime / set.coldTime;
-        double room = Math.min(Math.min(part / 2, fills) - sent, part * (0.5 - load[s] / set.fallMultiple) - untold);
-        // Rounded by a dither: of many relays each sends a whole tunnel or none, and the parts still sum up.
+        double room =
+                Math.min(
+                        Math.min(part / 2, fills) - sent,
+                        part * (0.5 - load[s] / set.fallMultiple) - untold);
+        // Rounded by a dither: of many relays each sends a whole tunnel or none, and the parts
+        // still sum up.
         return work * (1 - dither[s]) <= room;
     }
 
-    /** This relay's equal part of the mean loads that may stand on a cold server now before it falls. */
+    /**
+     * This relay's equal part of the mean loads that may stand on a cold server now before it
+     * falls.
+     */
     private double coldPart(int s) {
         int m = model[s] & 63;
         double told = heldTold && modelLoad[m] > 0.5 ? modelHeld[m] / modelLoad[m] / SMALLEST : 1;
@@ -686,7 +864,8 @@
         extra[s] += step;
         placed[s] += Math.max(0, step);
         turns[s] += blind ? Math.max(0, step) : 0;
-        recent.get(s).removeIf(p -> p.at < front.now() - Math.max(REPORT_LAG, set.fallTime * p.work));
+        recent.get(s)
+                .removeIf(p -> p.at < front.now() - Math.max(REPORT_LAG, set.fallTime * p.work));
         recent.get(s).add(new Placement(front.now(), step, work));
     }
 
@@ -727,7 +906,9 @@
     private void failed(int s, Outcome outcome) {
         double now = front.now();
         full[s] |= outcome == Outcome.FULL;
-        if (outcome == Outcome.FULL || outcome == Outcome.NEVER_SENT || outcome == Outcome.CANCELLED) {
+        if (outcome == Outcome.FULL
+                || outcome == Outcome.NEVER_SENT
+                || outcome == Outcome.CANCELLED) {
             return;
         }
         failedAt[s] = now;
@@ -742,7 +923,10 @@
         seekAt[s] = Math.min(seekAt[s], now);
     }
 
-    /** When setups fail at most servers tried of late, what they share is suspected before the servers. */
+    /**
+     * When setups fail at most servers tried of late, what they share is suspected before the
+     * servers.
+     */
     private void judge() {
         double since = front.now() - RECENT;
         int failing = 0, seen = 0;
@@ -754,26 +938,44 @@
         boolean was = shared;
         shared = failing >= 3 && failing >= 0.6 * seen;
         if (shared != was) {
-            front.log("shared cause " + (shared ? "suspected" : "over")
-                    + ": setups fail at " + failing + " of " + seen);
+            front.log(
+                    "shared cause "
+                            + (shared ? "suspected" : "over")
+                            + ": setups fail at "
+                            + failing
+                            + " of "
+                            + seen);
         }
     }
 
-    /** An unanswered seek; failed setups count too, but only a seek's silence takes a server offline. */
+    /**
+     * An unanswered seek; failed setups count too, but only a seek's silence takes a server
+     * offline.
+     */
     private void silent(int s) {
         silence[s]++;
         unheard[s] = true;
         if (silence[s] >= SILENT && !offline[s]) {
             offline[s] = true;
-            front.log("offline " + ep[s] + " after " + silence[s] + " silences, own " + held.get(s).size());
+            front.log(
+                    "offline "
+                            + ep[s]
+                            + " after "
+                            + silence[s]
+                            + " silences, own "
+                            + held.get(s).size());
         }
     }
 
-    /** Standing tunnels leave a server that is offline or crowded, as fast as others have room for them. */
+    /**
+     * Standing tunnels leave a server that is offline or crowded, as fast as others have room for
+     * them.
+     */
     private void relieve(int s) {
         double now = front.now(), f = factor(s);
         // What still stands when a draining server stops is cut off, so it is moved before.
-        boolean leaves = offline[s] || out[s] || drainedAt[s] > 0 && now - drainedAt[s] > DRAIN_WAIT;
+        boolean leaves =
+                offline[s] || out[s] || drainedAt[s] > 0 && now - drainedAt[s] > DRAIN_WAIT;
         double wanted = leaves ? own[s] : f > CROWDED ? own[s] * (f - FULL) / f : 0;
         if (wanted <= 0 || moveCredit < 1 || eased[s] || held.get(s).isEmpty() || shared) {
             return;
@@ -786,7 +988,8 @@
                 widest = Math.max(widest, free);
             }
         }
-        // What frees most load for least credit, over its share first; some are shed where nobody has room.
+        // What frees most load for least credit, over its share first; some are shed where nobody
+        // has room.
         boolean shed = room * set.siblings < 1 && !leaves;
         List<Tunnel> leaving = new ArrayList<>(held.get(s));
         leaving.removeIf(t -> t.moving || !leaves && now - t.openedAt < REPORT_LAG);
@@ -795,7 +998,8 @@
             if (moveCredit < 1) {
                 return;
             }
-            // A relay that holds little here moves its part of it by chance: all of them would empty it.
+            // A relay that holds little here moves its part of it by chance: all of them would
+            // empty it.
             if (random.nextDouble() * t.units >= wanted) {
                 break;
             }
@@ -836,12 +1040,14 @@
         }
         if (outcome != Outcome.OK) {
             silent(s);
-            seekAt[s] = now + (offline[s] ? Math.min(SLOWEST_SEEK, seekEvery(s) * 2) : FASTEST_SEEK);
+            seekAt[s] =
+                    now + (offline[s] ? Math.min(SLOWEST_SEEK, seekEvery(s) * 2) : FASTEST_SEEK);
             return;
         }
         boolean fell = load[s] > EMPTIED && dropped[s] && held.get(s).isEmpty();
         if ((offline[s] || fell) && report.load < EMPTY && !cold(s, now)) {
-            // Silent, or loaded until it dropped ours, and now empty: it restarted, whatever the list tells.
+            // Silent, or loaded until it dropped ours, and now empty: it restarted, whatever the
+            // list tells.
             restarted(s, now);
         }
         dropped[s] = false;
@@ -881,8 +1087,9 @@
     }
 
     /**
-     * What fills a server of this model. Where reports do not tell what it holds, siblings are taken to hold
-     * as much as this relay, over all servers of the model: those that it uses are sought more often.
+     * What fills a server of this model. Where reports do not tell what it holds, siblings are
+     * taken to hold as much as this relay, over all servers of the model: those that it uses are
+     * sought more often.
      */
     private void learn(int m, double holds, double at) {
         double ours = 0, loads = 0;
@@ -896,7 +1103,8 @@
                 loads += seen ? load[s] : 0;
             }
         }
-        modelHeld[m & 63] = 0.97 * modelHeld[m & 63] + (holds >= 0 ? holds : ours * set.siblings / all);
+        modelHeld[m & 63] =
+                0.97 * modelHeld[m & 63] + (holds >= 0 ? holds : ours * set.siblings / all);
         modelLoad[m & 63] = 0.97 * modelLoad[m & 63] + (holds >= 0 ? at : loads / told);
     }
 
@@ -906,10 +1114,12 @@
         for (int k = 0; k < n; k++) {
             uses += used(k) ? 1 : 0;
         }
-        // The fee is by the tunnels that are set up: what clients try again while declined pays for none.
+        // The fee is by the tunnels that are set up: what clients try again while declined pays for
+        // none.
         double fee = set.probeFee / Math.max(0.2, faded(openings, openingsAt));
         double every = Math.max((uses + (n - uses) / UNUSED) * fee / PROBE_SPEND, n / MOST_SEEKS);
-        // Fee and what a silence costs until it is met, half an interval, are least together at their root.
+        // Fee and what a silence costs until it is met, half an interval, are least together at
+        // their root.
         double slowest = Math.max(SLOWEST_SEEK, Math.sqrt(2 * uses * fee * SILENCE_EVERY));
         return Math.max(FASTEST_SEEK, used(s) ? Math.min(slowest, every) : every * UNUSED);
     }
@@ -975,12 +1185,17 @@
         window = windowCutAt == 0 ? Math.max(window, start) : window;
     }
 
-    /** Asking the list failed: ask again, later each time; soon after a silent call, which took its time. */
+    /**
+     * Asking the list failed: ask again, later each time; soon after a silent call, which took its
+     * time.
+     */
     public void listFailed(boolean silent) {
-        // What is pushed counts from the service's return on, within the grace; what is asked for soon after
+        // What is pushed counts from the service's return on, within the grace; what is asked for
+        // soon after
         double most = Math.min(Math.max(1, set.siblings / 40.0), Math.min(3, set.askEvery / 2));
         most = set.listMustBeAsked ? most : set.drainGrace / 2;
-        double wait = !silent ? listBackOff : listBackOff == BACK_OFF ? 0 : Math.min(most, BACK_OFF);
+        double wait =
+                !silent ? listBackOff : listBackOff == BACK_OFF ? 0 : Math.min(most, BACK_OFF);
         front.wake(wait * (0.5 + 0.5 * random.nextDouble()), ASK_LIST);
         listBackOff = Math.min(most, 2 * listBackOff);
     }
@@ -990,13 +1205,17 @@
     /** What this module has learned of machines and profiles, for the process that takes over. */
     public double[] learned() {
         double[] own = {heldTold ? 1 : 0, setupLag, setupLagSpread};
-        return Stream.of(own, modelHeld, modelLoad, profileLoad, profileSeen).flatMapToDouble(Arrays::stream)
+        return Stream.of(own, modelHeld, modelLoad, profileLoad, profileSeen)
+                .flatMapToDouble(Arrays::stream)
                 .toArray();
     }
 
-    /** Takes on what another process of this relay has learned; false where that was another form. */
+    /**
+     * Takes on what another process of this relay has learned; false where that was another form.
+     */
     public boolean learn(double[] all) {
-        if (all.length != learned().length || Arrays.stream(all).anyMatch(x -> !(x >= 0 && x < 1e12))) {
+        if (all.length != learned().length
+                || Arrays.stream(all).anyMatch(x -> !(x >= 0 && x < 1e12))) {
             return false;
         }
         heldTold = all[0] > 0;
@@ -1012,7 +1231,10 @@
 
     // ---- What operators leave out
 
-    /** The servers that operators leave out from now on, all of them; it holds until the next such call. */
+    /**
+     * The servers that operators leave out from now on, all of them; it holds until the next such
+     * call.
+     */
     public void cordon(Set<String> servers) {
         cordoned = Set.copyOf(servers);
         for (int s = 0; s < n; s++) {
@@ -1028,8 +1250,13 @@
                 owed[s] = true;
             }
             if (was != out[s]) {
-                front.log((out[s] ? "cordoned " : "uncordoned ") + ep[s] + ", own " + held.get(s).size()
-                        + ", left out " + cordoned.size());
+                front.log(
+                        (out[s] ? "cordoned " : "uncordoned ")
+                                + ep[s]
+                                + ", own "
+                                + held.get(s).size()
+                                + ", left out "
+                                + cordoned.size());
             }
         }
     }
@@ -1043,7 +1270,9 @@
         return index.containsKey(server) || cordoned.contains(server);
     }
 
-    /** True where new tunnels may go by the list and the operators, whatever is thought of it here. */
+    /**
+     * True where new tunnels may go by the list and the operators, whatever is thought of it here.
+     */
     public boolean allowed(String server) {
         Integer s = index.get(server);
         return s != null && wanted(s);
@@ -1106,7 +1335,8 @@
         out[n] = cordoned.contains(server);
         startedAt[n] = failedAt[n] = workedAt[n] = seenAt[n] = Double.NEGATIVE_INFINITY;
         orders.clear();
-        // A start does not seek a large fleet all at once: what its first tunnels need is sought for them.
+        // A start does not seek a large fleet all at once: what its first tunnels need is sought
+        // for them.
         double spread = Math.max(FASTEST_SEEK, n * set.probeFee / PROBE_SPEND);
         seekAt[n] = front.now() + spread * random.nextDouble();
         held.add(new ArrayList<>());
--- a/core/src/main/java/asterpulley/Exodus.java
+++ b/core/src/main/java/asterpulley/Exodus.java
@@ -1,8 +1,9 @@
 package asterpulley;
 
 /**
- * Decides at what pace standing clients are sent away, so that the last is gone by a given time and they do not all
- * come to the siblings at once. It must never send more than stand, and never leave one behind.
+ * Decides at what pace standing clients are sent away, so that the last is gone by a given time and
+ * they do not all come to the siblings at once. It must never send more than stand, and never leave
+ * one behind.
  */
 public final class Exodus {
     /** How often it is asked, in seconds. */
--- a/core/src/main/java/asterpulley/Front.java
+++ b/core/src/main/java/asterpulley/Front.java
@@ -1,14 +1,18 @@
 package asterpulley;
 
 /**
- * What the decision module asks of the protocol front that hosts it. A front hands events in by calls on
- * {@link Balance} and on its tunnel handles; all results leave through here and take effect in the order of the calls.
+ * What the decision module asks of the protocol front that hosts it. A front hands events in by
+ * calls on {@link Balance} and on its tunnel handles; all results leave through here and take
+ * effect in the order of the calls.
  */
 public interface Front {
     /** The time now, in seconds on a clock of its own that only moves forward. */
     double now();
 
-    /** Sends one setup of this tunnel to this server; its end is reported within {@code timeout} seconds. */
+    /**
+     * Sends one setup of this tunnel to this server; its end is reported within {@code timeout}
+     * seconds.
+     */
     void setup(Balance.Tunnel tun, String ep, double timeout);
 
     /** Final answer: declined, come back after {@code retryAfter} seconds (0: no advice). */
@@ -30,14 +34,18 @@
     void wake(double after, long token);
 
     /**
-     * True where this tunnel may go to this server now: what narrows the choice, such as routes, is asked here, often;
-     * {@code server}: a small number that stands for its name as long as this module lives.
+     * True where this tunnel may go to this server now: what narrows the choice, such as routes, is
+     * asked here, often; {@code server}: a small number that stands for its name as long as this
+     * module lives.
      */
     default boolean may(Balance.Tunnel tun, int server, String ep) {
         return true;
     }
 
-    /** Nobody was found for this tunnel: true where {@link #may} allows it more from now on, so that a look is worth it. */
+    /**
+     * Nobody was found for this tunnel: true where {@link #may} allows it more from now on, so that
+     * a look is worth it.
+     */
     default boolean widen(Balance.Tunnel tun) {
         return false;
     }
--- a/core/src/main/java/asterpulley/Ledger.java
+++ b/core/src/main/java/asterpulley/Ledger.java
@@ -3,13 +3,16 @@
 import java.util.ArrayDeque;
 
 /**
- * Owns how many setups beyond each tunnel's first may leave where a budget of them is told: a window that
- * slides over tunnels taken and further setups sent. It must never hold back a first setup, nor forget a
- * further one, however it or the one before it ended.
+ * Owns how many setups beyond each tunnel's first may leave where a budget of them is told: a
+ * window that slides over tunnels taken and further setups sent. It must never hold back a first
+ * setup, nor forget a further one, however it or the one before it ended.
  */
 final class Ledger {
     private final ArrayDeque<Double> taken = new ArrayDeque<>(), further = new ArrayDeque<>();
-    /** In force now: of what was before a longer look back, only what is still remembered counts. */
+
+    /**
+     * In force now: of what was before a longer look back, only what is still remembered counts.
+     */
     Settings set;
 
     Ledger(Settings set) {
@@ -27,7 +30,8 @@
         if (!(set.lookBack > 0)) {
             return Double.POSITIVE_INFINITY;
         }
-        // Whoever counts may see a setup a tick away from where it is seen here: the window is the stricter.
+        // Whoever counts may see a setup a tick away from where it is seen here: the window is the
+        // stricter.
         double from = now - set.lookBack, slack = 2 * set.tick;
         while (!taken.isEmpty() && taken.peek() <= from + slack) {
             taken.poll();
@@ -38,7 +42,10 @@
         return Math.floor(set.budgetFree + set.furtherRatio * taken.size() + 1e-9) - further.size();
     }
 
-    /** Books a further setup that leaves now; false, and nothing booked, where the budget has none left. */
+    /**
+     * Books a further setup that leaves now; false, and nothing booked, where the budget has none
+     * left.
+     */
     boolean spend(double now) {
         return left(now) >= 1 && (!(set.lookBack > 0) || further.add(now));
     }
--- a/core/src/main/java/asterpulley/Listed.java
+++ b/core/src/main/java/asterpulley/Listed.java
@@ -2,5 +2,9 @@
 
 /** A server as the list names it. */
 public record Listed(String ep, int zone, int model, int cell, State state, double startedAt) {
-    public enum State { RUNNING, DRAINING, GONE }
+    public enum State {
+        RUNNING,
+        DRAINING,
+        GONE
+    }
 }
--- a/core/src/test/java/asterpulley/ExodusTest.java
+++ b/core/src/test/java/asterpulley/ExodusTest.java
@@ -29,7 +29,9 @@
     void allAreGoneByThenAndTheyGoEvenly() {
         assertEquals(0, most(0, 0));
         assertTrue(most(3, 0) <= 2);
-        assertTrue(most(100, 0) <= 12, "100 over 2 s are 5 a tenth of a second, and at least one a step");
+        assertTrue(
+                most(100, 0) <= 12,
+                "100 over 2 s are 5 a tenth of a second, and at least one a step");
         assertTrue(most(2000, 0) <= 110);
     }
 
--- a/core/src/test/java/asterpulley/FleetStage.java
+++ b/core/src/test/java/asterpulley/FleetStage.java
@@ -11,21 +11,24 @@
 import java.util.Set;
 
 /**
- * Plays a fleet on a virtual clock: many relays, each with a module of its own, over the same servers. It must decide nothing
- * itself; what each server was sent by all relays together, and when, is noted for the tests to judge.
+ * Plays a fleet on a virtual clock: many relays, each with a module of its own, over the same
+ * servers. It must decide nothing itself; what each server was sent by all relays together, and
+ * when, is noted for the tests to judge.
  */
 final class FleetStage {
     /** An answer is on its way so long. */
     private static final double WAY = 0.03;
+
     /** A load in cores, as servers tell it, of one mean load. */
     private static final double CORES = 0.01;
 
-    private record Due(double at, long order, Runnable what) {
-    }
+    private record Due(double at, long order, Runnable what) {}
 
-    /** A setup as a server got it: when, how many mean loads, and whether its relay had been told of the last start. */
-    record Sent(double at, double units, boolean told) {
-    }
+    /**
+     * A setup as a server got it: when, how many mean loads, and whether its relay had been told of
+     * the last start.
+     */
+    record Sent(double at, double units, boolean told) {}
 
     /** What a window of sends at a server that warms up came to. */
     record Window(String server, double at, double sent, double bears) {
@@ -45,7 +48,9 @@
         final double capacity;
         final Set<Client> held = new LinkedHashSet<>();
         final List<Sent> sent = new ArrayList<>();
-        double startedAt = Double.NEGATIVE_INFINITY, setupTime = 0.02, refreshedAt = Double.NEGATIVE_INFINITY;
+        double startedAt = Double.NEGATIVE_INFINITY,
+                setupTime = 0.02,
+                refreshedAt = Double.NEGATIVE_INFINITY;
         boolean running = true, listed, probesRefused;
         private double toldLoad, toldHeld;
 
@@ -56,7 +61,9 @@
 
         double warmth(double at) {
             double age = at - startedAt;
-            return age >= set.coldTime ? 1 : set.coldFrom + (1 - set.coldFrom) * Math.max(0, age) / set.coldTime;
+            return age >= set.coldTime
+                    ? 1
+                    : set.coldFrom + (1 - set.coldFrom) * Math.max(0, age) / set.coldTime;
         }
 
         double units() {
@@ -92,12 +99,18 @@
             return report;
         }
 
-        /** The multiple of what fills it, warm, evenly over its warm-up, in the time that the settings name. */
+        /**
+         * The multiple of what fills it, warm, evenly over its warm-up, in the time that the
+         * settings name.
+         */
         private double bears(double at) {
             return set.fallMultiple * capacity * Math.min(warmth(at), set.fallTime / set.coldTime);
         }
 
-        /** The worst window of the length that the settings name, within the warm-up that began last. */
+        /**
+         * The worst window of the length that the settings name, within the warm-up that began
+         * last.
+         */
         Window worst() {
             Window worst = null;
             for (int from = 0; from < sent.size(); from++) {
@@ -110,7 +123,10 @@
                     told += sent.get(k).told ? sent.get(k).units : 0;
                 }
                 Window w = new Window(name, at, sum, bears(at + set.fallTime / 2));
-                worst = told > 2 * sum / 3 && (worst == null || w.roots() > worst.roots()) ? w : worst;
+                worst =
+                        told > 2 * sum / 3 && (worst == null || w.roots() > worst.roots())
+                                ? w
+                                : worst;
             }
             return worst == null ? new Window(name, startedAt, 0, bears(startedAt)) : worst;
         }
@@ -156,30 +172,39 @@
             Server s = servers.get(ep);
             double told = toldStarts.getOrDefault(ep, Double.NEGATIVE_INFINITY);
             s.sent.add(new Sent(now, client.units, told >= s.startedAt));
-            // Setups pass one store in the order in which they came, also those that nobody waits for any more.
+            // Setups pass one store in the order in which they came, also those that nobody waits
+            // for any more.
             storeFree = Math.max(now, storeFree) + storeTime;
             longestQueue = Math.max(longestQueue, storeFree - now);
             double takes = s.setupTime + storeFree - now;
-            after(Math.min(takes, timeout), () -> {
-                if (!s.running || takes > timeout) {
-                    timedOut += s.running ? 1 : 0;
-                    tun.ended(0, s.running ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION, Math.min(takes, timeout), false);
-                    return;
-                }
-                opened++;
-                client.on = s;
-                client.tunnel = tun;
-                s.held.add(client);
-                tun.opened(0, takes);
-                tun.load(client.units * CORES);
-                if (life > 0) {
-                    after(-life * Math.log(1 - random.nextDouble()), () -> {
-                        if (client.tunnel == tun && s.held.remove(client)) {
-                            tun.ended(0, Outcome.OK, 0, true);
+            after(
+                    Math.min(takes, timeout),
+                    () -> {
+                        if (!s.running || takes > timeout) {
+                            timedOut += s.running ? 1 : 0;
+                            tun.ended(
+                                    0,
+                                    s.running ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION,
+                                    Math.min(takes, timeout),
+                                    false);
+                            return;
+                        }
+                        opened++;
+                        client.on = s;
+                        client.tunnel = tun;
+                        s.held.add(client);
+                        tun.opened(0, takes);
+                        tun.load(client.units * CORES);
+                        if (life > 0) {
+                            after(
+                                    -life * Math.log(1 - random.nextDouble()),
+                                    () -> {
+                                        if (client.tunnel == tun && s.held.remove(client)) {
+                                            tun.ended(0, Outcome.OK, 0, true);
+                                        }
+                                    });
                         }
                     });
-                }
-            });
         }
 
         @Override
@@ -199,27 +224,34 @@
         @Override
         public void move(Balance.Tunnel tun) {
             Client client = of(tun);
-            after(0.01, () -> {
-                if (client.on.held.remove(client)) {
-                    tun.ended(0, Outcome.CANCELLED, 0, true);
-                    after(0.2, () -> comes(client));
-                }
-            });
+            after(
+                    0.01,
+                    () -> {
+                        if (client.on.held.remove(client)) {
+                            tun.ended(0, Outcome.CANCELLED, 0, true);
+                            after(0.2, () -> comes(client));
+                        }
+                    });
         }
 
         @Override
         public void probe(String ep) {
             Server s = servers.get(ep);
-            after(s.running ? WAY : 0.3, () -> {
-                boolean refused = s.probesRefused && random.nextDouble() < 0.5;
-                balance.probed(ep, !s.running ? Outcome.TIMED_OUT : refused ? Outcome.FULL : Outcome.OK,
-                        s.running ? s.report() : new Report());
-            });
+            after(
+                    s.running ? WAY : 0.3,
+                    () -> {
+                        boolean refused = s.probesRefused && random.nextDouble() < 0.5;
+                        balance.probed(
+                                ep,
+                                !s.running
+                                        ? Outcome.TIMED_OUT
+                                        : refused ? Outcome.FULL : Outcome.OK,
+                                s.running ? s.report() : new Report());
+                    });
         }
 
         @Override
-        public void watch() {
-        }
+        public void watch() {}
 
         @Override
         public void wake(double after, long token) {
@@ -227,24 +259,34 @@
         }
 
         @Override
-        public void log(String line) {
-        }
+        public void log(String line) {}
     }
 
     final Settings set = new Settings();
     final Map<String, Server> servers = new LinkedHashMap<>();
     final Random random;
     boolean heldTold = true, returns = true;
+
     /** Mean seconds that a tunnel stands; 0: to the end. */
     double life;
-    /** What a setup takes of the one store behind all servers, and the longest that one had to wait there. */
+
+    /**
+     * What a setup takes of the one store behind all servers, and the longest that one had to wait
+     * there.
+     */
     double storeTime, longestQueue;
+
     /** Reports are refreshed so often. */
     double refresh = 0.4;
+
     int opened, declined, timedOut;
     private final List<Relay> relays = new ArrayList<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>(
-            (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Double.compare(a.at, b.at)
+                                    : Long.compare(a.order, b.order));
     private double now, storeFree;
     private long order, ids;
 
@@ -261,7 +303,10 @@
         return s;
     }
 
-    /** The relays begin, with the servers that are listed now and with so many tunnels standing on each. */
+    /**
+     * The relays begin, with the servers that are listed now and with so many tunnels standing on
+     * each.
+     */
     void begin(int count, int standing) {
         set.siblings = count;
         for (int i = 0; i < count; i++) {
@@ -274,7 +319,8 @@
             for (int i = 0; s.listed && i < standing; i++) {
                 Client client = client();
                 Relay relay = pick();
-                client.tunnel = relay.balance.standing(ids++, client.profile, 0, null, null, s.name);
+                client.tunnel =
+                        relay.balance.standing(ids++, client.profile, 0, null, null, s.name);
                 client.tunnel.load(client.units * CORES);
                 relay.clients.put(client.tunnel, client);
                 client.on = s;
@@ -304,10 +350,16 @@
     /** Operators leave these out at each relay, at a time of its own within so many seconds. */
     void cordons(Set<String> names, double within) {
         for (Relay relay : relays) {
-            after(within * random.nextDouble(), () -> {
-                relay.balance.cordon(names);
-                servers.values().forEach(s -> relay.toldStarts.merge(s.name, s.startedAt, Math::max));
-            });
+            after(
+                    within * random.nextDouble(),
+                    () -> {
+                        relay.balance.cordon(names);
+                        servers.values()
+                                .forEach(
+                                        s ->
+                                                relay.toldStarts.merge(
+                                                        s.name, s.startedAt, Math::max));
+                    });
         }
     }
 
--- a/core/src/test/java/asterpulley/LearnedTest.java
+++ b/core/src/test/java/asterpulley/LearnedTest.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a process has learned of machines serves the one that takes over: it need not decline until it has learned anew. */
+/**
+ * What a process has learned of machines serves the one that takes over: it need not decline until
+ * it has learned anew.
+ */
 class LearnedTest {
     /** A front that only notes what is decided. */
     static final class Notes implements Front {
@@ -39,24 +42,19 @@
         }
 
         @Override
-        public void move(Balance.Tunnel tun) {
-        }
+        public void move(Balance.Tunnel tun) {}
 
         @Override
-        public void probe(String ep) {
-        }
+        public void probe(String ep) {}
 
         @Override
-        public void watch() {
-        }
+        public void watch() {}
 
         @Override
-        public void wake(double after, long token) {
-        }
+        public void wake(double after, long token) {}
 
         @Override
-        public void log(String line) {
-        }
+        public void log(String line) {}
     }
 
     private static Balance balance(Notes front) {
@@ -64,11 +62,15 @@
         set.profiles.add(new Settings.Profile());
         set.siblings = 2;
         Balance balance = new Balance(set, 1, front);
-        balance.list(List.of(new Listed("a", 0, 0, 0, Listed.State.RUNNING, Double.NEGATIVE_INFINITY)), true);
+        balance.list(
+                List.of(new Listed("a", 0, 0, 0, Listed.State.RUNNING, Double.NEGATIVE_INFINITY)),
+                true);
         return balance;
     }
 
-    /** So many of 30 tunnels that come at once find room at a server of which one report is known. */
+    /**
+     * So many of 30 tunnels that come at once find room at a server of which one report is known.
+     */
     private static int placed(double[] learned) {
         Notes front = new Notes();
         Balance balance = balance(front);
--- a/core/src/test/java/asterpulley/LedgerTest.java
+++ b/core/src/test/java/asterpulley/LedgerTest.java
@@ -14,8 +14,10 @@
 /** The budget of further setups, counted anew from the whole history at each of them. */
 class LedgerTest {
     @Property(seed = "33")
-    void noWindowHoldsMoreThanTheBudget(@ForAll @Size(max = 300) List<@IntRange(min = 0, max = 60) Integer> steps,
-            @ForAll @IntRange(max = 4) int free, @ForAll @DoubleRange(min = 0, max = 0.5) double earned,
+    void noWindowHoldsMoreThanTheBudget(
+            @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 60) Integer> steps,
+            @ForAll @IntRange(max = 4) int free,
+            @ForAll @DoubleRange(min = 0, max = 0.5) double earned,
             @ForAll @DoubleRange(min = 0.1, max = 2) double lookBack) {
         Settings set = new Settings();
         set.budgetFree = free;
@@ -35,14 +37,20 @@
                 double from = now - lookBack;
                 long further = sent.stream().filter(t -> t >= from).count();
                 long tunnels = taken.stream().filter(t -> t > from).count();
-                assertTrue(further <= free + earned * tunnels + 1e-9, further + " of " + free + " and " + tunnels);
+                assertTrue(
+                        further <= free + earned * tunnels + 1e-9,
+                        further + " of " + free + " and " + tunnels);
             }
         }
     }
 
-    /** After each sixth step other rules are in force; a longer look back counts from then on what it still remembers. */
+    /**
+     * After each sixth step other rules are in force; a longer look back counts from then on what
+     * it still remembers.
+     */
     @Property(seed = "33")
-    void rulesThatChangeHoldFromTheirChangeOn(@ForAll @Size(max = 300) List<@IntRange(min = 0, max = 60) Integer> steps,
+    void rulesThatChangeHoldFromTheirChangeOn(
+            @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 60) Integer> steps,
             @ForAll @Size(value = 8) List<@IntRange(min = 0, max = 40) Integer> told) {
         Settings set = rules(told.get(0));
         Ledger ledger = new Ledger(set);
@@ -65,7 +73,9 @@
                 sent.add(now);
                 long further = sent.stream().skip(since).filter(t -> t >= from).count();
                 long tunnels = taken.stream().filter(t -> t > from).count();
-                assertTrue(set.lookBack == 0 || further <= set.budgetFree + set.furtherRatio * tunnels + 1e-9,
+                assertTrue(
+                        set.lookBack == 0
+                                || further <= set.budgetFree + set.furtherRatio * tunnels + 1e-9,
                         further + " of " + set.budgetFree + " and " + tunnels);
             }
         }
--- a/core/src/test/java/asterpulley/OtherSettingsTest.java
+++ b/core/src/test/java/asterpulley/OtherSettingsTest.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Settings that change under a module at work: what is new counts from then on, what was taken keeps what it was promised. */
+/**
+ * Settings that change under a module at work: what is new counts from then on, what was taken
+ * keeps what it was promised.
+ */
 class OtherSettingsTest {
     private final Notes front = new Notes();
 
@@ -103,14 +106,18 @@
         int loads = before.length - 2;
         assertEquals(0.25, before[loads]);
         assertArrayEquals(Arrays.copyOf(before, loads + 1), Arrays.copyOf(after, loads + 1));
-        assertArrayEquals(new double[] {0.25, 0, 1, 0}, Arrays.copyOfRange(after, loads, loads + 4));
+        assertArrayEquals(
+                new double[] {0.25, 0, 1, 0}, Arrays.copyOfRange(after, loads, loads + 4));
         Balance.Tunnel other = balance.take(2, 1, 0, null, null, 0, false);
         other.opened(0, 0.01);
         other.load(0.5);
         assertEquals(0.5, balance.learned()[loads + 1]);
     }
 
-    /** Near full, whoever is over its share gets nothing: two customers, a third that comes in, and who names none. */
+    /**
+     * Near full, whoever is over its share gets nothing: two customers, a third that comes in, and
+     * who names none.
+     */
     @Test
     void aCustomersTunnelsStayCountedAndWhoNamesNoneStaysNobody() {
         Settings set = set(Settings.Kind.REPEATABLE);
--- a/core/src/test/java/asterpulley/SetupWindowTest.java
+++ b/core/src/test/java/asterpulley/SetupWindowTest.java
@@ -7,12 +7,18 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** The window on setups: it narrows where a store behind the servers slows, and is not to close where servers are only far. */
+/**
+ * The window on setups: it narrows where a store behind the servers slows, and is not to close
+ * where servers are only far.
+ */
 class SetupWindowTest {
     private static final int SEEDS = 5;
     private static final double GOAL = 0.3, BEGIN = 3;
 
-    /** A fleet of sound servers at a tenth of their load, the i-th of which takes so long for a setup. */
+    /**
+     * A fleet of sound servers at a tenth of their load, the i-th of which takes so long for a
+     * setup.
+     */
     private static FleetStage stage(long seed, int servers, ToDoubleFunction<Integer> setupTime) {
         FleetStage stage = new FleetStage(seed);
         Settings.Profile profile = new Settings.Profile();
@@ -28,7 +34,10 @@
         return stage;
     }
 
-    /** How many of the tunnels that come to one relay over ten seconds are declined; nobody comes again. */
+    /**
+     * How many of the tunnels that come to one relay over ten seconds are declined; nobody comes
+     * again.
+     */
     private static int declined(long seed, int perSecond, ToDoubleFunction<Integer> setupTime) {
         FleetStage stage = stage(seed, 6, setupTime);
         stage.returns = false;
@@ -59,15 +68,25 @@
         noneDeclined("setups of 5 ms", i -> 0.005);
     }
 
-    /** Red: the window narrows whenever a setup opens after half its goal, also where it always takes that long. */
+    /**
+     * Red: the window narrows whenever a setup opens after half its goal, also where it always
+     * takes that long.
+     */
     @Test
     @Tag("known-red")
     void serversThatAreAlwaysFarDeclineNothing() {
-        assertAll(() -> noneDeclined("setups of 200 ms where the goal is 300", i -> 0.2),
-                () -> noneDeclined("setups of 20 to 350 ms by server where the goal is 300", i -> 0.02 + 0.066 * i));
+        assertAll(
+                () -> noneDeclined("setups of 200 ms where the goal is 300", i -> 0.2),
+                () ->
+                        noneDeclined(
+                                "setups of 20 to 350 ms by server where the goal is 300",
+                                i -> 0.02 + 0.066 * i));
     }
 
-    /** Setups queue at one store behind all servers: few are sent that are given up, and its queue stays under the time-out. */
+    /**
+     * Setups queue at one store behind all servers: few are sent that are given up, and its queue
+     * stays under the time-out.
+     */
     @Test
     void aStoreThatSlowsIsNotFlooded() {
         for (int relays : new int[] {1, 4, 14}) {
@@ -84,11 +103,22 @@
                 stage.storeTime = 0.035;
                 stage.come(1200, 20);
                 stage.until(BEGIN + 32);
-                String figures = String.format("%d relays, seed %d: %d declined while it was quick; then %d opened, %d timed out, longest queue %.2f s",
-                        relays, seed, declined, stage.opened - opened, stage.timedOut - timedOut, stage.longestQueue);
+                String figures =
+                        String.format(
+                                "%d relays, seed %d: %d declined while it was quick; then %d opened, %d timed out, longest queue %.2f s",
+                                relays,
+                                seed,
+                                declined,
+                                stage.opened - opened,
+                                stage.timedOut - timedOut,
+                                stage.longestQueue);
                 System.out.println(figures);
-                assertTrue(declined == 0 && stage.timedOut - timedOut <= 20 && stage.opened - opened > 560
-                        && stage.longestQueue < 3 * GOAL, figures);
+                assertTrue(
+                        declined == 0
+                                && stage.timedOut - timedOut <= 20
+                                && stage.opened - opened > 560
+                                && stage.longestQueue < 3 * GOAL,
+                        figures);
             }
         }
     }
--- a/core/src/test/java/asterpulley/Stage.java
+++ b/core/src/test/java/asterpulley/Stage.java
@@ -9,10 +9,12 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Plays one scenario: a front whose clock, servers and clients are told by lines of text; README names the notation. */
+/**
+ * Plays one scenario: a front whose clock, servers and clients are told by lines of text; README
+ * names the notation.
+ */
 final class Stage implements Front {
-    private record Due(double at, long order, Runnable what) {
-    }
+    private record Due(double at, long order, Runnable what) {}
 
     private final Settings set = new Settings();
     private final Map<String, Map<String, String>> servers = new LinkedHashMap<>();
@@ -23,8 +25,12 @@
     private final Map<String, Integer> sentTo = new HashMap<>();
     private final Map<String, Integer> sought = new HashMap<>();
     private final List<String> log = new ArrayList<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>(
-            (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Double.compare(a.at, b.at)
+                                    : Long.compare(a.order, b.order));
     private Balance balance;
     private double now;
     private long order;
@@ -56,9 +62,13 @@
             case "set" -> {
                 for (Map.Entry<String, String> e : by.entrySet()) {
                     var field = Settings.class.getField(e.getKey());
-                    field.set(set, field.getType() == boolean.class ? (Object) Boolean.valueOf(e.getValue())
-                            : field.getType() == int.class ? (Object) Integer.valueOf(e.getValue())
-                            : Double.valueOf(e.getValue()));
+                    field.set(
+                            set,
+                            field.getType() == boolean.class
+                                    ? (Object) Boolean.valueOf(e.getValue())
+                                    : field.getType() == int.class
+                                            ? (Object) Integer.valueOf(e.getValue())
+                                            : Double.valueOf(e.getValue()));
                 }
             }
             case "shares" -> {
@@ -68,7 +78,11 @@
             }
             case "profile" -> {
                 Settings.Profile p = new Settings.Profile();
-                p.kind = Settings.Kind.valueOf(by.getOrDefault("kind", "repeatable").toUpperCase().replace('-', '_'));
+                p.kind =
+                        Settings.Kind.valueOf(
+                                by.getOrDefault("kind", "repeatable")
+                                        .toUpperCase()
+                                        .replace('-', '_'));
                 p.reach = Settings.Reach.valueOf(by.getOrDefault("reach", "all").toUpperCase());
                 p.window = number(by, "window", 5);
                 p.setupGoal = number(by, "goal", 0.5);
@@ -91,42 +105,82 @@
                 List<Listed> entries = new ArrayList<>();
                 for (int i = 1; i < w.length; i++) {
                     Map<String, String> s = servers.get(w[i]);
-                    entries.add(new Listed(w[i], (int) number(s, "zone", 0), 0, (int) number(s, "cell", 0),
-                            Listed.State.valueOf(s.getOrDefault("state", "running").toUpperCase()),
-                            number(s, "started", Double.NEGATIVE_INFINITY)));
+                    entries.add(
+                            new Listed(
+                                    w[i],
+                                    (int) number(s, "zone", 0),
+                                    0,
+                                    (int) number(s, "cell", 0),
+                                    Listed.State.valueOf(
+                                            s.getOrDefault("state", "running").toUpperCase()),
+                                    number(s, "started", Double.NEGATIVE_INFINITY)));
                 }
                 balance.list(entries, w[0].equals("list"));
             }
-            case "cordon" -> balance.cordon(Set.of(w).stream().filter(x -> !x.equals("cordon")).collect(Collectors.toSet()));
+            case "cordon" ->
+                    balance.cordon(
+                            Set.of(w).stream()
+                                    .filter(x -> !x.equals("cordon"))
+                                    .collect(Collectors.toSet()));
             case "list-failed" -> balance.listFailed(w.length > 1 && w[1].equals("silent"));
-            case "wait" -> {
-            }
+            case "wait" -> {}
             case "take" -> {
-                for (long id = Long.parseLong(w[1]); id < Long.parseLong(w[1]) + number(by, "count", 1); id++) {
-                    tunnels.put(id, balance.take(id, (int) number(by, "profile", 0), (int) number(by, "customer", 0),
-                            by.get("group"), by.get("key"), number(by, "budget", 0), by.containsKey("midflow")));
+                for (long id = Long.parseLong(w[1]);
+                        id < Long.parseLong(w[1]) + number(by, "count", 1);
+                        id++) {
+                    tunnels.put(
+                            id,
+                            balance.take(
+                                    id,
+                                    (int) number(by, "profile", 0),
+                                    (int) number(by, "customer", 0),
+                                    by.get("group"),
+                                    by.get("key"),
+                                    number(by, "budget", 0),
+                                    by.containsKey("midflow")));
                 }
             }
             case "standing" -> {
-                for (long id = Long.parseLong(w[1]); id < Long.parseLong(w[1]) + number(by, "count", 1); id++) {
-                    tunnels.put(id, balance.standing(id, (int) number(by, "profile", 0), (int) number(by, "customer", 0), by.get("group"),
-                            by.get("key"), by.get("on")));
+                for (long id = Long.parseLong(w[1]);
+                        id < Long.parseLong(w[1]) + number(by, "count", 1);
+                        id++) {
+                    tunnels.put(
+                            id,
+                            balance.standing(
+                                    id,
+                                    (int) number(by, "profile", 0),
+                                    (int) number(by, "customer", 0),
+                                    by.get("group"),
+                                    by.get("key"),
+                                    by.get("on")));
                 }
             }
-            case "opened" -> tunnels.get(Long.parseLong(w[1])).opened(0, w.length > 2 ? Double.parseDouble(w[2]) : 0.02);
+            case "opened" ->
+                    tunnels.get(Long.parseLong(w[1]))
+                            .opened(0, w.length > 2 ? Double.parseDouble(w[2]) : 0.02);
             case "ended" -> {
-                for (long id = Long.parseLong(w[1]); id < Long.parseLong(w[1]) + number(by, "count", 1); id++) {
+                for (long id = Long.parseLong(w[1]);
+                        id < Long.parseLong(w[1]) + number(by, "count", 1);
+                        id++) {
                     last.remove(id);
-                    tunnels.get(id).ended(0, Outcome.valueOf(w[2].toUpperCase()),
-                            now - sentAt.getOrDefault(id, now), w.length > 3 && w[3].equals("last"));
+                    tunnels.get(id)
+                            .ended(
+                                    0,
+                                    Outcome.valueOf(w[2].toUpperCase()),
+                                    now - sentAt.getOrDefault(id, now),
+                                    w.length > 3 && w[3].equals("last"));
                 }
             }
             case "load" -> {
-                for (long id = Long.parseLong(w[1]); id < Long.parseLong(w[1]) + number(by, "count", 1); id++) {
+                for (long id = Long.parseLong(w[1]);
+                        id < Long.parseLong(w[1]) + number(by, "count", 1);
+                        id++) {
                     tunnels.get(id).load(Double.parseDouble(w[2]));
                 }
             }
-            case "slow" -> tunnels.get(Long.parseLong(w[1])).delay(w.length > 2 ? Double.parseDouble(w[2]) : 0.4);
+            case "slow" ->
+                    tunnels.get(Long.parseLong(w[1]))
+                            .delay(w.length > 2 ? Double.parseDouble(w[2]) : 0.4);
             case "withdrawn" -> tunnels.get(Long.parseLong(w[1])).withdrawn();
             default -> throw new AssertionError("unknown event " + w[0]);
         }
@@ -135,8 +189,10 @@
     private void expect(String[] w) {
         switch (w[1]) {
             case "log" -> check(log.stream().anyMatch(l -> l.contains(w[2])), log.toString());
-            case "members", "avoided" -> check(balance.members(w[1].equals("avoided")) == Integer.parseInt(w[2]),
-                    balance.members(false) + " members, avoided " + balance.members(true));
+            case "members", "avoided" ->
+                    check(
+                            balance.members(w[1].equals("avoided")) == Integer.parseInt(w[2]),
+                            balance.members(false) + " members, avoided " + balance.members(true));
             case "watches" -> bound(watches, w[2], w[3], watches + " watches");
             case "sent", "sought" -> {
                 int sent = (w[1].equals("sent") ? sentTo : sought).getOrDefault(w[2], 0);
@@ -151,7 +207,10 @@
                 int further = setups.values().stream().mapToInt(k -> k - 1).sum();
                 bound(further, w[2], w[3], "further setups " + further);
             }
-            case "patience" -> check(patience.get(Long.parseLong(w[2])) >= Double.parseDouble(w[4]), "is " + patience);
+            case "patience" ->
+                    check(
+                            patience.get(Long.parseLong(w[2])) >= Double.parseDouble(w[4]),
+                            "is " + patience);
             case "over" -> check(tunnels.get(Long.parseLong(w[2])).over(), "not over");
             default -> {
                 String is = last.getOrDefault(Long.parseLong(w[2]), "nothing");
@@ -162,7 +221,11 @@
     }
 
     private void bound(int is, String which, String limit, String what) {
-        check(which.equals("most") ? is <= Integer.parseInt(limit) : is >= Integer.parseInt(limit), what);
+        check(
+                which.equals("most")
+                        ? is <= Integer.parseInt(limit)
+                        : is >= Integer.parseInt(limit),
+                what);
     }
 
     private void check(boolean holds, String is) {
@@ -201,7 +264,9 @@
 
     private void result(Balance.Tunnel tun, String what) {
         // Exactly one final answer, whatever the scenario looks at.
-        check(!last.getOrDefault(tun.id, "").matches("decline|error"), what + " after a final answer to " + tun.id);
+        check(
+                !last.getOrDefault(tun.id, "").matches("decline|error"),
+                what + " after a final answer to " + tun.id);
         last.put(tun.id, what);
     }
 
@@ -216,7 +281,9 @@
         patience.put(tun.id, timeout);
         sentAt.put(tun.id, now);
         sentTo.merge(ep, 1, Integer::sum);
-        check(timeout > 0 && setups.merge(tun.id, 1, Integer::sum) <= set.mostSetups, "setups or time-out wrong");
+        check(
+                timeout > 0 && setups.merge(tun.id, 1, Integer::sum) <= set.mostSetups,
+                "setups or time-out wrong");
         if (opens) {
             later(0.02, () -> tun.opened(0, 0.02));
         }
@@ -245,14 +312,16 @@
         Map<String, String> s = servers.get(ep);
         sought.merge(ep, 1, Integer::sum);
         boolean silent = s.get("load").equals("silent");
-        later(silent ? 0.3 : 0.01, () -> {
-            Report report = new Report();
-            if (!silent) {
-                report.load = number(s, "load", 0);
-                report.held = number(s, "held", Double.NaN);
-            }
-            balance.probed(ep, silent ? Outcome.TIMED_OUT : Outcome.OK, report);
-        });
+        later(
+                silent ? 0.3 : 0.01,
+                () -> {
+                    Report report = new Report();
+                    if (!silent) {
+                        report.load = number(s, "load", 0);
+                        report.held = number(s, "held", Double.NaN);
+                    }
+                    balance.probed(ep, silent ? Outcome.TIMED_OUT : Outcome.OK, report);
+                });
     }
 
     @Override
--- a/decode/src/main/java/asterpulley/decode/CharterDecoder.java
+++ b/decode/src/main/java/asterpulley/decode/CharterDecoder.java
@@ -6,14 +6,16 @@
 import java.util.Map;
 
 /**
- * What a relay is told of pools, read into a charter. The platform tells none: nothing of this is loaded there. It must
- * take a whole charter or none of it.
+ * What a relay is told of pools, read into a charter. The platform tells none: nothing of this is
+ * loaded there. It must take a whole charter or none of it.
  */
 public final class CharterDecoder {
-    private CharterDecoder() {
-    }
+    private CharterDecoder() {}
 
-    /** {@code home}: this relay's own pool; {@code settings}: profiles and rules, as every relay is told them. */
+    /**
+     * {@code home}: this relay's own pool; {@code settings}: profiles and rules, as every relay is
+     * told them.
+     */
     public static Charter charter(Map<String, Object> in, int home, Map<String, Object> settings) {
         Charter c = new Charter();
         c.by = "model".equals(in.get("by")) ? Charter.By.MODEL : Charter.By.ZONE;
@@ -27,8 +29,13 @@
         for (Object order : Json.list(in, "prefer")) {
             c.prefer.add(((List<?>) order).stream().map(o -> ((Number) o).intValue()).toList());
         }
-        c.health = new PoolHealth.Bounds(Json.number(in, "dark_from", 0.7), Json.number(in, "back_below", 0.35),
-                Json.number(in, "confirm_s", 0.5), Json.number(in, "calm_s", 4), Json.number(in, "longest_calm_s", 32));
+        c.health =
+                new PoolHealth.Bounds(
+                        Json.number(in, "dark_from", 0.7),
+                        Json.number(in, "back_below", 0.35),
+                        Json.number(in, "confirm_s", 0.5),
+                        Json.number(in, "calm_s", 4),
+                        Json.number(in, "longest_calm_s", 32));
         c.overloadedFrom = Json.number(in, "overloaded_from", c.overloadedFrom);
         c.overloadedBelow = Json.number(in, "overloaded_below", c.overloadedBelow);
         c.listedFor = Json.number(in, "listed_s", c.listedFor);
@@ -51,15 +58,17 @@
         Map<String, Object> kept = Json.part(in, "kept");
         c.kept = kept.isEmpty() ? new double[0] : new double[profiles.size()];
         Map<String, Integer> places = SettingsDecoder.places(settings, "profiles");
-        places.forEach((name, p) -> {
-            c.guestsKept[p] = Json.number(Json.part(in, "guests_kept"), name, 0);
-            c.credit[p] = Json.number(Json.object(profiles.get(p), "a profile"), "credit", 1);
-            c.spared[p] = spare.contains(name);
-            c.sparedInRush[p] = rush.contains(name);
-            if (c.kept.length > 0) {
-                c.kept[p] = Json.number(kept, name, 0);
-            }
-        });
+        places.forEach(
+                (name, p) -> {
+                    c.guestsKept[p] = Json.number(Json.part(in, "guests_kept"), name, 0);
+                    c.credit[p] =
+                            Json.number(Json.object(profiles.get(p), "a profile"), "credit", 1);
+                    c.spared[p] = spare.contains(name);
+                    c.sparedInRush[p] = rush.contains(name);
+                    if (c.kept.length > 0) {
+                        c.kept[p] = Json.number(kept, name, 0);
+                    }
+                });
         Map<String, Object> rules = Json.part(settings, "rules");
         c.coldFrom = Json.number(rules, "coldFrom", c.coldFrom);
         c.warmUp = Json.number(rules, "coldMs", 1000 * c.warmUp) / 1000;
--- a/decode/src/main/java/asterpulley/decode/Json.java
+++ b/decode/src/main/java/asterpulley/decode/Json.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON values read into plain maps and lists and written back, and their fields taken with a plain message for what is malformed. */
+/**
+ * JSON values read into plain maps and lists and written back, and their fields taken with a plain
+ * message for what is malformed.
+ */
 public final class Json {
     /** The input breaks the wire's form. */
     public static final class Malformed extends RuntimeException {
@@ -23,8 +26,7 @@
         }
     }
 
-    private Json() {
-    }
+    private Json() {}
 
     public static Object value(JsonParser p) throws IOException {
         JsonToken token = expect(p.currentToken());
--- a/decode/src/main/java/asterpulley/decode/SettingsDecoder.java
+++ b/decode/src/main/java/asterpulley/decode/SettingsDecoder.java
@@ -6,13 +6,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** The settings that every relay is told, under the platform's names, read once into what the module reads. */
+/**
+ * The settings that every relay is told, under the platform's names, read once into what the module
+ * reads.
+ */
 public final class SettingsDecoder {
-    /** Marks a profile or customer that keeps its place for what stands of it, and that nothing new may name. */
+    /**
+     * Marks a profile or customer that keeps its place for what stands of it, and that nothing new
+     * may name.
+     */
     public static final String RETIRED = "retired";
 
-    private SettingsDecoder() {
-    }
+    private SettingsDecoder() {}
 
     public static Settings settings(Map<String, Object> in) {
         Map<String, Object> limits = Json.part(in, "limits");
@@ -35,7 +40,10 @@
         s.packetsPass = "pass".equals(Json.part(in, "familyInfo").get("mode"));
         s.groupsShareWork = Json.flag(Json.part(in, "familyInfo"), "groups");
         s.probesAllowed = Json.flag(limits, "probes");
-        s.longestRetryAfter = Json.flag(limits, "retryAfter") ? Json.number(limits, "maxRetryAfterMs", 0) / 1000 : 0;
+        s.longestRetryAfter =
+                Json.flag(limits, "retryAfter")
+                        ? Json.number(limits, "maxRetryAfterMs", 0) / 1000
+                        : 0;
         s.mostSetups = (int) Json.number(limits, "mostSetups", s.mostSetups);
         s.askEvery = Json.number(rules, "askEveryMs", 1000 * s.askEvery) / 1000;
         s.drainGrace = Json.number(rules, "drainGraceMs", 1000 * s.drainGrace) / 1000;
@@ -47,16 +55,24 @@
         s.furtherRatio = placed(in, "rules", "furtherRatio", 0);
         s.lookBack = placed(in, "rules", "lookBackMs", 0) / 1000;
         if (!(s.budgetFree >= 0) || !(s.furtherRatio >= 0) || !(s.lookBack >= 0)) {
-            throw new Json.Malformed("rules: budgetFree, furtherRatio and lookBackMs are 0 or above; they are "
-                    + s.budgetFree + ", " + s.furtherRatio + " and " + 1000 * s.lookBack);
+            throw new Json.Malformed(
+                    "rules: budgetFree, furtherRatio and lookBackMs are 0 or above; they are "
+                            + s.budgetFree
+                            + ", "
+                            + s.furtherRatio
+                            + " and "
+                            + 1000 * s.lookBack);
         }
         s.crossingFee = Json.number(fees, "crossZone", 0);
         s.probeFee = Json.number(fees, "probe", 0);
         s.ninesPart = placed(in, "scoreParts", "logLossPart", 0);
         s.ninesFull = placed(in, "scoreParts", "topNines", s.ninesFull);
         if (!(s.ninesPart >= 0 && s.ninesPart <= 1) || !(s.ninesFull > 0)) {
-            throw new Json.Malformed("scoreParts: logLossPart is from 0 to 1, topNines above 0; they are "
-                    + s.ninesPart + " and " + s.ninesFull);
+            throw new Json.Malformed(
+                    "scoreParts: logLossPart is from 0 to 1, topNines above 0; they are "
+                            + s.ninesPart
+                            + " and "
+                            + s.ninesFull);
         }
         return s;
     }
@@ -85,7 +101,11 @@
     public static Map<String, Integer> current(Map<String, Object> settings, String list) {
         Map<String, Integer> places = places(settings, list);
         if (settings.get(list) instanceof List<?> names) {
-            names.stream().filter(o -> o instanceof Map<?, ?> one && Boolean.TRUE.equals(one.get(RETIRED)))
+            names.stream()
+                    .filter(
+                            o ->
+                                    o instanceof Map<?, ?> one
+                                            && Boolean.TRUE.equals(one.get(RETIRED)))
                     .forEach(o -> places.remove(((Map<?, ?>) o).get("name")));
         }
         return places;
@@ -98,16 +118,18 @@
         p.clientTimeout = Json.number(in, "clientTimeoutMs", 1000 * p.clientTimeout) / 1000;
         p.credit = Json.number(in, "credit", p.credit);
         p.window = Json.number(in, "windowMs", 0) / 1000;
-        p.kind = switch (String.valueOf(in.get("effect"))) {
-            case "read_like" -> Settings.Kind.REPEATABLE;
-            case "idempotency_key" -> Settings.Kind.REFERENCED;
-            default -> Settings.Kind.ONCE_ONLY;
-        };
-        p.reach = switch (String.valueOf(in.get("group"))) {
-            case "all" -> Settings.Reach.ALL;
-            case "zone" -> Settings.Reach.ZONE;
-            default -> Settings.Reach.CELL;
-        };
+        p.kind =
+                switch (String.valueOf(in.get("effect"))) {
+                    case "read_like" -> Settings.Kind.REPEATABLE;
+                    case "idempotency_key" -> Settings.Kind.REFERENCED;
+                    default -> Settings.Kind.ONCE_ONLY;
+                };
+        p.reach =
+                switch (String.valueOf(in.get("group"))) {
+                    case "all" -> Settings.Reach.ALL;
+                    case "zone" -> Settings.Reach.ZONE;
+                    default -> Settings.Reach.CELL;
+                };
         return p;
     }
 
--- a/decode/src/test/java/asterpulley/decode/SettingsDecoderTest.java
+++ b/decode/src/test/java/asterpulley/decode/SettingsDecoderTest.java
@@ -12,7 +12,8 @@
 /** The settings as they are told: what is new, what is missing, and what is wrong. */
 class SettingsDecoderTest {
     private static Settings with(Object scoreParts) {
-        return SettingsDecoder.settings(Map.of("profiles", List.of(Map.of("name", "live")), "scoreParts", scoreParts));
+        return SettingsDecoder.settings(
+                Map.of("profiles", List.of(Map.of("name", "live")), "scoreParts", scoreParts));
     }
 
     @Test
@@ -29,12 +30,22 @@
 
     @Test
     void whatIsWrongIsToldWithItsPlace() {
-        for (Map<String, Object> wrong : List.<Map<String, Object>>of(Map.of("logLossPart", "much"), Map.of("topNines", List.of()),
-                Map.of("logLossPart", 1.5), Map.of("topNines", 0), Map.of("logLossPart", -0.1))) {
+        for (Map<String, Object> wrong :
+                List.<Map<String, Object>>of(
+                        Map.of("logLossPart", "much"),
+                        Map.of("topNines", List.of()),
+                        Map.of("logLossPart", 1.5),
+                        Map.of("topNines", 0),
+                        Map.of("logLossPart", -0.1))) {
             String told = assertThrows(Json.Malformed.class, () -> with(wrong)).getMessage();
-            assertTrue(told.contains("scoreParts") && told.contains(wrong.keySet().iterator().next()), told);
+            assertTrue(
+                    told.contains("scoreParts") && told.contains(wrong.keySet().iterator().next()),
+                    told);
         }
-        assertTrue(assertThrows(Json.Malformed.class, () -> with("many")).getMessage().contains("scoreParts"));
+        assertTrue(
+                assertThrows(Json.Malformed.class, () -> with("many"))
+                        .getMessage()
+                        .contains("scoreParts"));
     }
 
     private static Settings ruled(Object rules) {
@@ -48,10 +59,16 @@
         assertEquals(0.05, s.furtherRatio);
         assertEquals(5, s.lookBack);
         assertEquals(0, ruled(Map.of("fallMultiple", 2)).lookBack);
-        for (Map<String, Object> wrong : List.<Map<String, Object>>of(Map.of("budgetFree", "few"), Map.of("lookBackMs", true),
-                Map.of("furtherRatio", -0.1), Map.of("lookBackMs", List.of()))) {
+        for (Map<String, Object> wrong :
+                List.<Map<String, Object>>of(
+                        Map.of("budgetFree", "few"),
+                        Map.of("lookBackMs", true),
+                        Map.of("furtherRatio", -0.1),
+                        Map.of("lookBackMs", List.of()))) {
             String told = assertThrows(Json.Malformed.class, () -> ruled(wrong)).getMessage();
-            assertTrue(told.contains("rules") && told.contains(wrong.keySet().iterator().next()), told);
+            assertTrue(
+                    told.contains("rules") && told.contains(wrong.keySet().iterator().next()),
+                    told);
         }
     }
 }
--- a/drill/src/main/java/asterpulley/drill/Drill.java
+++ b/drill/src/main/java/asterpulley/drill/Drill.java
@@ -18,7 +18,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads batches, hands each event to its relay and writes one reply a batch. Relays share nothing but this loop. */
+/**
+ * Reads batches, hands each event to its relay and writes one reply a batch. Relays share nothing
+ * but this loop.
+ */
 public final class Drill {
     private static final int BANKS = 16;
 
@@ -35,12 +38,14 @@
     }
 
     /** Plays the wire to its end; returns the exit status. */
-    public static int run(InputStream in, PrintStream stdout, PrintStream stderr) throws IOException {
+    public static int run(InputStream in, PrintStream stdout, PrintStream stderr)
+            throws IOException {
         JsonFactory json = new JsonFactory();
         json.disable(JsonParser.Feature.AUTO_CLOSE_SOURCE);
         OutputStream buffered = new BufferedOutputStream(stdout, 1 << 16);
         Drill drill = null;
-        try (JsonParser parser = json.createParser(in); JsonGenerator out = json.createGenerator(buffered)) {
+        try (JsonParser parser = json.createParser(in);
+                JsonGenerator out = json.createGenerator(buffered)) {
             out.disable(JsonGenerator.Feature.AUTO_CLOSE_JSON_CONTENT);
             out.setRootValueSeparator(null);
             drill = new Drill(out);
@@ -51,8 +56,14 @@
             }
             return 0;
         } catch (JsonParseException | Json.Malformed e) {
-            String what = e instanceof JsonParseException p ? "not JSON: " + p.getOriginalMessage() : e.getMessage();
-            String where = drill == null || drill.batch < 0 ? "before the first batch" : "batch " + drill.batch;
+            String what =
+                    e instanceof JsonParseException p
+                            ? "not JSON: " + p.getOriginalMessage()
+                            : e.getMessage();
+            String where =
+                    drill == null || drill.batch < 0
+                            ? "before the first batch"
+                            : "batch " + drill.batch;
             stderr.println("asterpulley drill: " + where + ": " + what);
             return 1;
         }
@@ -90,19 +101,25 @@
                 return;
             }
             case "Enlist" -> {
-                relays.put(i, new Relay(now, Json.whole(e, "entropy"), SettingsDecoder.settings(Json.object(e.get("profileData"), "profileData"))));
+                relays.put(
+                        i,
+                        new Relay(
+                                now,
+                                Json.whole(e, "entropy"),
+                                SettingsDecoder.settings(
+                                        Json.object(e.get("profileData"), "profileData"))));
                 return;
             }
             case "Halt" -> {
                 relays.remove(i);
                 return;
             }
-            default -> {
-            }
+            default -> {}
         }
         Relay relay = relays.get(i);
         if (relay == null) {
-            throw new Json.Malformed("event " + op + " for instance " + i + ", which is not started");
+            throw new Json.Malformed(
+                    "event " + op + " for instance " + i + ", which is not started");
         }
         List<Listed> listed = null;
         if (op.equals("Announce") && !Json.text(e, "mode").equals("X")) {
--- a/drill/src/main/java/asterpulley/drill/Main.java
+++ b/drill/src/main/java/asterpulley/drill/Main.java
@@ -4,13 +4,13 @@
 
 /** The command line of the adapter: nothing but {@code drill}. */
 public final class Main {
-    private static final String USAGE = """
+    private static final String USAGE =
+            """
             usage: drill     decide on a simulator's wire: batches on standard input, replies on standard output
                    --help    print this
             """;
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) throws IOException {
         if (args.length == 1 && args[0].equals("--help")) {
--- a/drill/src/main/java/asterpulley/drill/Relay.java
+++ b/drill/src/main/java/asterpulley/drill/Relay.java
@@ -59,23 +59,37 @@
                 }
             }
             case "Order" -> {
-                Balance.Tunnel tun = balance.take(Json.whole(e, "xid"), profile(e), customer(e),
-                        Json.textOrNull(e, "room"), Json.textOrNull(e, "routeKey"),
-                        Json.seconds(e, "timeBudgetMs"), Json.flag(e, "midFlow"));
+                Balance.Tunnel tun =
+                        balance.take(
+                                Json.whole(e, "xid"),
+                                profile(e),
+                                customer(e),
+                                Json.textOrNull(e, "room"),
+                                Json.textOrNull(e, "routeKey"),
+                                Json.seconds(e, "timeBudgetMs"),
+                                Json.flag(e, "midFlow"));
                 tunnels.put(tun.id, tun);
                 forget(tun);
             }
             case "Existing" -> {
-                Balance.Tunnel tun = balance.standing(Json.whole(e, "xid"), profile(e), customer(e),
-                        Json.textOrNull(e, "room"), Json.textOrNull(e, "routeKey"), Json.text(e, "backend"));
+                Balance.Tunnel tun =
+                        balance.standing(
+                                Json.whole(e, "xid"),
+                                profile(e),
+                                customer(e),
+                                Json.textOrNull(e, "room"),
+                                Json.textOrNull(e, "routeKey"),
+                                Json.text(e, "backend"));
                 tunnels.put(tun.id, tun);
             }
             case "AckFirst", "Change", "Resolved", "Withdrawn" -> tunnel(op, e);
-            case "Pong" -> balance.probed(Json.text(e, "backend"), Wire.outcome(Json.text(e, "result")),
-                    Wire.report(e));
+            case "Pong" ->
+                    balance.probed(
+                            Json.text(e, "backend"),
+                            Wire.outcome(Json.text(e, "result")),
+                            Wire.report(e));
             case "Elapsed" -> balance.woke(Json.whole(e, "ref"));
-            case "Memo" -> {
-            }
+            case "Memo" -> {}
             default -> throw new Json.Malformed("unknown event " + op);
         }
     }
@@ -95,8 +109,12 @@
                     tun.delay(Json.seconds(e, "value"));
                 }
             }
-            case "Resolved" -> tun.ended(n, Wire.outcome(Json.text(e, "result")), Json.seconds(e, "lagMs"),
-                    Json.flag(e, "noMore"));
+            case "Resolved" ->
+                    tun.ended(
+                            n,
+                            Wire.outcome(Json.text(e, "result")),
+                            Json.seconds(e, "lagMs"),
+                            Json.flag(e, "noMore"));
             default -> tun.withdrawn();
         }
         forget(tun);
@@ -134,10 +152,11 @@
     }
 
     private void order(String op, Order fields) {
-        orders.add(out -> {
-            out.writeStringField("op", op);
-            fields.write(out);
-        });
+        orders.add(
+                out -> {
+                    out.writeStringField("op", op);
+                    fields.write(out);
+                });
     }
 
     @Override
@@ -147,19 +166,23 @@
 
     @Override
     public void setup(Balance.Tunnel tun, String ep, double timeout) {
-        order("Attempt", o -> {
-            o.writeNumberField("xid", tun.id);
-            o.writeNumberField("timeoutMs", timeout * 1000);
-            o.writeStringField("backend", ep);
-        });
+        order(
+                "Attempt",
+                o -> {
+                    o.writeNumberField("xid", tun.id);
+                    o.writeNumberField("timeoutMs", timeout * 1000);
+                    o.writeStringField("backend", ep);
+                });
     }
 
     @Override
     public void decline(Balance.Tunnel tun, double retryAfter) {
-        order("TurnAway", o -> {
-            o.writeNumberField("xid", tun.id);
-            o.writeNumberField("backoffMs", retryAfter * 1000);
-        });
+        order(
+                "TurnAway",
+                o -> {
+                    o.writeNumberField("xid", tun.id);
+                    o.writeNumberField("backoffMs", retryAfter * 1000);
+                });
     }
 
     @Override
@@ -184,10 +207,12 @@
 
     @Override
     public void wake(double after, long token) {
-        order("Schedule", o -> {
-            o.writeNumberField("spanMs", after * 1000);
-            o.writeNumberField("ref", token);
-        });
+        order(
+                "Schedule",
+                o -> {
+                    o.writeNumberField("spanMs", after * 1000);
+                    o.writeNumberField("ref", token);
+                });
     }
 
     @Override
