--- a/drill/src/main/java/asterpulley/drill/Wire.java
+++ b/drill/src/main/java/asterpulley/drill/Wire.java
@@ -11,20 +11,26 @@
 
 /** The wire's own words, read into the module's types; what is unknown is skipped. */
 final class Wire {
-    private Wire() {
-    }
+    private Wire() {}
 
     static List<Listed> servers(Map<String, Object> event) {
         List<Listed> servers = new ArrayList<>();
         for (Object o : Json.list(event, "entries")) {
             Map<String, Object> e = Json.object(o, "a list entry");
-            Listed.State state = switch (Json.text(e, "health")) {
-                case "Running" -> Listed.State.RUNNING;
-                case "Deleted" -> Listed.State.GONE;
-                default -> Listed.State.DRAINING;
-            };
-            servers.add(new Listed(Json.text(e, "backend"), (int) Json.number(e, "site", 0), (int) Json.number(e, "shape", 0),
-                    (int) Json.number(e, "cell", 0), state, started(e)));
+            Listed.State state =
+                    switch (Json.text(e, "health")) {
+                        case "Running" -> Listed.State.RUNNING;
+                        case "Deleted" -> Listed.State.GONE;
+                        default -> Listed.State.DRAINING;
+                    };
+            servers.add(
+                    new Listed(
+                            Json.text(e, "backend"),
+                            (int) Json.number(e, "site", 0),
+                            (int) Json.number(e, "shape", 0),
+                            (int) Json.number(e, "cell", 0),
+                            state,
+                            started(e)));
         }
         return servers;
     }
@@ -49,6 +55,7 @@
 
     static Report report(Map<String, Object> event) {
         return event.get("pressure") instanceof Map<?, ?> map
-                ? SettingsDecoder.report(Json.object(map, "pressure")) : new Report();
+                ? SettingsDecoder.report(Json.object(map, "pressure"))
+                : new Report();
     }
 }
--- a/files/src/main/java/asterpulley/files/Part.java
+++ b/files/src/main/java/asterpulley/files/Part.java
@@ -11,9 +11,9 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of an operator file. Every key is asked for by name, type and range; a fault is noted and the value that
- * stands for what is missing is given instead, so that the reading goes on to the end of the file. It must never throw
- * for what an operator wrote.
+ * One table of an operator file. Every key is asked for by name, type and range; a fault is noted
+ * and the value that stands for what is missing is given instead, so that the reading goes on to
+ * the end of the file. It must never throw for what an operator wrote.
  */
 public final class Part {
     private final Sheet sheet;
@@ -57,7 +57,9 @@
     public String oneOf(String key, String missing, String... choices) {
         String value = text(key, missing);
         boolean known = value == null || Arrays.asList(choices).contains(value);
-        return known ? value : wrong(key, "'" + value + "' is none of " + String.join(", ", choices), missing);
+        return known
+                ? value
+                : wrong(key, "'" + value + "' is none of " + String.join(", ", choices), missing);
     }
 
     public double number(String key, double missing, double least, double most) {
@@ -69,8 +71,12 @@
             return wrong(key, "is not a number", missing);
         }
         double d = n.doubleValue();
-        return d >= least && d <= most ? d
-                : wrong(key, plain(d) + " is not between " + plain(least) + " and " + plain(most), missing);
+        return d >= least && d <= most
+                ? d
+                : wrong(
+                        key,
+                        plain(d) + " is not between " + plain(least) + " and " + plain(most),
+                        missing);
     }
 
     public int whole(String key, int missing, int least, int most) {
@@ -81,7 +87,8 @@
         if (!(value instanceof Long n)) {
             return wrong(key, "is not a whole number", missing);
         }
-        return n >= least && n <= most ? n.intValue()
+        return n >= least && n <= most
+                ? n.intValue()
                 : wrong(key, n + " is not between " + least + " and " + most, missing);
     }
 
@@ -101,7 +108,8 @@
                 if (array.get(i) instanceof String s) {
                     texts.add(s);
                 } else {
-                    sheet.fault(array.inputPositionOf(i), said(key) + "[" + i + "]", "is not a text");
+                    sheet.fault(
+                            array.inputPositionOf(i), said(key) + "[" + i + "]", "is not a text");
                 }
             }
         } else if (has(key)) {
@@ -129,9 +137,12 @@
         if (value instanceof TomlArray array) {
             for (int i = 0; i < array.size(); i++) {
                 if (array.get(i) instanceof TomlTable t) {
-                    parts.add(new Part(sheet, t, down(key + "[" + i + "]"), array.inputPositionOf(i)));
+                    parts.add(
+                            new Part(
+                                    sheet, t, down(key + "[" + i + "]"), array.inputPositionOf(i)));
                 } else {
-                    sheet.fault(array.inputPositionOf(i), said(key) + "[" + i + "]", "is not a table");
+                    sheet.fault(
+                            array.inputPositionOf(i), said(key) + "[" + i + "]", "is not a table");
                 }
             }
         } else if (value != null) {
@@ -176,7 +187,9 @@
                 best = known;
             }
         }
-        return best != null ? "; do you mean " + best + "?" : "; known are " + String.join(", ", asked);
+        return best != null
+                ? "; do you mean " + best + "?"
+                : "; known are " + String.join(", ", asked);
     }
 
     /** How many letters differ: the plain edit distance. */
@@ -203,7 +216,8 @@
     }
 
     private TomlPosition where(String key) {
-        TomlPosition where = table.contains(List.of(key)) ? table.inputPositionOf(List.of(key)) : null;
+        TomlPosition where =
+                table.contains(List.of(key)) ? table.inputPositionOf(List.of(key)) : null;
         return where == null ? at : where;
     }
 
@@ -218,6 +232,8 @@
     }
 
     private static String plain(double d) {
-        return d == Math.rint(d) && Math.abs(d) < 1e15 ? Long.toString((long) d) : Double.toString(d);
+        return d == Math.rint(d) && Math.abs(d) < 1e15
+                ? Long.toString((long) d)
+                : Double.toString(d);
     }
 }
--- a/files/src/main/java/asterpulley/files/PoolsFile.java
+++ b/files/src/main/java/asterpulley/files/PoolsFile.java
@@ -9,19 +9,27 @@
 import java.util.function.BiConsumer;
 
 /**
- * The tables of an operator's file that speak of pools: {@code [pools]}, {@code [spill]}, {@code [keep]}, {@code [retries]},
- * {@code [return]}. Read once for relays' files and experiments alike, into what a relay is told. It must know every key
- * that it takes, and tell what is wrong with each.
+ * The tables of an operator's file that speak of pools: {@code [pools]}, {@code [spill]}, {@code
+ * [keep]}, {@code [retries]}, {@code [return]}. Read once for relays' files and experiments alike,
+ * into what a relay is told. It must know every key that it takes, and tell what is wrong with
+ * each.
  */
 public final class PoolsFile {
     private static final double LONG = 1e5, MANY = 1e7;
 
-    private PoolsFile() {
-    }
+    private PoolsFile() {}
 
-    /** Null where the file has no {@code [spill]}; {@code pools}: all there are, {@code profiles}: all names. */
-    public static Map<String, Object> read(Part root, List<String> zones, List<String> models, List<String> profiles,
-            int relaysPerPool, double holds) {
+    /**
+     * Null where the file has no {@code [spill]}; {@code pools}: all there are, {@code profiles}:
+     * all names.
+     */
+    public static Map<String, Object> read(
+            Part root,
+            List<String> zones,
+            List<String> models,
+            List<String> profiles,
+            int relaysPerPool,
+            double holds) {
         Part pools = root.part("pools");
         Part spill = root.part("spill");
         Part back = root.part("return");
@@ -38,7 +46,9 @@
             pools.need("home");
         }
         told.put("home", home);
-        told.put("relays_per_pool", pools.whole("relays_per_pool", Math.max(1, relaysPerPool), 1, 100_000));
+        told.put(
+                "relays_per_pool",
+                pools.whole("relays_per_pool", Math.max(1, relaysPerPool), 1, 100_000));
         told.put("prefer", prefer(pools.part("prefer"), names));
         double enter = pools.number("dark_from", 0.7, 0.05, 1);
         double calm = pools.number("calm_s", 4, 0.1, LONG);
@@ -49,7 +59,9 @@
         told.put("longest_calm_s", pools.number("longest_calm_s", 8 * calm, calm, LONG));
         double over = pools.number("overloaded_from", 0.85, 0.1, 10);
         told.put("overloaded_from", over);
-        told.put("overloaded_below", pools.number("overloaded_below", Math.min(0.7, over - 0.05), 0, over - 0.01));
+        told.put(
+                "overloaded_below",
+                pools.number("overloaded_below", Math.min(0.7, over - 0.05), 0, over - 0.01));
         told.put("listed_s", pools.number("listed_s", 6, 0, LONG));
         told.put("share", spill.number("share", 0.2, 0, 1));
         told.put("rate_per_s", spill.number("rate_per_s", 0, 0, MANY));
@@ -65,7 +77,9 @@
         if (root.has("return")) {
             double share = back.number("share_per_s", 0.02, 0, 1);
             told.put("return_share_per_s", share);
-            told.put("return_warm_share_per_s", back.number("warm_share_per_s", Math.min(1, 4 * share), 0, 1));
+            told.put(
+                    "return_warm_share_per_s",
+                    back.number("warm_share_per_s", Math.min(1, 4 * share), 0, 1));
             told.put("return_stay_s", back.number("stay_s", 5, 0, LONG));
             told.put("spare", known(back, "spare", profiles));
             told.put("spare_in_rush", known(back, "spare_in_rush", profiles));
@@ -96,21 +110,29 @@
             }
             all.add(turns);
         }
-        each(of, names, "names no pool", (name, nothing) -> { });
+        each(of, names, "names no pool", (name, nothing) -> {});
         return all;
     }
 
     private static Map<String, Object> kept(Part of, List<String> profiles, double most) {
         Map<String, Object> kept = new LinkedHashMap<>();
-        each(of, profiles, "names no profile", (name, part) -> kept.put(name, part.number(name, 0, 0, most)));
+        each(
+                of,
+                profiles,
+                "names no profile",
+                (name, part) -> kept.put(name, part.number(name, 0, 0, most)));
         double sum = kept.values().stream().mapToDouble(v -> (Double) v).sum();
         if (sum > most + 1e-9) {
-            of.wrong(of.names().get(0), "all that is kept makes " + sum + ", and at most " + most + " can be", null);
+            of.wrong(
+                    of.names().get(0),
+                    "all that is kept makes " + sum + ", and at most " + most + " can be",
+                    null);
         }
         return kept;
     }
 
-    private static void each(Part of, List<String> known, String wrong, BiConsumer<String, Part> what) {
+    private static void each(
+            Part of, List<String> known, String wrong, BiConsumer<String, Part> what) {
         for (String name : of.names()) {
             if (known.contains(name)) {
                 what.accept(name, of);
--- a/files/src/main/java/asterpulley/files/Sheet.java
+++ b/files/src/main/java/asterpulley/files/Sheet.java
@@ -11,13 +11,12 @@
 import org.tomlj.TomlPosition;
 
 /**
- * Owns the reading of one operator file: TOML, checked whole. Whatever is wrong with it (form, a key that nobody knows,
- * a type, a range) is gathered with its line and path and told in one pass. It must never stop at the first fault, and
- * never let a key pass that nothing reads.
+ * Owns the reading of one operator file: TOML, checked whole. Whatever is wrong with it (form, a
+ * key that nobody knows, a type, a range) is gathered with its line and path and told in one pass.
+ * It must never stop at the first fault, and never let a key pass that nothing reads.
  */
 public final class Sheet {
-    private record Fault(int line, String what) {
-    }
+    private record Fault(int line, String what) {}
 
     private final String file;
     private final TomlParseResult toml;
@@ -28,7 +27,13 @@
     private Sheet(String file, TomlParseResult toml) {
         this.file = file;
         this.toml = toml;
-        toml.errors().forEach(e -> fault(e.position(), "", e.getMessage().lines().findFirst().orElse("not TOML")));
+        toml.errors()
+                .forEach(
+                        e ->
+                                fault(
+                                        e.position(),
+                                        "",
+                                        e.getMessage().lines().findFirst().orElse("not TOML")));
         root = new Part(this, toml, List.of(), null);
     }
 
@@ -44,13 +49,20 @@
         return root;
     }
 
-    /** All that is wrong with it so far, in the order of its lines; keys that nothing has read are told here. */
+    /**
+     * All that is wrong with it so far, in the order of its lines; keys that nothing has read are
+     * told here.
+     */
     public List<String> problems() {
         List<Fault> all = new ArrayList<>(faults);
         if (toml.errors().isEmpty()) {
             parts.forEach(part -> part.unknown((line, what) -> all.add(new Fault(line, what))));
         }
-        return all.stream().sorted(Comparator.comparingInt(Fault::line)).map(f -> f.what).distinct().toList();
+        return all.stream()
+                .sorted(Comparator.comparingInt(Fault::line))
+                .map(f -> f.what)
+                .distinct()
+                .toList();
     }
 
     void enter(Part part) {
--- a/files/src/test/java/asterpulley/files/SheetTest.java
+++ b/files/src/test/java/asterpulley/files/SheetTest.java
@@ -26,23 +26,27 @@
 
     @Test
     void aFileWithoutFaultSaysNothing() {
-        assertEquals(List.of(), read("name = \"a\"\nrate = 3\n[[server]]\ndial = \"x\"\nwarm.up_s = 4\n"));
+        assertEquals(
+                List.of(),
+                read("name = \"a\"\nrate = 3\n[[server]]\ndial = \"x\"\nwarm.up_s = 4\n"));
     }
 
     @Test
     void allFaultsAreToldInOnePassWithTheirLines() {
-        assertEquals(List.of(
-                "f.toml:1: name: is missing",
-                "f.toml:1: rate: 11 is not between 0 and 10",
-                "f.toml:2: count: is not a whole number",
-                "f.toml:3: kind: 'c' is none of a, b",
-                "f.toml:4: zonse: is no key here; do you mean zones?",
-                "f.toml:5: on: is neither true nor false",
-                "f.toml:6: server[0].dial: is missing",
-                "f.toml:8: server[0].warm.up_s: is not a number",
-                "f.toml:10: server[1].dial: is not a text"),
-                read("rate = 11\ncount = 1.5\nkind = \"c\"\nzonse = []\non = \"yes\"\n"
-                        + "[[server]]\n[server.warm]\nup_s = \"x\"\n[[server]]\ndial = 3\n"));
+        assertEquals(
+                List.of(
+                        "f.toml:1: name: is missing",
+                        "f.toml:1: rate: 11 is not between 0 and 10",
+                        "f.toml:2: count: is not a whole number",
+                        "f.toml:3: kind: 'c' is none of a, b",
+                        "f.toml:4: zonse: is no key here; do you mean zones?",
+                        "f.toml:5: on: is neither true nor false",
+                        "f.toml:6: server[0].dial: is missing",
+                        "f.toml:8: server[0].warm.up_s: is not a number",
+                        "f.toml:10: server[1].dial: is not a text"),
+                read(
+                        "rate = 11\ncount = 1.5\nkind = \"c\"\nzonse = []\non = \"yes\"\n"
+                                + "[[server]]\n[server.warm]\nup_s = \"x\"\n[[server]]\ndial = 3\n"));
     }
 
     @Test
--- a/lab/src/main/java/asterpulley/lab/Lab.java
+++ b/lab/src/main/java/asterpulley/lab/Lab.java
@@ -17,8 +17,8 @@
 import java.util.stream.Stream;
 
 /**
- * Plays experiments: the module on one carrier or both, and baselines beside it, and says whether what was expected
- * holds. It must give no verdict on a run that could not keep its own pace.
+ * Plays experiments: the module on one carrier or both, and baselines beside it, and says whether
+ * what was expected holds. It must give no verdict on a run that could not keep its own pace.
  */
 public final class Lab {
     private final PrintStream out;
@@ -27,7 +27,10 @@
         this.out = out;
     }
 
-    /** Plays it on this carrier, "model", "sockets" or "both", and the plan's baselines on the model. */
+    /**
+     * Plays it on this carrier, "model", "sockets" or "both", and the plan's baselines on the
+     * model.
+     */
     public List<Outcome> play(Plan plan, String on) throws IOException {
         List<Outcome> all = new ArrayList<>();
         if (!on.equals("model")) {
@@ -44,21 +47,37 @@
 
     /** Plays it in virtual time, with the module or a baseline in every relay. */
     public Outcome model(Plan plan, String policy) {
-        out.printf(Locale.ROOT, "%s: %s in virtual time, %d servers, %d relays, %.0f s%n", plan.name, policy,
-                plan.allServers(), plan.relays * plan.rooms.size(), plan.length + plan.settle);
+        out.printf(
+                Locale.ROOT,
+                "%s: %s in virtual time, %d servers, %d relays, %.0f s%n",
+                plan.name,
+                policy,
+                plan.allServers(),
+                plan.relays * plan.rooms.size(),
+                plan.length + plan.settle);
         long from = System.nanoTime();
         Model model = new Model(plan, policy);
         World world = model.play();
         double took = (System.nanoTime() - from) / 1e9;
-        // The pace is this machine's, so it is printed and stands in no file that must be the same each time.
-        out.printf(Locale.ROOT, "  %d events in %.2f s, %.1f times faster than real time%n", model.events(), took,
+        // The pace is this machine's, so it is printed and stands in no file that must be the same
+        // each time.
+        out.printf(
+                Locale.ROOT,
+                "  %d events in %.2f s, %.1f times faster than real time%n",
+                model.events(),
+                took,
                 (plan.length + plan.settle) / took);
         return new Outcome("model", policy, world, null);
     }
 
     private Outcome sockets(Plan plan) throws IOException {
-        out.printf(Locale.ROOT, "%s: on sockets, %d servers, %d relays, %.0f s%n", plan.name, plan.allServers(),
-                plan.relays * plan.rooms.size(), plan.length + plan.settle);
+        out.printf(
+                Locale.ROOT,
+                "%s: on sockets, %d servers, %d relays, %.0f s%n",
+                plan.name,
+                plan.allServers(),
+                plan.relays * plan.rooms.size(),
+                plan.length + plan.settle);
         Path folder = Files.createTempDirectory("asterpulley-lab");
         Sockets sockets = new Sockets(plan, folder);
         World world = sockets.play();
@@ -68,8 +87,12 @@
         double late = world.figures.all().getOrDefault("run.late_share", 0.0);
         String none = sockets.trouble();
         if (none == null && late > Sockets.LATE) {
-            none = String.format(Locale.ROOT, "the run was behind its own clock for %.1f%% of the time, by %.0f ms at worst",
-                    late * 100, sockets.worstLate() * 1000);
+            none =
+                    String.format(
+                            Locale.ROOT,
+                            "the run was behind its own clock for %.1f%% of the time, by %.0f ms at worst",
+                            late * 100,
+                            sockets.worstLate() * 1000);
         }
         if (none == null) {
             remove(folder);
@@ -85,7 +108,10 @@
         }
     }
 
-    /** Prints the table of each play of the module, or of the only play; true where all that was expected holds. */
+    /**
+     * Prints the table of each play of the module, or of the only play; true where all that was
+     * expected holds.
+     */
     public boolean verdict(Plan plan, List<Outcome> all) {
         boolean good = true;
         for (Outcome o : all) {
--- a/lab/src/main/java/asterpulley/lab/fleet/Arrivals.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Arrivals.java
@@ -3,8 +3,9 @@
 import java.util.Random;
 
 /**
- * When one relay's tunnels come and how long they stand, hollow or real: drawn, since evenly spaced ones that all stand as
- * long end in step with those that come, and which server then looks emptiest is that accident's. Without input or output.
+ * When one relay's tunnels come and how long they stand, hollow or real: drawn, since evenly spaced
+ * ones that all stand as long end in step with those that come, and which server then looks
+ * emptiest is that accident's. Without input or output.
  */
 final class Arrivals {
     private final Random random;
@@ -12,7 +13,10 @@
     private final int relay;
     private long number;
 
-    /** {@code rate}: a second; {@code lifetime}: the mean, of an exponential distribution as the times between arrivals. */
+    /**
+     * {@code rate}: a second; {@code lifetime}: the mean, of an exponential distribution as the
+     * times between arrivals.
+     */
     Arrivals(long seed, int relay, double rate, double lifetime) {
         random = new Random(seed * 1_000_003 + relay);
         this.relay = relay;
--- a/lab/src/main/java/asterpulley/lab/fleet/Catalog.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Catalog.java
@@ -11,13 +11,19 @@
 import java.util.function.IntFunction;
 
 /**
- * The list of servers as its service has it: versions, and every entry with the version that it comes from. Callers that
- * are at one version are told the same bytes, which are written once. Without input or output.
+ * The list of servers as its service has it: versions, and every entry with the version that it
+ * comes from. Callers that are at one version are told the same bytes, which are written once.
+ * Without input or output.
  */
 final class Catalog {
-    enum Health { UP, DRAINING, REMOVED }
+    enum Health {
+        UP,
+        DRAINING,
+        REMOVED
+    }
 
     private static final ObjectMapper JSON = new ObjectMapper();
+
     /** Stands for no version: the whole list. */
     private static final long WHOLE = -1;
 
@@ -49,7 +55,10 @@
         return health[server];
     }
 
-    /** A change is a version of its own; {@code bornMs}: when it started, 0 where that did not change. */
+    /**
+     * A change is a version of its own; {@code bornMs}: when it started, 0 where that did not
+     * change.
+     */
     long change(int server, Health to, long bornMs) {
         health[server] = to;
         born[server] = bornMs > 0 ? bornMs : born[server];
@@ -57,7 +66,9 @@
         return version;
     }
 
-    /** As those are told it that reach servers so; it keeps what it wrote until the list changes. */
+    /**
+     * As those are told it that reach servers so; it keeps what it wrote until the list changes.
+     */
     final class Page implements ListService.Source {
         private final IntFunction<String> dials;
         private final Map<Long, byte[]> written = new HashMap<>();
@@ -94,9 +105,24 @@
             List<Object> hosts = new ArrayList<>();
             for (int s = 0; s < health.length; s++) {
                 if (seen == WHOLE ? health[s] != Health.REMOVED : changed[s] > seen) {
-                    hosts.add(Told.map("host", name(s), "dial", dials.apply(s), "site", plan.zone(s), "class", "feed",
-                            "block", s % plan.zones, "health", health[s].name().toLowerCase(), "share", 1.0,
-                            "born_ms", born[s]));
+                    hosts.add(
+                            Told.map(
+                                    "host",
+                                    name(s),
+                                    "dial",
+                                    dials.apply(s),
+                                    "site",
+                                    plan.zone(s),
+                                    "class",
+                                    "feed",
+                                    "block",
+                                    s % plan.zones,
+                                    "health",
+                                    health[s].name().toLowerCase(),
+                                    "share",
+                                    1.0,
+                                    "born_ms",
+                                    born[s]));
                 }
             }
             return Told.map("seq", version, "whole", seen == WHOLE, "hosts", hosts);
--- a/lab/src/main/java/asterpulley/lab/fleet/Child.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Child.java
@@ -18,34 +18,51 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process of the laboratory itself: hollow relays, or stand-in servers. It is told what to do line by line and answers
- * each by a line of JSON. It is ended with the run, also when that is broken off; no other process ever is.
+ * A process of the laboratory itself: hollow relays, or stand-in servers. It is told what to do
+ * line by line and answers each by a line of JSON. It is ended with the run, also when that is
+ * broken off; no other process ever is.
  */
 final class Child implements Closeable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Set<Process> OURS = ConcurrentHashMap.newKeySet();
 
     static {
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> OURS.forEach(Process::destroyForcibly)));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(() -> OURS.forEach(Process::destroyForcibly)));
     }
 
     private final Process process;
     private final Writer to;
     private final Path log;
+
     /** What it said, in order; guarded by itself. */
     private final List<JsonNode> said = new ArrayList<>();
+
     private boolean ended;
 
     /** Starts this main class with what it is told in a file, and so much heap. */
-    Child(Path folder, String name, Class<?> main, Map<String, Object> told, int heapMb) throws IOException {
+    Child(Path folder, String name, Class<?> main, Map<String, Object> told, int heapMb)
+            throws IOException {
         Path file = folder.resolve(name + ".json");
         Files.write(file, Catalog.json(told));
         log = folder.resolve(name + ".log");
-        process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:+UseG1GC", "-XX:ParallelGCThreads=2", "-XX:ConcGCThreads=1", "-XX:TieredStopAtLevel=1",
-                "-XX:-UsePerfData", "-Xss256k", "-Xmx" + heapMb + "m", "-XX:+ExitOnOutOfMemoryError",
-                "-cp", System.getProperty("java.class.path"), main.getName(), file.toString())
-                .redirectError(log.toFile()).start();
+        process =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:+UseG1GC",
+                                "-XX:ParallelGCThreads=2",
+                                "-XX:ConcGCThreads=1",
+                                "-XX:TieredStopAtLevel=1",
+                                "-XX:-UsePerfData",
+                                "-Xss256k",
+                                "-Xmx" + heapMb + "m",
+                                "-XX:+ExitOnOutOfMemoryError",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                main.getName(),
+                                file.toString())
+                        .redirectError(log.toFile())
+                        .start();
         OURS.add(process);
         to = process.outputWriter(StandardCharsets.US_ASCII);
         Thread reader = new Thread(this::read, name);
@@ -54,7 +71,10 @@
     }
 
     private void read() {
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII))) {
+        try (BufferedReader in =
+                new BufferedReader(
+                        new InputStreamReader(
+                                process.getInputStream(), StandardCharsets.US_ASCII))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 JsonNode node = JSON.readTree(line);
                 synchronized (said) {
@@ -76,14 +96,18 @@
         to.flush();
     }
 
-    /** Its n-th answer; null where that has not come yet. Whoever waits for one of a process that ended is told so. */
+    /**
+     * Its n-th answer; null where that has not come yet. Whoever waits for one of a process that
+     * ended is told so.
+     */
     JsonNode answer(int n) throws IOException {
         synchronized (said) {
             if (said.size() > n) {
                 return said.get(n);
             }
             if (ended) {
-                throw new IOException("a process of the laboratory ended by itself; its log is " + log);
+                throw new IOException(
+                        "a process of the laboratory ended by itself; its log is " + log);
             }
             return null;
         }
--- a/lab/src/main/java/asterpulley/lab/fleet/Fit.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Fit.java
@@ -1,8 +1,14 @@
 package asterpulley.lab.fleet;
 
-/** A straight line through measured points by least squares, with the standard error of its slope. Without input or output. */
+/**
+ * A straight line through measured points by least squares, with the standard error of its slope.
+ * Without input or output.
+ */
 record Fit(double slope, double error, double at0) {
-    /** The error is NaN where two points leave nothing to err by; all is NaN where the points don't differ. */
+    /**
+     * The error is NaN where two points leave nothing to err by; all is NaN where the points don't
+     * differ.
+     */
     static Fit line(double[] x, double[] y) {
         int n = x.length;
         double mx = 0;
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetFigures.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetFigures.java
@@ -4,31 +4,94 @@
 import java.util.List;
 import java.util.Map;
 
-/** The names of the figures that a fleet run gives, and which of them a line is fitted through. It must never judge. */
+/**
+ * The names of the figures that a fleet run gives, and which of them a line is fitted through. It
+ * must never judge.
+ */
 final class FleetFigures {
-    /** Of one relay and second while nothing but ordinary changes happens; {@code hollow.} and {@code real.} go before. */
-    static final List<String> A_RELAY = List.of("list_calls_per_s", "list_bytes_in_per_s", "list_bytes_out_per_s", "probes_per_s",
-            "probe_bytes_in_per_s", "probe_bytes_out_per_s", "messages_in_per_s", "messages_out_per_s", "bytes_per_s",
-            "cpu_percent", "heap_mb", "start_probes", "tunnels_per_s");
+    /**
+     * Of one relay and second while nothing but ordinary changes happens; {@code hollow.} and
+     * {@code real.} go before.
+     */
+    static final List<String> A_RELAY =
+            List.of(
+                    "list_calls_per_s",
+                    "list_bytes_in_per_s",
+                    "list_bytes_out_per_s",
+                    "probes_per_s",
+                    "probe_bytes_in_per_s",
+                    "probe_bytes_out_per_s",
+                    "messages_in_per_s",
+                    "messages_out_per_s",
+                    "bytes_per_s",
+                    "cpu_percent",
+                    "heap_mb",
+                    "start_probes",
+                    "tunnels_per_s");
+
     /** What hollow relays are held against the real ones in; {@code against.} goes before. */
     static final List<String> AGAINST = List.of("list_calls", "list_bytes", "probes", "messages");
-    private static final List<String> OTHERS = List.of("hollow.thread_cpu_percent",
-            "hollow.start_list_bytes", "hollow.probe_connections", "service.list_calls_per_s", "service.list_bytes_per_s",
-            "service.whole_bytes", "inforce.p50_ms", "inforce.p99_ms", "inforce.last_ms", "inforce.missing", "inforce.count",
-            "decision.p50_us", "decision.p99_us", "tunnels.opened_share", "worst.calls_per_s", "worst.connects_per_s",
-            "worst.bytes_per_s", "worst.probes_per_s", "whole_asked", "run.late_share");
-    /** Where settings are changed: from a change until it is in force, and the bytes of a relay and second, both ways. */
-    private static final List<String> SETTINGS = List.of("settings.p50_ms", "settings.p99_ms", "settings.last_ms",
-            "settings.count", "settings.missing", "settings.bytes_per_s", "settings.whole_asked");
-    private static final List<String> AFTER = List.of("calls_worst", "connects_worst", "bytes_worst", "whole_asked", "told_s");
+
+    private static final List<String> OTHERS =
+            List.of(
+                    "hollow.thread_cpu_percent",
+                    "hollow.start_list_bytes",
+                    "hollow.probe_connections",
+                    "service.list_calls_per_s",
+                    "service.list_bytes_per_s",
+                    "service.whole_bytes",
+                    "inforce.p50_ms",
+                    "inforce.p99_ms",
+                    "inforce.last_ms",
+                    "inforce.missing",
+                    "inforce.count",
+                    "decision.p50_us",
+                    "decision.p99_us",
+                    "tunnels.opened_share",
+                    "worst.calls_per_s",
+                    "worst.connects_per_s",
+                    "worst.bytes_per_s",
+                    "worst.probes_per_s",
+                    "whole_asked",
+                    "run.late_share");
+
+    /**
+     * Where settings are changed: from a change until it is in force, and the bytes of a relay and
+     * second, both ways.
+     */
+    private static final List<String> SETTINGS =
+            List.of(
+                    "settings.p50_ms",
+                    "settings.p99_ms",
+                    "settings.last_ms",
+                    "settings.count",
+                    "settings.missing",
+                    "settings.bytes_per_s",
+                    "settings.whole_asked");
+
+    private static final List<String> AFTER =
+            List.of("calls_worst", "connects_worst", "bytes_worst", "whole_asked", "told_s");
+
     /** A line is fitted through these over the sizes. */
-    static final List<String> FITTED = List.of("hollow.list_calls_per_s", "hollow.list_bytes_in_per_s", "hollow.probes_per_s",
-            "hollow.bytes_per_s", "hollow.cpu_percent", "hollow.thread_cpu_percent", "hollow.heap_mb", "service.list_calls_per_s",
-            "service.list_bytes_per_s", "service.whole_bytes", "inforce.p99_ms", "inforce.last_ms", "decision.p50_us",
-            "worst.calls_per_s", "worst.connects_per_s");
+    static final List<String> FITTED =
+            List.of(
+                    "hollow.list_calls_per_s",
+                    "hollow.list_bytes_in_per_s",
+                    "hollow.probes_per_s",
+                    "hollow.bytes_per_s",
+                    "hollow.cpu_percent",
+                    "hollow.thread_cpu_percent",
+                    "hollow.heap_mb",
+                    "service.list_calls_per_s",
+                    "service.list_bytes_per_s",
+                    "service.whole_bytes",
+                    "inforce.p99_ms",
+                    "inforce.last_ms",
+                    "decision.p50_us",
+                    "worst.calls_per_s",
+                    "worst.connects_per_s");
 
-    private FleetFigures() {
-    }
+    private FleetFigures() {}
 
     /** True where some run of this plan gives that figure. */
     static boolean known(String figure, FleetPlan plan) {
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetLab.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetLab.java
@@ -18,11 +18,13 @@
 import java.util.stream.Stream;
 
 /**
- * Plays fleet experiments, one size after the other, fits lines through what they gave and says whether what was expected
- * holds. It must give no verdict on a run that could not keep its own pace, nor on a size that was not run.
+ * Plays fleet experiments, one size after the other, fits lines through what they gave and says
+ * whether what was expected holds. It must give no verdict on a run that could not keep its own
+ * pace, nor on a size that was not run.
  */
 public final class FleetLab {
     private static final double MB = 1 << 20;
+
     /** Hollow relays stand for real ones within this part. */
     static final double LIKE = 0.1;
 
@@ -37,11 +39,25 @@
 
     /** Plays every size that fits the machine. */
     public FleetLab play() throws IOException {
-        UnixOperatingSystemMXBean system = (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
+        UnixOperatingSystemMXBean system =
+                (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         for (FleetPlan.Size size : plan.sizes) {
-            Room room = Room.of(plan, size, system.getMaxFileDescriptorCount(), system.getTotalMemorySize() / MB);
-            out.printf(Locale.ROOT, "%s: %d hollow relays in %d processes, %d real, %d servers in %d processes, %.0f s%n", plan.name,
-                    size.relays(), room.hollowProcesses(), plan.real, size.servers(), room.serverProcesses(), plan.length);
+            Room room =
+                    Room.of(
+                            plan,
+                            size,
+                            system.getMaxFileDescriptorCount(),
+                            system.getTotalMemorySize() / MB);
+            out.printf(
+                    Locale.ROOT,
+                    "%s: %d hollow relays in %d processes, %d real, %d servers in %d processes, %.0f s%n",
+                    plan.name,
+                    size.relays(),
+                    room.hollowProcesses(),
+                    plan.real,
+                    size.servers(),
+                    room.serverProcesses(),
+                    plan.length);
             if (room.tooMuch() != null) {
                 FleetOutcome none = new FleetOutcome(size);
                 none.noVerdict = "not run, it does not fit: " + room.tooMuch();
@@ -63,7 +79,10 @@
         }
     }
 
-    /** Prints the table of each size and the lines through them; true where all that was expected holds. */
+    /**
+     * Prints the table of each size and the lines through them; true where all that was expected
+     * holds.
+     */
     public boolean verdict() {
         boolean good = !all.isEmpty();
         for (FleetOutcome o : all) {
@@ -72,25 +91,49 @@
         }
         Map<String, Fit> fits = fits();
         if (!fits.isEmpty()) {
-            out.printf("%nby %s, least squares over %d sizes: slope, its standard error, at 0%n", by(), measured().size());
-            fits.forEach((name, fit) -> out.printf(Locale.ROOT, "  %-32s %14s  +- %-12s %14s%n", name, small(fit.slope()),
-                    small(fit.error()), small(fit.at0())));
+            out.printf(
+                    "%nby %s, least squares over %d sizes: slope, its standard error, at 0%n",
+                    by(), measured().size());
+            fits.forEach(
+                    (name, fit) ->
+                            out.printf(
+                                    Locale.ROOT,
+                                    "  %-32s %14s  +- %-12s %14s%n",
+                                    name,
+                                    small(fit.slope()),
+                                    small(fit.error()),
+                                    small(fit.at0())));
         }
         out.println(good ? "\nall that was expected holds" : "\nfell short of what was expected");
         return good;
     }
 
     private void table(FleetOutcome o) {
-        out.printf(Locale.ROOT, "%n%d hollow relays, %d servers, seed %d%n", o.size.relays(), o.size.servers(), plan.seed);
+        out.printf(
+                Locale.ROOT,
+                "%n%d hollow relays, %d servers, seed %d%n",
+                o.size.relays(),
+                o.size.servers(),
+                plan.seed);
         for (Plan.Expect e : plan.expects) {
-            out.printf(Locale.ROOT, "  %-8s %-32s %14s   expected %s %s%n", o.holds(e) ? "holds" : "SHORT", e.figure(),
-                    small(o.figure(e.figure())), e.sign(), Tables.plain(e.bound()));
+            out.printf(
+                    Locale.ROOT,
+                    "  %-8s %-32s %14s   expected %s %s%n",
+                    o.holds(e) ? "holds" : "SHORT",
+                    e.figure(),
+                    small(o.figure(e.figure())),
+                    e.sign(),
+                    Tables.plain(e.bound()));
         }
         for (String f : FleetFigures.AGAINST) {
             double apart = o.figure("against." + f);
             if (!Double.isNaN(apart)) {
-                out.printf(Locale.ROOT, "  %-8s hollow and real relays differ by %.1f%% in %s%n", apart <= LIKE ? "alike" : "APART",
-                        apart * 100, f);
+                out.printf(
+                        Locale.ROOT,
+                        "  %-8s hollow and real relays differ by %.1f%% in %s%n",
+                        apart <= LIKE ? "alike" : "APART",
+                        apart * 100,
+                        f);
             }
         }
         if (o.noVerdict != null) {
@@ -104,7 +147,9 @@
 
     /** By relays where their number differs, else by servers. */
     private String by() {
-        return measured().stream().mapToInt(o -> o.size.relays()).distinct().count() > 1 ? "relay" : "server";
+        return measured().stream().mapToInt(o -> o.size.relays()).distinct().count() > 1
+                ? "relay"
+                : "server";
     }
 
     Map<String, Fit> fits() {
@@ -113,16 +158,22 @@
         if (points.size() < 2) {
             return fits;
         }
-        ToDoubleFunction<FleetOutcome> x = by().equals("relay") ? o -> o.size.relays() : o -> o.size.servers();
+        ToDoubleFunction<FleetOutcome> x =
+                by().equals("relay") ? o -> o.size.relays() : o -> o.size.servers();
         for (String name : FleetFigures.FITTED) {
-            fits.put(name, Fit.line(points.stream().mapToDouble(x).toArray(),
-                    points.stream().mapToDouble(o -> o.figure(name)).toArray()));
+            fits.put(
+                    name,
+                    Fit.line(
+                            points.stream().mapToDouble(x).toArray(),
+                            points.stream().mapToDouble(o -> o.figure(name)).toArray()));
         }
         return fits;
     }
 
     static String small(double d) {
-        return Double.isNaN(d) || d == 0 || Math.abs(d) >= 0.1 ? Tables.plain(d) : String.format(Locale.ROOT, "%.3g", d);
+        return Double.isNaN(d) || d == 0 || Math.abs(d) >= 0.1
+                ? Tables.plain(d)
+                : String.format(Locale.ROOT, "%.3g", d);
     }
 
     List<FleetOutcome> outcomes() {
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetOutcome.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetOutcome.java
@@ -10,6 +10,7 @@
     final FleetPlan.Size size;
     final Map<String, Double> figures = new TreeMap<>();
     final Map<String, List<Long>> seconds = new TreeMap<>();
+
     /** Why there is no verdict; null where there is one. */
     String noVerdict;
 
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetPlan.java
@@ -8,17 +8,26 @@
 import java.util.Map;
 
 /**
- * What a fleet experiment asks for: sizes to play one after the other, what relays are told, a timetable and what is
- * expected of every size. Plain values, read once and never changed; all times are seconds.
+ * What a fleet experiment asks for: sizes to play one after the other, what relays are told, a
+ * timetable and what is expected of every size. Plain values, read once and never changed; all
+ * times are seconds.
  */
 public final class FleetPlan {
     /** One play: so many hollow relays over so many servers. */
-    public record Size(int relays, int servers) {
-    }
+    public record Size(int relays, int servers) {}
 
-    /** What an entry of the timetable does. Whoever adds a watched thing adds its change here and in {@link Schedule}. */
+    /**
+     * What an entry of the timetable does. Whoever adds a watched thing adds its change here and in
+     * {@link Schedule}.
+     */
     public enum Kind {
-        CHANGE, SETTINGS, ZONE_SERVERS, ZONE_RELAYS, LIST_CUT, LIST_LATE, ROLL;
+        CHANGE,
+        SETTINGS,
+        ZONE_SERVERS,
+        ZONE_RELAYS,
+        LIST_CUT,
+        LIST_LATE,
+        ROLL;
 
         public String word() {
             return name().toLowerCase().replace('_', '-');
@@ -28,8 +37,10 @@
     public static final class Entry {
         public Kind kind = Kind.CHANGE;
         public double at, lasts = 5, every = 3, stepEvery = 1, down = 1, delay = 1;
+
         /** The part of all relays that one step of a roll restarts. */
         public double step = 0.1;
+
         public int zone;
     }
 
@@ -37,10 +48,16 @@
     public long seed = 1;
     public double length = 30, settle = 4, startWithin = 4, toldLate = 0.4;
     public int zones = 11, real = 2, probeConnections, sockets = 8192, memory = 64;
-    /** Relays start with the list as of their process's start; else with none, and ask for the whole. */
+
+    /**
+     * Relays start with the list as of their process's start; else with none, and ask for the
+     * whole.
+     */
     public boolean known = true;
+
     /** Relays are told who tells settings; else theirs are those of their start. */
     public boolean settingsTold = true;
+
     public double tunnels = 0.5, lifetime = 20, setup = 0.02, reported = 0.4;
     public double probeFee = 0.01, crossingFee = 0.02, deemedTold = 6;
     public final List<Size> sizes = new ArrayList<>();
@@ -67,7 +84,10 @@
         return "z" + (number % zones + 1);
     }
 
-    /** The settings of a relay of this zone, under the platform's names, as every relay of the laboratory is told them. */
+    /**
+     * The settings of a relay of this zone, under the platform's names, as every relay of the
+     * laboratory is told them.
+     */
     Map<String, Object> settings(int zone, Size size) {
         Plan plan = new Plan();
         for (int z = 0; z < zones; z++) {
@@ -85,10 +105,22 @@
     }
 
     /** A relay's configuration, hollow or real; {@code known} is the list that it starts with. */
-    Map<String, Object> config(String name, int number, Size size, String listen, String list, Object known) {
-        Map<String, Object> config = Told.map("name", name, "listen", listen, "discovery", list,
-                "seed", Long.toHexString(seed * 1_000_003 + number * 1009L),
-                "limits", Told.map("cores", 1.0, "memory_mb", memory, "sockets", sockets), "known", known);
+    Map<String, Object> config(
+            String name, int number, Size size, String listen, String list, Object known) {
+        Map<String, Object> config =
+                Told.map(
+                        "name",
+                        name,
+                        "listen",
+                        listen,
+                        "discovery",
+                        list,
+                        "seed",
+                        Long.toHexString(seed * 1_000_003 + number * 1009L),
+                        "limits",
+                        Told.map("cores", 1.0, "memory_mb", memory, "sockets", sockets),
+                        "known",
+                        known);
         config.put("settings", settings(number % zones, size));
         return config;
     }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetReader.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetReader.java
@@ -6,14 +6,13 @@
 import asterpulley.lab.plan.PlanReader;
 
 /**
- * Reads a fleet experiment's file into a plan. Every fault of the file is told by the sheet that it comes from; what the
- * sheet can't see is told here.
+ * Reads a fleet experiment's file into a plan. Every fault of the file is told by the sheet that it
+ * comes from; what the sheet can't see is told here.
  */
 public final class FleetReader {
     private static final double LONG = 3600;
 
-    private FleetReader() {
-    }
+    private FleetReader() {}
 
     /** True where this file tells sizes: then it is a fleet's, and no other experiment's. */
     public static boolean isFleet(Sheet sheet) {
@@ -45,13 +44,16 @@
         plan.deemedTold = list.number("deemed_told_s", plan.deemedTold, 0.5, 600);
         for (Part p : root.parts("size")) {
             p.need("relays", "servers");
-            plan.sizes.add(new FleetPlan.Size(p.whole("relays", 1, 1, 100_000), p.whole("servers", 1, 1, 100_000)));
+            plan.sizes.add(
+                    new FleetPlan.Size(
+                            p.whole("relays", 1, 1, 100_000), p.whole("servers", 1, 1, 100_000)));
         }
         for (Part p : root.parts("entry")) {
             plan.entries.add(entry(p, plan));
         }
         for (String text : root.texts("expect")) {
-            Plan.Expect e = PlanReader.expect(root, text, figure -> FleetFigures.known(figure, plan));
+            Plan.Expect e =
+                    PlanReader.expect(root, text, figure -> FleetFigures.known(figure, plan));
             if (e != null) {
                 plan.expects.add(e);
             }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetRun.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetRun.java
@@ -27,16 +27,20 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Plays one size: the list's service and the timetable on this thread, stand-in servers, hollow relays and a few real ones
- * in processes beside. It must end whatever it started, and never call a run good in which it was late itself.
+ * Plays one size: the list's service and the timetable on this thread, stand-in servers, hollow
+ * relays and a few real ones in processes beside. It must end whatever it started, and never call a
+ * run good in which it was late itself.
  */
 final class FleetRun {
     private static final double READY = 60, LOOK = 0.01;
     private static final double MB = 1 << 20;
+
     /** What was changed so long before the end should be in force by then. */
     private static final double SETTLED = 1;
+
     /** What is changed at an entry's end is, within this, part of what has to be told after it. */
     private static final double AT_ONCE = 0.1;
+
     private static final String REAL = "real", LIST = "instances";
 
     private final FleetPlan plan;
@@ -52,13 +56,17 @@
     private final List<RealClients> clients = new ArrayList<>();
     private final List<ListService> lists = new ArrayList<>();
     private final Map<String, String[]> dials = new HashMap<>();
-    private final Tally hollowList = new Tally(zero), realList = new Tally(zero), settingsTold = new Tally(zero);
+    private final Tally hollowList = new Tally(zero),
+            realList = new Tally(zero),
+            settingsTold = new Tally(zero);
     private final InForce inForce = new InForce(), settingsInForce = new InForce();
     private final Revisions revisions = new Revisions();
     private final List<ListService> settings = new ArrayList<>();
     private final FleetOutcome outcome;
+
     /** How often each child was asked for an answer. */
     private final Map<Child, Integer> asked = new HashMap<>();
+
     private double late;
     private boolean cut;
     private long start;
@@ -98,21 +106,41 @@
             // The real ones have the first for themselves.
             int first = plan.real > 0 ? 1 : 0;
             List<String> callers = new ArrayList<>(k < first ? List.of(REAL) : List.of());
-            for (int h = k - first; k >= first && h < room.hollowProcesses(); h += room.serverProcesses() - first) {
+            for (int h = k - first;
+                    k >= first && h < room.hollowProcesses();
+                    h += room.serverProcesses() - first) {
                 callers.add(Integer.toString(h));
             }
-            servers.add(new Child(folder, "servers" + k, ServersMain.class, Told.map("here", here.getHostAddress(),
-                    "callers", callers, "servers", outcome.size.servers(), "zero", zero, "reported", plan.reported,
-                    "setup", plan.setup), 256));
+            servers.add(
+                    new Child(
+                            folder,
+                            "servers" + k,
+                            ServersMain.class,
+                            Told.map(
+                                    "here",
+                                    here.getHostAddress(),
+                                    "callers",
+                                    callers,
+                                    "servers",
+                                    outcome.size.servers(),
+                                    "zero",
+                                    zero,
+                                    "reported",
+                                    plan.reported,
+                                    "setup",
+                                    plan.setup),
+                            256));
         }
         for (Child c : servers) {
-            await(c).fields().forEachRemaining(e -> {
-                String[] to = new String[outcome.size.servers()];
-                for (int s = 0; s < to.length; s++) {
-                    to[s] = e.getValue().get(s).asText();
-                }
-                dials.put(e.getKey(), to);
-            });
+            await(c).fields()
+                    .forEachRemaining(
+                            e -> {
+                                String[] to = new String[outcome.size.servers()];
+                                for (int s = 0; s < to.length; s++) {
+                                    to[s] = e.getValue().get(s).asText();
+                                }
+                                dials.put(e.getKey(), to);
+                            });
         }
     }
 
@@ -125,20 +153,49 @@
             Catalog.Page page = page(Integer.toString(h));
             ListService list = new ListService(pump, page, LIST, hollowList, here);
             lists.add(list);
-            Map<String, Object> config = plan.config("h", 0, outcome.size, "127.0.0.1:1", list.address(),
-                    plan.known ? page.list() : Catalog.none());
+            Map<String, Object> config =
+                    plan.config(
+                            "h",
+                            0,
+                            outcome.size,
+                            "127.0.0.1:1",
+                            list.address(),
+                            plan.known ? page.list() : Catalog.none());
             if (plan.settingsTold && plan.changesSettings()) {
                 settings.add(new ListService(pump, revisions, "settings", settingsTold, here));
                 config.put("settings_service", settings.get(h).address());
             }
-            hollows.add(new Child(folder, "hollow" + h, HollowMain.class, Told.map("config", config, "zones", plan.zones,
-                    "seed", plan.seed, "tunnels", plan.tunnels, "lifetime", plan.lifetime, "setup", plan.setup, "timeout", 2,
-                    "sights", folder.resolve("sights" + h).toString()), room.heapMb()));
+            hollows.add(
+                    new Child(
+                            folder,
+                            "hollow" + h,
+                            HollowMain.class,
+                            Told.map(
+                                    "config",
+                                    config,
+                                    "zones",
+                                    plan.zones,
+                                    "seed",
+                                    plan.seed,
+                                    "tunnels",
+                                    plan.tunnels,
+                                    "lifetime",
+                                    plan.lifetime,
+                                    "setup",
+                                    plan.setup,
+                                    "timeout",
+                                    2,
+                                    "sights",
+                                    folder.resolve("sights" + h).toString()),
+                            room.heapMb()));
         }
         for (Child c : hollows) {
             await(c);
         }
-        tell("start", range(outcome.size.relays()), Long.toString(Math.round(plan.startWithin * 1000)));
+        tell(
+                "start",
+                range(outcome.size.relays()),
+                Long.toString(Math.round(plan.startWithin * 1000)));
     }
 
     private void reals() throws IOException {
@@ -151,9 +208,19 @@
         for (int r = 0; r < plan.real; r++) {
             InetSocketAddress at = new InetSocketAddress(here, 9_400 + r);
             String name = "real" + (r + 1);
-            reals.add(RelayProcess.start(folder, name, plan.config(name, outcome.size.relays() + r, outcome.size,
-                    at.getHostString() + ":" + at.getPort(), list.address(), plan.known ? page.list() : Catalog.none()),
-                    plan.memory, at));
+            reals.add(
+                    RelayProcess.start(
+                            folder,
+                            name,
+                            plan.config(
+                                    name,
+                                    outcome.size.relays() + r,
+                                    outcome.size,
+                                    at.getHostString() + ":" + at.getPort(),
+                                    list.address(),
+                                    plan.known ? page.list() : Catalog.none()),
+                            plan.memory,
+                            at));
             clients.add(new RealClients(plan, pump, at, outcome.size.relays() + r));
             clients.get(r).waitFor();
         }
@@ -161,7 +228,8 @@
         while (!clients.stream().allMatch(c -> c.ready)) {
             pump.run(pump.now() + LOOK);
             if (pump.now() > end) {
-                throw new IOException("no real relay became ready in " + READY + " s; its log is in " + folder);
+                throw new IOException(
+                        "no real relay became ready in " + READY + " s; its log is in " + folder);
             }
         }
         clients.forEach(RealClients::start);
@@ -177,7 +245,11 @@
             }
             pump.run(pump.now() + LOOK);
             if (pump.now() > end) {
-                throw new IOException("a process of the laboratory did not answer in " + READY + " s; its log is in " + folder);
+                throw new IOException(
+                        "a process of the laboratory did not answer in "
+                                + READY
+                                + " s; its log is in "
+                                + folder);
             }
         }
     }
@@ -208,8 +280,13 @@
             switch (step.act()) {
                 case CHANGE -> {
                     int s = step.who().get(0);
-                    changes(step.who(), catalog.health(s) == Catalog.Health.UP ? Catalog.Health.DRAINING : Catalog.Health.UP,
-                            false, late);
+                    changes(
+                            step.who(),
+                            catalog.health(s) == Catalog.Health.UP
+                                    ? Catalog.Health.DRAINING
+                                    : Catalog.Health.UP,
+                            false,
+                            late);
                 }
                 case SETTINGS -> {
                     settingsInForce.made(revisions.change(), System.nanoTime(), true);
@@ -245,12 +322,13 @@
     private void changes(List<Integer> who, Catalog.Health to, boolean born, double later) {
         long made = System.nanoTime();
         long bornMs = born ? System.currentTimeMillis() : 0;
-        Runnable learns = () -> {
-            for (int s : who) {
-                inForce.made(catalog.change(s, to, bornMs), made, !cut);
-            }
-            lists.forEach(ListService::news);
-        };
+        Runnable learns =
+                () -> {
+                    for (int s : who) {
+                        inForce.made(catalog.change(s, to, bornMs), made, !cut);
+                    }
+                    lists.forEach(ListService::news);
+                };
         if (later > 0) {
             pump.after(later, learns);
         } else {
@@ -293,9 +371,13 @@
     // ---- Figures
 
     /** What was counted up to a moment. */
-    private record Sample(double at, Map<Tally.What, Long> hollowList, Map<Tally.What, Long> realList, List<JsonNode> servers,
-            List<JsonNode> hollows, double realCpu) {
-    }
+    private record Sample(
+            double at,
+            Map<Tally.What, Long> hollowList,
+            Map<Tally.What, Long> realList,
+            List<JsonNode> servers,
+            List<JsonNode> hollows,
+            double realCpu) {}
 
     private Sample sample() throws IOException {
         for (Child c : servers) {
@@ -344,19 +426,29 @@
         }
         List<JsonNode> ofServers = answers(servers);
         kind("hollow", outcome.size.relays(), false);
-        f.put("hollow.heap_mb", ofHollows.stream().mapToDouble(h -> h.get("heap").asDouble()).average().orElse(0) / MB);
+        f.put(
+                "hollow.heap_mb",
+                ofHollows.stream().mapToDouble(h -> h.get("heap").asDouble()).average().orElse(0)
+                        / MB);
         if (!reals.isEmpty()) {
             kind(REAL, reals.size(), true);
             f.put("real.heap_mb", realHeap);
             FleetFigures.against(f);
         }
         double seconds = until.at - from.at;
-        f.put("service.list_calls_per_s", (until.hollowList.get(Tally.What.CALLS) - from.hollowList.get(Tally.What.CALLS)) / seconds);
-        f.put("service.list_bytes_per_s", f.get("hollow.list_bytes_in_per_s") * outcome.size.relays());
+        f.put(
+                "service.list_calls_per_s",
+                (until.hollowList.get(Tally.What.CALLS) - from.hollowList.get(Tally.What.CALLS))
+                        / seconds);
+        f.put(
+                "service.list_bytes_per_s",
+                f.get("hollow.list_bytes_in_per_s") * outcome.size.relays());
         f.put("service.whole_bytes", (double) page("0").whole().length);
         decisions(ofHollows);
         double taken = sum(ofHollows, h -> h.get("taken").asDouble());
-        f.put("tunnels.opened_share", taken > 0 ? sum(ofHollows, h -> h.get("opened").asDouble()) / taken : 1);
+        f.put(
+                "tunnels.opened_share",
+                taken > 0 ? sum(ofHollows, h -> h.get("opened").asDouble()) / taken : 1);
         seconds(ofServers);
         for (int h = 0; h < hollows.size(); h++) {
             sights(folder.resolve("sights" + h));
@@ -379,15 +471,26 @@
         f.put("run.late_share", most);
         double lines = f.get("hollow.probe_connections");
         if (plan.probeConnections > 0 && lines > plan.probeConnections) {
-            outcome.noVerdict = String.format(Locale.ROOT, "relays had %.1f connections to servers each, planned for were %d",
-                    lines, plan.probeConnections);
+            outcome.noVerdict =
+                    String.format(
+                            Locale.ROOT,
+                            "relays had %.1f connections to servers each, planned for were %d",
+                            lines,
+                            plan.probeConnections);
         }
         if (most > Sockets.LATE) {
-            outcome.noVerdict = String.format(Locale.ROOT, "the run was behind its own clock for %.1f%% of the time", most * 100);
+            outcome.noVerdict =
+                    String.format(
+                            Locale.ROOT,
+                            "the run was behind its own clock for %.1f%% of the time",
+                            most * 100);
         }
     }
 
-    /** From a change until it is in force at each relay, and what one costs in bytes; without such changes nothing. */
+    /**
+     * From a change until it is in force at each relay, and what one costs in bytes; without such
+     * changes nothing.
+     */
     private void settingsFigures(long end) {
         if (plan.changesSettings()) {
             settingsInForce.work(end - (long) (SETTLED * 1e9));
@@ -399,8 +502,12 @@
             f.put("settings.count", (double) us.getTotalCount());
             f.put("settings.missing", (double) settingsInForce.missing);
             double seconds = (System.nanoTime() - zero) / 1e9;
-            f.put("settings.bytes_per_s", (settingsTold.all(Tally.What.BYTES_FROM) + settingsTold.all(Tally.What.BYTES_TO))
-                    / seconds / outcome.size.relays());
+            f.put(
+                    "settings.bytes_per_s",
+                    (settingsTold.all(Tally.What.BYTES_FROM)
+                                    + settingsTold.all(Tally.What.BYTES_TO))
+                            / seconds
+                            / outcome.size.relays());
             f.put("settings.whole_asked", (double) settingsTold.all(Tally.What.WHOLE));
         }
     }
@@ -415,7 +522,8 @@
         Map<Tally.What, Long> a = real ? from.realList : from.hollowList;
         Map<Tally.What, Long> b = real ? until.realList : until.hollowList;
         ToDoubleFunction<Tally.What> list = w -> (b.get(w) - a.get(w)) / per;
-        ToDoubleFunction<Tally.What> probe = w -> (asked(until.servers, w, real) - asked(from.servers, w, real)) / per;
+        ToDoubleFunction<Tally.What> probe =
+                w -> (asked(until.servers, w, real) - asked(from.servers, w, real)) / per;
         Map<String, Double> f = outcome.figures;
         put(kind, "list_calls_per_s", list.applyAsDouble(Tally.What.CALLS));
         put(kind, "list_bytes_in_per_s", list.applyAsDouble(Tally.What.BYTES_TO));
@@ -423,17 +531,34 @@
         put(kind, "probes_per_s", probe.applyAsDouble(Tally.What.CALLS));
         put(kind, "probe_bytes_in_per_s", probe.applyAsDouble(Tally.What.BYTES_TO));
         put(kind, "probe_bytes_out_per_s", probe.applyAsDouble(Tally.What.BYTES_FROM));
-        put(kind, "messages_in_per_s", list.applyAsDouble(Tally.What.ANSWERS) + probe.applyAsDouble(Tally.What.ANSWERS));
-        put(kind, "messages_out_per_s", list.applyAsDouble(Tally.What.CALLS) + probe.applyAsDouble(Tally.What.CALLS));
-        put(kind, "bytes_per_s", f.get(kind + ".list_bytes_in_per_s") + f.get(kind + ".list_bytes_out_per_s")
-                + f.get(kind + ".probe_bytes_in_per_s") + f.get(kind + ".probe_bytes_out_per_s"));
+        put(
+                kind,
+                "messages_in_per_s",
+                list.applyAsDouble(Tally.What.ANSWERS) + probe.applyAsDouble(Tally.What.ANSWERS));
+        put(
+                kind,
+                "messages_out_per_s",
+                list.applyAsDouble(Tally.What.CALLS) + probe.applyAsDouble(Tally.What.CALLS));
+        put(
+                kind,
+                "bytes_per_s",
+                f.get(kind + ".list_bytes_in_per_s")
+                        + f.get(kind + ".list_bytes_out_per_s")
+                        + f.get(kind + ".probe_bytes_in_per_s")
+                        + f.get(kind + ".probe_bytes_out_per_s"));
         put(kind, "start_probes", asked(from.servers, Tally.What.CALLS, real) / many);
         if (real) {
             put(kind, "tunnels_per_s", probe.applyAsDouble(Tally.What.OPENINGS));
             put(kind, "cpu_percent", (until.realCpu - from.realCpu) / per * 100);
         } else {
-            put(kind, "cpu_percent", (used(until, "process_cpu") - used(from, "process_cpu")) / per * 100);
-            put(kind, "thread_cpu_percent", (used(until, "thread_cpu") - used(from, "thread_cpu")) / per * 100);
+            put(
+                    kind,
+                    "cpu_percent",
+                    (used(until, "process_cpu") - used(from, "process_cpu")) / per * 100);
+            put(
+                    kind,
+                    "thread_cpu_percent",
+                    (used(until, "thread_cpu") - used(from, "thread_cpu")) / per * 100);
             put(kind, "tunnels_per_s", (used(until, "opened") - used(from, "opened")) / per);
             put(kind, "start_list_bytes", (double) a.get(Tally.What.BYTES_TO) / many);
             put(kind, "probe_connections", asked(until.servers, Tally.What.CONNECTS, false) / many);
@@ -451,7 +576,7 @@
     private static double asked(List<JsonNode> servers, Tally.What what, boolean real) {
         double all = 0;
         for (JsonNode node : servers) {
-            for (var fields = node.fields(); fields.hasNext();) {
+            for (var fields = node.fields(); fields.hasNext(); ) {
                 var e = fields.next();
                 if (e.getValue().isObject() && e.getKey().equals(REAL) == real) {
                     all += e.getValue().get(what.name().toLowerCase()).asDouble();
@@ -485,15 +610,18 @@
         series("whole_lists", list.get("whole"), skip, null);
         List<Long> probes = new ArrayList<>();
         for (JsonNode node : ofServers) {
-            node.get("seconds").fields().forEachRemaining(e -> {
-                JsonNode calls = e.getValue().get("calls");
-                for (int i = 0; i < calls.size() && !e.getKey().equals(REAL); i++) {
-                    while (probes.size() <= i) {
-                        probes.add(0L);
-                    }
-                    probes.set(i, probes.get(i) + calls.get(i).asLong());
-                }
-            });
+            node.get("seconds")
+                    .fields()
+                    .forEachRemaining(
+                            e -> {
+                                JsonNode calls = e.getValue().get("calls");
+                                for (int i = 0; i < calls.size() && !e.getKey().equals(REAL); i++) {
+                                    while (probes.size() <= i) {
+                                        probes.add(0L);
+                                    }
+                                    probes.set(i, probes.get(i) + calls.get(i).asLong());
+                                }
+                            });
         }
         series("probes", probes, skip, "worst.probes_per_s");
         outcome.figures.put("whole_asked", (double) hollowList.all(Tally.What.WHOLE));
@@ -511,10 +639,12 @@
     }
 
     private void sights(Path file) throws IOException {
-        try (DataInputStream in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file), 1 << 16))) {
+        try (DataInputStream in =
+                new DataInputStream(new BufferedInputStream(Files.newInputStream(file), 1 << 16))) {
             while (true) {
                 InForce.What what = InForce.What.values()[in.readByte()];
-                InForce.Sight sight = new InForce.Sight(in.readInt(), what, in.readLong(), in.readLong());
+                InForce.Sight sight =
+                        new InForce.Sight(in.readInt(), what, in.readLong(), in.readLong());
                 if (what != InForce.What.SETTINGS_CAME_TO) {
                     inForce.saw(sight);
                 }
@@ -537,16 +667,30 @@
             worst(to + "connects_worst", "list_connects", first, last);
             worst(to + "bytes_worst", "list_bytes", first, last);
             List<Long> whole = outcome.seconds.get("whole_lists");
-            outcome.figures.merge(to + "whole_asked", (double) whole.subList(first, Math.min(whole.size(), last)).stream()
-                    .mapToLong(l -> l).sum(), Double::sum);
+            outcome.figures.merge(
+                    to + "whole_asked",
+                    (double)
+                            whole.subList(first, Math.min(whole.size(), last)).stream()
+                                    .mapToLong(l -> l)
+                                    .sum(),
+                    Double::sum);
             long from = start + (long) (a.from() * 1e9);
-            outcome.figures.merge(to + "told_s", inForce.told(inForce.versionAt(from + (long) (AT_ONCE * 1e9)), from), Math::max);
+            outcome.figures.merge(
+                    to + "told_s",
+                    inForce.told(inForce.versionAt(from + (long) (AT_ONCE * 1e9)), from),
+                    Math::max);
         }
     }
 
     private void worst(String figure, String series, int first, int last) {
         List<Long> of = outcome.seconds.get(series);
-        outcome.figures.merge(figure, (double) of.subList(first, Math.min(of.size(), last)).stream().mapToLong(l -> l).max()
-                .orElse(0), Math::max);
+        outcome.figures.merge(
+                figure,
+                (double)
+                        of.subList(first, Math.min(of.size(), last)).stream()
+                                .mapToLong(l -> l)
+                                .max()
+                                .orElse(0),
+                Math::max);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/Hollow.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Hollow.java
@@ -15,15 +15,23 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * A relay without clients: its control part is the relay's own (the watch on the list, the probes, the module behind its
- * route, its room), on real sockets and a thread of its own. Tunnels are put straight to the module at a given rate, and
- * open and end by themselves. It must replace nothing of what it measures.
+ * A relay without clients: its control part is the relay's own (the watch on the list, the probes,
+ * the module behind its route, its room), on real sockets and a thread of its own. Tunnels are put
+ * straight to the module at a given rate, and open and end by themselves. It must replace nothing
+ * of what it measures.
  */
 final class Hollow implements Talk {
     /** What all hollow relays of a process share. */
-    record Shared(MemoryManager<?> memory, double setup, double timeout, Histogram decisions,
-            Sights sights, LongAdder taken, LongAdder opened, LongAdder declined, LongAdder errors) {
-    }
+    record Shared(
+            MemoryManager<?> memory,
+            double setup,
+            double timeout,
+            Histogram decisions,
+            Sights sights,
+            LongAdder taken,
+            LongAdder opened,
+            LongAdder declined,
+            LongAdder errors) {}
 
     /** Hears when relays start, stop and come to a version. */
     interface Sights {
@@ -62,24 +70,31 @@
     private volatile long thread;
     private final Arrivals arrivals;
 
-    Hollow(int number, Map<String, Object> config, Arrivals arrivals, Shared shared) throws IOException {
+    Hollow(int number, Map<String, Object> config, Arrivals arrivals, Shared shared)
+            throws IOException {
         this.number = number;
         this.shared = shared;
         this.arrivals = arrivals;
         transport = Control.transport(loop, shared.memory);
         control = Control.of(config, this, loop, transport);
-        control.route.whenListed(() -> shared.sights.saw(number, InForce.What.CAME_TO, control.listVersion()));
-        control.whenSettingsInForce(() -> shared.sights.saw(number, InForce.What.SETTINGS_CAME_TO,
-                control.settings().version().seq()));
+        control.route.whenListed(
+                () -> shared.sights.saw(number, InForce.What.CAME_TO, control.listVersion()));
+        control.whenSettingsInForce(
+                () ->
+                        shared.sights.saw(
+                                number,
+                                InForce.What.SETTINGS_CAME_TO,
+                                control.settings().version().seq()));
         transport.start();
-        loop.handIn(() -> {
-            thread = Thread.currentThread().getId();
-            shared.sights.saw(number, InForce.What.STARTED, control.listVersion());
-            control.start();
-            if (arrivals.any()) {
-                loop.after(arrivals.gap(), this::comes);
-            }
-        });
+        loop.handIn(
+                () -> {
+                    thread = Thread.currentThread().getId();
+                    shared.sights.saw(number, InForce.What.STARTED, control.listVersion());
+                    control.start();
+                    if (arrivals.any()) {
+                        loop.after(arrivals.gap(), this::comes);
+                    }
+                });
     }
 
     /** Its one thread, for its processor time. */
@@ -100,7 +115,8 @@
         }
         loop.after(arrivals.gap(), this::comes);
         String id = arrivals.id();
-        Passage passage = new Passage(null, new Tunnel(id, id, "c" + id, shared.timeout), this, loop.now());
+        Passage passage =
+                new Passage(null, new Tunnel(id, id, "c" + id, shared.timeout), this, loop.now());
         shared.taken.increment();
         control.book.firstSeen(id);
         // What a client's connection would take of the relay's room.
@@ -108,7 +124,10 @@
         if (control.admit.admits(passage)) {
             long from = System.nanoTime();
             control.route.take(passage);
-            shared.decisions.recordValue(Math.min(shared.decisions.getHighestTrackableValue(), (System.nanoTime() - from) / 1000));
+            shared.decisions.recordValue(
+                    Math.min(
+                            shared.decisions.getHighestTrackableValue(),
+                            (System.nanoTime() - from) / 1000));
         }
     }
 
--- a/lab/src/main/java/asterpulley/lab/fleet/HollowMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/HollowMain.java
@@ -31,13 +31,14 @@
 import org.glassfish.grizzly.memory.PooledMemoryManager;
 
 /**
- * A process of many hollow relays, told line by line what to do: {@code start} and {@code stop} relays by number,
- * {@code begin} the run, {@code count} what was used so far, {@code end}. It ends with who started it. It must not measure what it does for
- * itself as the relays' own.
+ * A process of many hollow relays, told line by line what to do: {@code start} and {@code stop}
+ * relays by number, {@code begin} the run, {@code count} what was used so far, {@code end}. It ends
+ * with who started it. It must not measure what it does for itself as the relays' own.
  */
 final class HollowMain implements Hollow.Sights {
     /** The longest decision that is told apart, in microseconds. */
     private static final long LONGEST_US = 10_000_000;
+
     private static final double LOOK = 0.1;
 
     private final Map<String, Object> told;
@@ -46,8 +47,10 @@
     private final Hollow.Shared shared;
     private final Histogram decisions = new ConcurrentHistogram(LONGEST_US, 3);
     private final Pump pace = new Pump();
+
     /** The run begins, so that the pace counts; and how late that was. */
     private volatile boolean begins;
+
     private volatile double late;
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     private final com.sun.management.OperatingSystemMXBean system =
@@ -55,9 +58,22 @@
 
     private HollowMain(Map<String, Object> told) throws IOException {
         this.told = told;
-        sights = new DataOutputStream(new BufferedOutputStream(Files.newOutputStream(Path.of(Json.text(told, "sights"))), 1 << 16));
-        shared = new Hollow.Shared(new PooledMemoryManager(SocketFilter.BUFFER, 1, 1, 4, 0.03f, 0.25f, false),
-                number("setup"), number("timeout"), decisions, this, new LongAdder(), new LongAdder(), new LongAdder(), new LongAdder());
+        sights =
+                new DataOutputStream(
+                        new BufferedOutputStream(
+                                Files.newOutputStream(Path.of(Json.text(told, "sights"))),
+                                1 << 16));
+        shared =
+                new Hollow.Shared(
+                        new PooledMemoryManager(SocketFilter.BUFFER, 1, 1, 4, 0.03f, 0.25f, false),
+                        number("setup"),
+                        number("timeout"),
+                        decisions,
+                        this,
+                        new LongAdder(),
+                        new LongAdder(),
+                        new LongAdder(),
+                        new LongAdder());
     }
 
     @SuppressWarnings("unchecked")
@@ -74,27 +90,33 @@
     }
 
     private void serve() throws IOException, InterruptedException {
-        Thread beat = new Thread(() -> {
-            try {
-                while (true) {
-                    pace.run(pace.now() + LOOK);
-                    if (begins) {
-                        begins = false;
-                        pace.countFromNow();
-                    }
-                    late = pace.lateShare();
-                }
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-        });
+        Thread beat =
+                new Thread(
+                        () -> {
+                            try {
+                                while (true) {
+                                    pace.run(pace.now() + LOOK);
+                                    if (begins) {
+                                        begins = false;
+                                        pace.countFromNow();
+                                    }
+                                    late = pace.lateShare();
+                                }
+                            } catch (IOException e) {
+                                throw new UncheckedIOException(e);
+                            }
+                        });
         beat.setDaemon(true);
         beat.start();
         double empty = heap();
         say(Told.map("ready", true));
-        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
-        for (String line = in.readLine(); line != null && !line.equals("end"); line = in.readLine()) {
-            int[] who = Arrays.stream(line.split(" ")).skip(1).mapToInt(Integer::parseInt).toArray();
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
+        for (String line = in.readLine();
+                line != null && !line.equals("end");
+                line = in.readLine()) {
+            int[] who =
+                    Arrays.stream(line.split(" ")).skip(1).mapToInt(Integer::parseInt).toArray();
             switch (line.split(" ")[0]) {
                 case "start" -> start(who);
                 case "stop" -> stop(who);
@@ -113,7 +135,9 @@
         last.put("late_share", wasLate);
         ByteBuffer histogram = ByteBuffer.allocate(decisions.getNeededByteBufferCapacity());
         int size = decisions.encodeIntoCompressedByteBuffer(histogram);
-        last.put("decisions", Base64.getEncoder().encodeToString(Arrays.copyOf(histogram.array(), size)));
+        last.put(
+                "decisions",
+                Base64.getEncoder().encodeToString(Arrays.copyOf(histogram.array(), size)));
         say(last);
     }
 
@@ -127,9 +151,19 @@
             config.put("settings", new LinkedHashMap<>(Json.part(config, "settings")));
             Json.part(config, "settings").put("myZone", who[i] % (int) number("zones"));
             config.put("name", "h" + (who[i] + 1));
-            config.put("seed", Long.toHexString(((long) number("seed")) * 1_000_003 + who[i] * 1009L));
-            relays.put(who[i], new Hollow(who[i], config,
-                    new Arrivals((long) number("seed"), who[i], number("tunnels"), number("lifetime")), shared));
+            config.put(
+                    "seed", Long.toHexString(((long) number("seed")) * 1_000_003 + who[i] * 1009L));
+            relays.put(
+                    who[i],
+                    new Hollow(
+                            who[i],
+                            config,
+                            new Arrivals(
+                                    (long) number("seed"),
+                                    who[i],
+                                    number("tunnels"),
+                                    number("lifetime")),
+                            shared));
         }
     }
 
@@ -153,9 +187,23 @@
         for (Hollow h : relays.values()) {
             cpu += Math.max(0, threads.getThreadCpuTime(h.thread()));
         }
-        return Told.map("at", System.nanoTime(), "relays", relays.size(), "process_cpu", system.getProcessCpuTime() / 1e9,
-                "thread_cpu", cpu / 1e9, "taken", shared.taken().sum(), "opened", shared.opened().sum(),
-                "declined", shared.declined().sum(), "errors", shared.errors().sum());
+        return Told.map(
+                "at",
+                System.nanoTime(),
+                "relays",
+                relays.size(),
+                "process_cpu",
+                system.getProcessCpuTime() / 1e9,
+                "thread_cpu",
+                cpu / 1e9,
+                "taken",
+                shared.taken().sum(),
+                "opened",
+                shared.opened().sum(),
+                "declined",
+                shared.declined().sum(),
+                "errors",
+                shared.errors().sum());
     }
 
     private static void say(Map<String, Object> answer) {
--- a/lab/src/main/java/asterpulley/lab/fleet/ListService.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ListService.java
@@ -12,13 +12,15 @@
 import java.util.Set;
 
 /**
- * The service of the server list, or of the settings, towards one process of relays, at an address of its own: many
- * callers, each with a call that waits. It must count whatever it hears and says, and tell only what its source knows.
+ * The service of the server list, or of the settings, towards one process of relays, at an address
+ * of its own: many callers, each with a call that waits. It must count whatever it hears and says,
+ * and tell only what its source knows.
  */
 final class ListService implements ListStandIn.Service {
     /** So many are answered before sockets and timers have their turn. */
     private static final int IN_A_ROW = 64;
-    private static final Runnable NOBODY = () -> { };
+
+    private static final Runnable NOBODY = () -> {};
 
     private final Pump pump;
     private final Source source;
@@ -37,16 +39,21 @@
     }
 
     /** {@code watched}: what is called for, as in {@link ListStandIn}. */
-    ListService(Pump pump, Source source, String watched, Tally tally, InetAddress here) throws IOException {
+    ListService(Pump pump, Source source, String watched, Tally tally, InetAddress here)
+            throws IOException {
         this.pump = pump;
         this.source = source;
         this.tally = tally;
-        address = pump.listen(new InetSocketAddress(here, 0), conn -> {
-            tally.add(Tally.What.CONNECTS, 1);
-            ListStandIn caller = new ListStandIn(pump, this, watched);
-            callers.add(caller);
-            return caller;
-        }).address;
+        address =
+                pump.listen(
+                                new InetSocketAddress(here, 0),
+                                conn -> {
+                                    tally.add(Tally.What.CONNECTS, 1);
+                                    ListStandIn caller = new ListStandIn(pump, this, watched);
+                                    callers.add(caller);
+                                    return caller;
+                                })
+                        .address;
     }
 
     String address() {
--- a/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
@@ -5,8 +5,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * The clients of one real relay beside the hollow ones: openings at the same rate as theirs, which stand as long. It must
- * never retry.
+ * The clients of one real relay beside the hollow ones: openings at the same rate as theirs, which
+ * stand as long. It must never retry.
  */
 final class RealClients {
     private final Pump pump;
@@ -23,25 +23,27 @@
 
     /** Asks until the relay answers, as a front does. */
     void waitFor() {
-        pump.connect(relay, new Conn.Ear() {
-            @Override
-            public void up(Conn conn) {
-                conn.say("PING");
-            }
+        pump.connect(
+                relay,
+                new Conn.Ear() {
+                    @Override
+                    public void up(Conn conn) {
+                        conn.say("PING");
+                    }
 
-            @Override
-            public void line(Conn conn, String line) {
-                conn.close();
-                ready = true;
-            }
+                    @Override
+                    public void line(Conn conn, String line) {
+                        conn.close();
+                        ready = true;
+                    }
 
-            @Override
-            public void ended(Conn conn, boolean broken) {
-                if (!over) {
-                    pump.after(0.05, RealClients.this::waitFor);
-                }
-            }
-        });
+                    @Override
+                    public void ended(Conn conn, boolean broken) {
+                        if (!over) {
+                            pump.after(0.05, RealClients.this::waitFor);
+                        }
+                    }
+                });
     }
 
     void start() {
@@ -56,29 +58,31 @@
             return;
         }
         String id = arrivals.id();
-        pump.connect(relay, new Conn.Ear() {
-            @Override
-            public void up(Conn conn) {
-                conn.say("OPEN " + id + " " + id + " c=live,t=all,d=2000,g=c" + id);
-            }
+        pump.connect(
+                relay,
+                new Conn.Ear() {
+                    @Override
+                    public void up(Conn conn) {
+                        conn.say("OPEN " + id + " " + id + " c=live,t=all,d=2000,g=c" + id);
+                    }
 
-            @Override
-            public void line(Conn conn, String line) {
-                if (line.startsWith("UP")) {
-                    opened++;
-                    pump.after(arrivals.lifetime(), conn::close);
-                } else if (line.startsWith("BUSY") || line.startsWith("ERR")) {
-                    failed++;
-                    conn.close();
-                } else {
-                    conn.close();
-                }
-            }
+                    @Override
+                    public void line(Conn conn, String line) {
+                        if (line.startsWith("UP")) {
+                            opened++;
+                            pump.after(arrivals.lifetime(), conn::close);
+                        } else if (line.startsWith("BUSY") || line.startsWith("ERR")) {
+                            failed++;
+                            conn.close();
+                        } else {
+                            conn.close();
+                        }
+                    }
 
-            @Override
-            public void ended(Conn conn, boolean broken) {
-                // It stood where a server or the relay went.
-            }
-        });
+                    @Override
+                    public void ended(Conn conn, boolean broken) {
+                        // It stood where a server or the relay went.
+                    }
+                });
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/Revisions.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Revisions.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * The settings as their service has them: a document and every change of it, each a version. Callers that are at one
- * version are told the same bytes, which are written once. Without input or output.
+ * The settings as their service has them: a document and every change of it, each a version.
+ * Callers that are at one version are told the same bytes, which are written once. Without input or
+ * output.
  */
 final class Revisions implements ListService.Source {
     private static final long EPOCH = 1;
@@ -33,17 +34,23 @@
 
     @Override
     public byte[] whole() {
-        return Catalog.json(Told.map("epoch", EPOCH, "seq", version(), "whole", true, "settings", document));
+        return Catalog.json(
+                Told.map("epoch", EPOCH, "seq", version(), "whole", true, "settings", document));
     }
 
     @Override
     public byte[] since(long seen) {
-        return written.computeIfAbsent(seen, from -> {
-            List<Object> changes = new ArrayList<>();
-            for (long v = Math.max(1, from); v < version(); v++) {
-                changes.add(Told.map("seq", v + 1, "patch", patches.get((int) v - 1)));
-            }
-            return Catalog.json(Told.map("epoch", EPOCH, "seq", version(), "whole", false, "changes", changes));
-        });
+        return written.computeIfAbsent(
+                seen,
+                from -> {
+                    List<Object> changes = new ArrayList<>();
+                    for (long v = Math.max(1, from); v < version(); v++) {
+                        changes.add(Told.map("seq", v + 1, "patch", patches.get((int) v - 1)));
+                    }
+                    return Catalog.json(
+                            Told.map(
+                                    "epoch", EPOCH, "seq", version(), "whole", false, "changes",
+                                    changes));
+                });
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/Schedule.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Schedule.java
@@ -6,26 +6,41 @@
 import java.util.Random;
 
 /**
- * The timetable of a fleet run, worked out before it: what is done when, with whom, and over which time what follows is
- * looked at. Without input or output; the seed draws, never the run.
+ * The timetable of a fleet run, worked out before it: what is done when, with whom, and over which
+ * time what follows is looked at. Without input or output; the seed draws, never the run.
  */
 final class Schedule {
-    enum Act { CHANGE, SETTINGS, SERVERS_GONE, SERVERS_BACK, RELAYS_GONE, RELAYS_BACK, LIST_DOWN, LIST_UP, LATE }
-
-    /** One thing that is done; {@code who}: servers or relays by number, {@code by}: seconds of delay. */
-    record Step(double at, Act act, List<Integer> who, double by) {
+    enum Act {
+        CHANGE,
+        SETTINGS,
+        SERVERS_GONE,
+        SERVERS_BACK,
+        RELAYS_GONE,
+        RELAYS_BACK,
+        LIST_DOWN,
+        LIST_UP,
+        LATE
     }
 
+    /**
+     * One thing that is done; {@code who}: servers or relays by number, {@code by}: seconds of
+     * delay.
+     */
+    record Step(double at, Act act, List<Integer> who, double by) {}
+
     /** The time in which what follows an entry is looked at. */
-    record After(FleetPlan.Kind kind, double from, double until) {
-    }
+    record After(FleetPlan.Kind kind, double from, double until) {}
 
     /** What follows is looked at so long at most, and not beyond the next entry that disturbs. */
     private static final double FOLLOWS = 10;
 
     final List<Step> steps = new ArrayList<>();
     final List<After> afters = new ArrayList<>();
-    /** Until here nothing but ordinary changes happens: the figures a relay and second are of this time. */
+
+    /**
+     * Until here nothing but ordinary changes happens: the figures a relay and second are of this
+     * time.
+     */
     final double calm;
 
     Schedule(FleetPlan plan, FleetPlan.Size size) {
@@ -43,7 +58,9 @@
     }
 
     private static boolean disturbs(FleetPlan.Entry e) {
-        return e.kind != FleetPlan.Kind.CHANGE && e.kind != FleetPlan.Kind.SETTINGS && e.kind != FleetPlan.Kind.LIST_LATE;
+        return e.kind != FleetPlan.Kind.CHANGE
+                && e.kind != FleetPlan.Kind.SETTINGS
+                && e.kind != FleetPlan.Kind.LIST_LATE;
     }
 
     private void add(FleetPlan plan, FleetPlan.Size size, FleetPlan.Entry e, Random random) {
@@ -59,8 +76,20 @@
                     steps.add(new Step(at, Act.SETTINGS, List.of(), 0));
                 }
             }
-            case ZONE_SERVERS -> pair(plan, e, Act.SERVERS_GONE, Act.SERVERS_BACK, inZone(plan, size.servers(), e.zone));
-            case ZONE_RELAYS -> pair(plan, e, Act.RELAYS_GONE, Act.RELAYS_BACK, inZone(plan, size.relays(), e.zone));
+            case ZONE_SERVERS ->
+                    pair(
+                            plan,
+                            e,
+                            Act.SERVERS_GONE,
+                            Act.SERVERS_BACK,
+                            inZone(plan, size.servers(), e.zone));
+            case ZONE_RELAYS ->
+                    pair(
+                            plan,
+                            e,
+                            Act.RELAYS_GONE,
+                            Act.RELAYS_BACK,
+                            inZone(plan, size.relays(), e.zone));
             case LIST_CUT -> pair(plan, e, Act.LIST_DOWN, Act.LIST_UP, List.of());
             case LIST_LATE -> {
                 steps.add(new Step(e.at, Act.LATE, List.of(), e.delay));
--- a/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
@@ -24,9 +24,11 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * A process of stand-in servers: each listens at one address for every process of relays, so that it is known who asks,
- * reports a load that never changes and opens whatever it is sent after the same time. Told {@code gone} and {@code back} with servers by
- * number, {@code begin}, {@code count} and {@code end}. It ends with who started it. It must count all that it is asked and decide nothing.
+ * A process of stand-in servers: each listens at one address for every process of relays, so that
+ * it is known who asks, reports a load that never changes and opens whatever it is sent after the
+ * same time. Told {@code gone} and {@code back} with servers by number, {@code begin}, {@code
+ * count} and {@code end}. It ends with who started it. It must count all that it is asked and
+ * decide nothing.
  */
 final class ServersMain {
     private static final int LINE_END = 2;
@@ -44,7 +46,11 @@
         report = String.format(Locale.ROOT, "PONG x0=%.5f", Json.number(told, "reported", 0));
         setup = Json.number(told, "setup", 0);
         for (Object name : Json.list(told, "callers")) {
-            callers.add(new Caller((String) name, (int) Json.number(told, "servers", 0), Json.whole(told, "zero")));
+            callers.add(
+                    new Caller(
+                            (String) name,
+                            (int) Json.number(told, "servers", 0),
+                            Json.whole(told, "zero")));
         }
     }
 
@@ -69,11 +75,14 @@
         }
 
         private void listen(int server) throws IOException {
-            listening[server] = pump.listen(addresses[server], conn -> {
-                tally.add(Tally.What.CONNECTS, 1);
-                conns.get(server).add(conn);
-                return new Line(this, server);
-            });
+            listening[server] =
+                    pump.listen(
+                            addresses[server],
+                            conn -> {
+                                tally.add(Tally.What.CONNECTS, 1);
+                                conns.get(server).add(conn);
+                                return new Line(this, server);
+                            });
             addresses[server] = listening[server].address;
         }
 
@@ -84,7 +93,9 @@
         }
 
         private List<String> dials() {
-            return Arrays.stream(addresses).map(a -> a.getHostString() + ":" + a.getPort()).toList();
+            return Arrays.stream(addresses)
+                    .map(a -> a.getHostString() + ":" + a.getPort())
+                    .toList();
         }
     }
 
@@ -126,17 +137,24 @@
     }
 
     private void serve() throws IOException {
-        Thread reader = new Thread(() -> {
-            try (BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII))) {
-                for (String line = in.readLine(); line != null; line = in.readLine()) {
-                    orders.add(line);
-                }
-            } catch (IOException e) {
-                // As an end.
-                orders.add("end");
-            }
-            orders.add("end");
-        });
+        Thread reader =
+                new Thread(
+                        () -> {
+                            try (BufferedReader in =
+                                    new BufferedReader(
+                                            new InputStreamReader(
+                                                    System.in, StandardCharsets.US_ASCII))) {
+                                for (String line = in.readLine();
+                                        line != null;
+                                        line = in.readLine()) {
+                                    orders.add(line);
+                                }
+                            } catch (IOException e) {
+                                // As an end.
+                                orders.add("end");
+                            }
+                            orders.add("end");
+                        });
         reader.setDaemon(true);
         reader.start();
         Map<String, Object> dials = new LinkedHashMap<>();
@@ -154,7 +172,8 @@
 
     private void look() {
         for (String line = orders.poll(); line != null; line = orders.poll()) {
-            int[] who = Arrays.stream(line.split(" ")).skip(1).mapToInt(Integer::parseInt).toArray();
+            int[] who =
+                    Arrays.stream(line.split(" ")).skip(1).mapToInt(Integer::parseInt).toArray();
             switch (line.split(" ")[0]) {
                 case "begin" -> pump.countFromNow();
                 case "count" -> say(counts());
--- a/lab/src/main/java/asterpulley/lab/fleet/Tally.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Tally.java
@@ -5,13 +5,28 @@
 import java.util.List;
 import java.util.Map;
 
-/** Counts by the second of one kind of caller, on one thread. Without input or output; it must never judge. */
+/**
+ * Counts by the second of one kind of caller, on one thread. Without input or output; it must never
+ * judge.
+ */
 final class Tally {
-    /** What is counted: calls or questions, connections, bytes from relays and to them, messages to them, whole lists, openings. */
-    enum What { CALLS, CONNECTS, BYTES_FROM, BYTES_TO, ANSWERS, WHOLE, OPENINGS }
+    /**
+     * What is counted: calls or questions, connections, bytes from relays and to them, messages to
+     * them, whole lists, openings.
+     */
+    enum What {
+        CALLS,
+        CONNECTS,
+        BYTES_FROM,
+        BYTES_TO,
+        ANSWERS,
+        WHOLE,
+        OPENINGS
+    }
 
     /** The steady clock at second 0. */
     private final long zero;
+
     private final List<long[]> rows = new ArrayList<>();
     private final long[] all = new long[What.values().length];
 
--- a/lab/src/main/java/asterpulley/lab/model/Brain.java
+++ b/lab/src/main/java/asterpulley/lab/model/Brain.java
@@ -5,7 +5,10 @@
 import asterpulley.Report;
 import java.util.List;
 
-/** One relay's decisions: the module itself, or a baseline to compare it with. It answers through its {@link Host}. */
+/**
+ * One relay's decisions: the module itself, or a baseline to compare it with. It answers through
+ * its {@link Host}.
+ */
 interface Brain {
     /** A tunnel that was taken; what happens to it is told here. */
     interface Handle {
--- a/lab/src/main/java/asterpulley/lab/model/Host.java
+++ b/lab/src/main/java/asterpulley/lab/model/Host.java
@@ -1,6 +1,9 @@
 package asterpulley.lab.model;
 
-/** What a relay's decisions ask of the relay in virtual time; the same as a front's, by the tunnel's number. */
+/**
+ * What a relay's decisions ask of the relay in virtual time; the same as a front's, by the tunnel's
+ * number.
+ */
 interface Host {
     double now();
 
@@ -12,7 +15,9 @@
 
     void move(long id);
 
-    /** True where this tunnel may go to that server now; and whether more is open to it from now on. */
+    /**
+     * True where this tunnel may go to that server now; and whether more is open to it from now on.
+     */
     boolean may(long id, int number, String server);
 
     boolean widen(long id);
--- a/lab/src/main/java/asterpulley/lab/model/Model.java
+++ b/lab/src/main/java/asterpulley/lab/model/Model.java
@@ -13,16 +13,20 @@
 import java.util.Map;
 
 /**
- * Carries a world in virtual time, with the decision module itself in every relay or a baseline in its place. One
- * thread, one clock: the same plan and seed give the same run to the last bit. It must never read a real clock.
+ * Carries a world in virtual time, with the decision module itself in every relay or a baseline in
+ * its place. One thread, one clock: the same plan and seed give the same run to the last bit. It
+ * must never read a real clock.
  */
 public class Model implements Carrier {
     /** The policy that stands for the module itself. */
     public static final String MODULE = "asterpulley";
+
     /** The module alone, with the crossing fee and nothing that narrows its choice. */
     public static final String NO_ROUTES = "no-routes";
+
     /** Relays are there this long before the first client, as on sockets. */
     private static final double BEFORE = 1;
+
     /** A relay's process takes so long to start. */
     private static final double START = 0.8;
 
@@ -64,10 +68,16 @@
         long seed = plan.seed * 1_000_003 + r * 1009L + world.relayLife(r);
         hosts[r] = host;
         boolean module = policy.equals(MODULE) || policy.equals(NO_ROUTES);
-        Brain brain = module ? new ModuleBrain(settings, seed, host)
-                : new PlainBrain(policy, settings, host, Load.random(seed), this::truth);
+        Brain brain =
+                module
+                        ? new ModuleBrain(settings, seed, host)
+                        : new PlainBrain(policy, settings, host, Load.random(seed), this::truth);
         Charter charter = policy.equals(MODULE) ? plan.charter(world.roomOfRelay(r)) : null;
-        host.start(brain, charter == null ? null : new Guide(charter, host.now(), l -> { }, world.figures::count));
+        host.start(
+                brain,
+                charter == null
+                        ? null
+                        : new Guide(charter, host.now(), l -> {}, world.figures::count));
     }
 
     /** A relay; tests put broken ones in its place, to see them caught. */
@@ -92,17 +102,19 @@
 
     @Override
     public void open(Try t) {
-        line.after(plan.near, () -> {
-            RelayHost host = hosts[t.relay];
-            if (t.over) {
-                return;
-            }
-            if (host.dead()) {
-                line.after(plan.near, () -> world.refused(t));
-            } else {
-                host.take(t);
-            }
-        });
+        line.after(
+                plan.near,
+                () -> {
+                    RelayHost host = hosts[t.relay];
+                    if (t.over) {
+                        return;
+                    }
+                    if (host.dead()) {
+                        line.after(plan.near, () -> world.refused(t));
+                    } else {
+                        host.take(t);
+                    }
+                });
     }
 
     @Override
@@ -117,10 +129,12 @@
 
     @Override
     public void startRelay(int relay) {
-        line.after(START, () -> {
-            begin(relay);
-            world.relayServes(relay);
-        });
+        line.after(
+                START,
+                () -> {
+                    begin(relay);
+                    world.relayServes(relay);
+                });
     }
 
     @Override
@@ -151,11 +165,13 @@
     public void listed() {
         for (RelayHost host : hosts) {
             if (!host.dead()) {
-                line.after(plan.near, () -> {
-                    if (!host.dead() && !world.registry.down()) {
-                        host.tell();
-                    }
-                });
+                line.after(
+                        plan.near,
+                        () -> {
+                            if (!host.dead() && !world.registry.down()) {
+                                host.tell();
+                            }
+                        });
             }
         }
     }
--- a/lab/src/main/java/asterpulley/lab/model/PlainBrain.java
+++ b/lab/src/main/java/asterpulley/lab/model/PlainBrain.java
@@ -16,17 +16,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The textbook policies to compare with: random, round robin, least own tunnels, the better of two random choices, a
- * fixed priority of rooms with an over-provisioning factor, and an ideal that sees every server as it is. All of them
- * leave a server out for a while that failed three times in a row, try again only where that is lawful, and move what stands on a draining server. It must keep the four rules as far as
- * such a policy can, so that what it is compared by is its choice.
+ * The textbook policies to compare with: random, round robin, least own tunnels, the better of two
+ * random choices, a fixed priority of rooms with an over-provisioning factor, and an ideal that
+ * sees every server as it is. All of them leave a server out for a while that failed three times in
+ * a row, try again only where that is lawful, and move what stands on a draining server. It must
+ * keep the four rules as far as such a policy can, so that what it is compared by is its choice.
  */
 final class PlainBrain implements Brain {
     private static final int FAILURES = 3;
     private static final double LEFT_OUT = 5, LIST_PAUSE = 0.5;
     private static final double MOVE_EVERY = 0.1;
+
     /** The ideal's bound: from here on a server's messages come late. */
     private static final double FULL = 0.9;
+
     /** Priority by health: home gets all as long as this times its healthy part is all of it. */
     private static final double OVERPROVISIONED = 1.4;
 
@@ -34,8 +37,13 @@
     private final Settings settings;
     private final Host host;
     private final RandomGenerator random;
-    /** What only the ideal looks at: a server's true load over its room, without end where it does not answer. */
+
+    /**
+     * What only the ideal looks at: a server's true load over its room, without end where it does
+     * not answer.
+     */
     private final ToDoubleFunction<String> truth;
+
     private final Map<String, Listed> listed = new LinkedHashMap<>();
     private final Map<String, Integer> own = new HashMap<>(), failures = new HashMap<>();
     private final Map<String, Double> outUntil = new HashMap<>();
@@ -43,7 +51,12 @@
     private final Set<String> draining = new LinkedHashSet<>();
     private int turn;
 
-    PlainBrain(String policy, Settings settings, Host host, RandomGenerator random, ToDoubleFunction<String> truth) {
+    PlainBrain(
+            String policy,
+            Settings settings,
+            Host host,
+            RandomGenerator random,
+            ToDoubleFunction<String> truth) {
         this.policy = policy;
         this.settings = settings;
         this.host = host;
@@ -70,7 +83,8 @@
 
         private void place() {
             double left = deadline - host.now() - 2 * settings.tick;
-            String server = setups < settings.mostSetups && left > 2 * settings.tick ? pick(tried) : null;
+            String server =
+                    setups < settings.mostSetups && left > 2 * settings.tick ? pick(tried) : null;
             if (server == null) {
                 done = true;
                 host.decline(id, settings.longestRetryAfter * (0.5 + 0.5 * random.nextDouble()));
@@ -140,7 +154,8 @@
     private String pick(Set<String> not) {
         List<String> may = new ArrayList<>();
         for (Listed l : listed.values()) {
-            if (l.state() == Listed.State.RUNNING && !not.contains(l.ep())
+            if (l.state() == Listed.State.RUNNING
+                    && !not.contains(l.ep())
                     && outUntil.getOrDefault(l.ep(), 0.0) <= host.now()) {
                 may.add(l.ep());
             }
@@ -165,7 +180,10 @@
         };
     }
 
-    /** Home first, and as its healthy part falls a share of the tunnels goes to the others; within, the least own. */
+    /**
+     * Home first, and as its healthy part falls a share of the tunnels goes to the others; within,
+     * the least own.
+     */
     private String priority(List<String> may) {
         double all = 0;
         for (Listed l : listed.values()) {
@@ -196,7 +214,8 @@
     }
 
     @Override
-    public Handle take(long id, int profile, int customer, String group, String key, double budget) {
+    public Handle take(
+            long id, int profile, int customer, String group, String key, double budget) {
         Plain tunnel = new Plain(id, settings.profiles.get(profile), budget);
         tunnel.place();
         return tunnel;
@@ -236,11 +255,13 @@
             for (String server : draining) {
                 List<Plain> here = standing.getOrDefault(server, List.of());
                 // A twentieth a turn: all of them at once would be a crowd.
-                List<Plain> leave = here.stream().filter(p -> !p.moving).limit(here.size() / 20 + 1).toList();
-                leave.forEach(p -> {
-                    p.moving = true;
-                    host.move(p.id);
-                });
+                List<Plain> leave =
+                        here.stream().filter(p -> !p.moving).limit(here.size() / 20 + 1).toList();
+                leave.forEach(
+                        p -> {
+                            p.moving = true;
+                            host.move(p.id);
+                        });
             }
         }
     }
--- a/lab/src/main/java/asterpulley/lab/model/RelayHost.java
+++ b/lab/src/main/java/asterpulley/lab/model/RelayHost.java
@@ -18,16 +18,22 @@
 import java.util.Optional;
 
 /**
- * One relay in virtual time: does with a tunnel what the relay on sockets does with it (delays of the way there and
- * back, time-outs, moves, what stands on a silent server, leaving in order), and asks its brain for every decision. It
- * must decide nothing itself.
+ * One relay in virtual time: does with a tunnel what the relay on sockets does with it (delays of
+ * the way there and back, time-outs, moves, what stands on a silent server, leaving in order), and
+ * asks its brain for every decision. It must decide nothing itself.
  */
 class RelayHost implements Host {
     /** The module's clock is Unix-like: it takes times at and before 0 for never. */
     static final double EPOCH = 1e6;
+
     private static final double SWEEP = 0.25, SLOW = 1.1, SILENT = 3.5;
-    private static final double LEAVING_STEP = 0.05, KILL_AFTER = 0.7, LAST_WORDS = 0.3, MOVED_BEFORE = 0.4, MOVES_OVER = 1;
+    private static final double LEAVING_STEP = 0.05,
+            KILL_AFTER = 0.7,
+            LAST_WORDS = 0.3,
+            MOVED_BEFORE = 0.4,
+            MOVES_OVER = 1;
     private static final double LONGEST_WAIT = 3;
+
     /** A load in cores, as servers tell it, of one mean load. */
     private static final double CORES = 0.01;
 
@@ -55,8 +61,13 @@
     private final Map<String, Server> byName;
     private final Map<Long, Passage> passages = new LinkedHashMap<>();
     private final Map<String, Boolean> asking = new HashMap<>();
-    /** Null where the plan tells relays nothing of pools, or a baseline decides: then nothing narrows the choice. */
+
+    /**
+     * Null where the plan tells relays nothing of pools, or a baseline decides: then nothing
+     * narrows the choice.
+     */
     private Guide guide;
+
     private Brain brain;
     private boolean dead, watching;
     private long version, ids;
@@ -109,7 +120,14 @@
         List<Listed> listed = new ArrayList<>(entries.size());
         for (Registry.Entry e : entries) {
             Listed l = e.listed();
-            listed.add(new Listed(l.ep(), l.zone(), l.model(), l.cell(), l.state(), l.startedAt() + EPOCH));
+            listed.add(
+                    new Listed(
+                            l.ep(),
+                            l.zone(),
+                            l.model(),
+                            l.cell(),
+                            l.state(),
+                            l.startedAt() + EPOCH));
         }
         return listed;
     }
@@ -135,14 +153,22 @@
             guide.taken(p.id, t.client.born.profile(), key, now());
         }
         int group = t.client.born.group();
-        p.handle = brain.take(p.id, t.client.born.profile(), t.client.born.customer(), group < 0 ? null : "g" + group,
-                key, t.patience);
-        line.after(t.patience, () -> {
-            if (!p.answered && !dead) {
-                drop(p);
-                closeWithError(p.id);
-            }
-        });
+        p.handle =
+                brain.take(
+                        p.id,
+                        t.client.born.profile(),
+                        t.client.born.customer(),
+                        group < 0 ? null : "g" + group,
+                        key,
+                        t.patience);
+        line.after(
+                t.patience,
+                () -> {
+                    if (!p.answered && !dead) {
+                        drop(p);
+                        closeWithError(p.id);
+                    }
+                });
     }
 
     private void drop(Passage p) {
@@ -214,18 +240,21 @@
         int here = world.roomOfRelay(number);
         double way = world.delay(here, s.room);
         boolean connects = !s.gone() && world.reaches(number, s.room);
-        line.after(way, () -> {
-            if (dead || !p.out || p.setups != n || !connects) {
-                return;
-            }
-            if (s.closed()) {
-                line.after(way, () -> ended(p, n, Outcome.NO_CONNECTION));
-                return;
-            }
-            p.setup = world.arrives(p.of, s, p.sentAt, reply(p, n, way));
-        });
+        line.after(
+                way,
+                () -> {
+                    if (dead || !p.out || p.setups != n || !connects) {
+                        return;
+                    }
+                    if (s.closed()) {
+                        line.after(way, () -> ended(p, n, Outcome.NO_CONNECTION));
+                        return;
+                    }
+                    p.setup = world.arrives(p.of, s, p.sentAt, reply(p, n, way));
+                });
         double patience = connects ? timeout : Math.min(timeout, plan.connectTimeout);
-        line.after(patience, () -> ended(p, n, connects ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION));
+        line.after(
+                patience, () -> ended(p, n, connects ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION));
     }
 
     private Setup.Reply reply(Passage p, int n, double way) {
@@ -347,29 +376,44 @@
         world.figures.count("probes");
         double way = world.delay(world.roomOfRelay(number), s.room);
         double patience = plan.profiles.stream().mapToDouble(q -> q.setupGoal).min().orElse(0.5);
-        line.after(way, () -> {
-            Optional<Report> report = world.asked(number, s);
-            boolean refused = s.closed();
-            line.after(report.isPresent() || refused ? way : Math.max(0, patience - way), () -> {
-                asking.remove(name);
-                if (!dead) {
-                    Outcome outcome = report.isPresent() ? Outcome.OK : refused ? Outcome.NO_CONNECTION : Outcome.TIMED_OUT;
-                    if (guide != null) {
-                        guide.probed(name, outcome, report.orElseGet(Report::new), now());
-                    }
-                    brain.probed(name, outcome, report.orElseGet(Report::new));
-                }
-            });
-        });
+        line.after(
+                way,
+                () -> {
+                    Optional<Report> report = world.asked(number, s);
+                    boolean refused = s.closed();
+                    line.after(
+                            report.isPresent() || refused ? way : Math.max(0, patience - way),
+                            () -> {
+                                asking.remove(name);
+                                if (!dead) {
+                                    Outcome outcome =
+                                            report.isPresent()
+                                                    ? Outcome.OK
+                                                    : refused
+                                                            ? Outcome.NO_CONNECTION
+                                                            : Outcome.TIMED_OUT;
+                                    if (guide != null) {
+                                        guide.probed(
+                                                name,
+                                                outcome,
+                                                report.orElseGet(Report::new),
+                                                now());
+                                    }
+                                    brain.probed(name, outcome, report.orElseGet(Report::new));
+                                }
+                            });
+                });
     }
 
     @Override
     public void wake(double after, long token) {
-        line.after(after, () -> {
-            if (!dead) {
-                brain.woke(token);
-            }
-        });
+        line.after(
+                after,
+                () -> {
+                    if (!dead) {
+                        brain.woke(token);
+                    }
+                });
     }
 
     // ---- The list
@@ -380,13 +424,15 @@
             return;
         }
         watching = true;
-        line.after(2 * plan.near, () -> {
-            if (!dead && world.registry.down()) {
-                listFailed();
-            } else if (!dead) {
-                tell();
-            }
-        });
+        line.after(
+                2 * plan.near,
+                () -> {
+                    if (!dead && world.registry.down()) {
+                        listFailed();
+                    } else if (!dead) {
+                        tell();
+                    }
+                });
     }
 
     void tell() {
@@ -410,7 +456,10 @@
 
     // ---- Time
 
-    /** What stands on a server that says nothing: the module hears of it, and at last the client is moved. */
+    /**
+     * What stands on a server that says nothing: the module hears of it, and at last the client is
+     * moved.
+     */
     private void sweep() {
         if (dead) {
             return;
@@ -435,8 +484,10 @@
 
     private void heedSilence(Passage p) {
         if (Double.isNaN(p.silentSince)) {
-            // Its client says a line every so often: the next one is the first that nothing answers.
-            p.silentSince = line.now() + plan.messageEvery * (p.of.client.born.key() >>> 40) / (1 << 24);
+            // Its client says a line every so often: the next one is the first that nothing
+            // answers.
+            p.silentSince =
+                    line.now() + plan.messageEvery * (p.of.client.born.key() >>> 40) / (1 << 24);
             p.told = 0;
         }
         double waits = line.now() - p.silentSince;
@@ -471,7 +522,10 @@
         passages.clear();
     }
 
-    /** Told to end: newcomers are still answered, what is pending is settled, whoever stands is moved late. */
+    /**
+     * Told to end: newcomers are still answered, what is pending is settled, whoever stands is
+     * moved late.
+     */
     void leave() {
         leavingSince = line.now();
         leaving();
--- a/lab/src/main/java/asterpulley/lab/plan/Plan.java
+++ b/lab/src/main/java/asterpulley/lab/plan/Plan.java
@@ -9,15 +9,22 @@
 import java.util.Map;
 
 /**
- * What an experiment asks for: a world, its load, a timetable of faults and what is expected of the run. Plain values,
- * read once and never changed; all times are seconds, all loads are mean loads of a tunnel.
+ * What an experiment asks for: a world, its load, a timetable of faults and what is expected of the
+ * run. Plain values, read once and never changed; all times are seconds, all loads are mean loads
+ * of a tunnel.
  */
 public final class Plan {
     public static final class ProfilePlan {
         public String name = "live";
         public Settings.Kind effect = Settings.Kind.REPEATABLE;
         public Settings.Reach reach = Settings.Reach.ALL;
-        public double share = 1, setupGoal = 0.5, clientTimeout = 2, credit = 1, lifetime = 20, load = 1, window = 5;
+        public double share = 1,
+                setupGoal = 0.5,
+                clientTimeout = 2,
+                credit = 1,
+                lifetime = 20,
+                load = 1,
+                window = 5;
         public int retries = 3;
     }
 
@@ -37,7 +44,15 @@
 
     public static final class Fault {
         public String kind;
-        public double at, lasts = 5, factor = 5, share = 1, step = 5, drain = 6, down = 1, within = 1, spill = Double.NaN;
+        public double at,
+                lasts = 5,
+                factor = 5,
+                share = 1,
+                step = 5,
+                drain = 6,
+                down = 1,
+                within = 1,
+                spill = Double.NaN;
         public int count;
         public List<String> servers = new ArrayList<>();
         public List<String> relays = new ArrayList<>();
@@ -60,14 +75,15 @@
     public String name, title, on = "sockets";
     public long seed = 1;
     public double length = 20, settle = 3;
-
     public double arrivals = 20, standing = 0, swing = 0, messageEvery = 2, messageGoal = 0.25;
     public int groups;
     public double groupCost = 2;
 
     public List<String> rooms = new ArrayList<>();
+
     /** The part of the clients whose home each room is. */
     public List<Double> roomShares = new ArrayList<>();
+
     public double near = 0.0005, delay = 0.01;
     public final List<ProfilePlan> profiles = new ArrayList<>();
     public final List<CustomerPlan> customers = new ArrayList<>();
@@ -83,7 +99,10 @@
     public double crossingFee = 0.02, probeFee;
     public boolean reportsHeld;
     public double storeRate;
-    /** What relays are told of pools; null: nothing narrows their choice. A fault may bring another. */
+
+    /**
+     * What relays are told of pools; null: nothing narrows their choice. A fault may bring another.
+     */
     public Map<String, Object> routes;
 
     /** What a relay of this world is told, as the module reads it. */
@@ -93,10 +112,15 @@
 
     /** The same of pools; null where it is told nothing of them. */
     public Charter charter(int room) {
-        return routes == null ? null : CharterDecoder.charter(routes, room, Told.settings(this, room));
+        return routes == null
+                ? null
+                : CharterDecoder.charter(routes, room, Told.settings(this, room));
     }
 
-    /** Everything in half the time: the load lasts half as long, and what goes wrong does so twice as soon. */
+    /**
+     * Everything in half the time: the load lasts half as long, and what goes wrong does so twice
+     * as soon.
+     */
     public void halve() {
         length /= 2;
         for (Fault f : faults) {
--- a/lab/src/main/java/asterpulley/lab/plan/PlanReader.java
+++ b/lab/src/main/java/asterpulley/lab/plan/PlanReader.java
@@ -12,19 +12,42 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads an experiment's file into a plan. Every fault of the file is told by the sheet that it comes from; what the
- * sheet can't see (a room that nobody named, a fault without a target, a figure that no run gives) is told here.
+ * Reads an experiment's file into a plan. Every fault of the file is told by the sheet that it
+ * comes from; what the sheet can't see (a room that nobody named, a fault without a target, a
+ * figure that no run gives) is told here.
  */
 public final class PlanReader {
-    public static final String[] FAULTS = {"silent", "no-answer", "refuse", "reset", "slow", "errors", "vanish", "crash",
-        "drain", "deploy", "store-slow", "room-cut", "room-dark", "list-down", "list-late", "relay-kill",
-        "relay-restart", "relay-cut", "reload", "reconnect", "crowd"};
-    public static final String[] BASELINES = {"random", "round-robin", "least-own", "two-choices", "priority", "no-routes", "ideal"};
-    private static final Pattern EXPECT = Pattern.compile("\\s*([a-z0-9_.-]+)\\s*(<=|>=|<|>|=)\\s*(-?[0-9.]+)\\s*");
+    public static final String[] FAULTS = {
+        "silent",
+        "no-answer",
+        "refuse",
+        "reset",
+        "slow",
+        "errors",
+        "vanish",
+        "crash",
+        "drain",
+        "deploy",
+        "store-slow",
+        "room-cut",
+        "room-dark",
+        "list-down",
+        "list-late",
+        "relay-kill",
+        "relay-restart",
+        "relay-cut",
+        "reload",
+        "reconnect",
+        "crowd"
+    };
+    public static final String[] BASELINES = {
+        "random", "round-robin", "least-own", "two-choices", "priority", "no-routes", "ideal"
+    };
+    private static final Pattern EXPECT =
+            Pattern.compile("\\s*([a-z0-9_.-]+)\\s*(<=|>=|<|>|=)\\s*(-?[0-9.]+)\\s*");
     private static final double LONG = 1e5, MANY = 1e7;
 
-    private PlanReader() {
-    }
+    private PlanReader() {}
 
     /** Reads the whole of it; ask the sheet for its problems before the plan is used. */
     public static Plan read(Sheet sheet, String name) {
@@ -43,7 +66,8 @@
         servers(root, plan);
         Part list = root.part("list");
         plan.toldFrom = list.number("told_from_s", plan.toldFrom, 0, 60);
-        plan.toldTo = list.number("told_to_s", Math.max(plan.toldFrom, plan.toldTo), plan.toldFrom, 60);
+        plan.toldTo =
+                list.number("told_to_s", Math.max(plan.toldFrom, plan.toldTo), plan.toldFrom, 60);
         plan.deemedTold = list.number("deemed_told_s", plan.deemedTold, 0.5, 600);
         Part rules = root.part("rules");
         plan.drainGrace = rules.number("drain_grace_s", plan.drainGrace, 0.01, 60);
@@ -53,8 +77,14 @@
         plan.crossingFee = fees.number("crossing", plan.crossingFee, 0, 1);
         plan.probeFee = fees.number("probe", plan.probeFee, 0, 1);
         plan.storeRate = root.part("store").number("rate_per_s", 0, 0, MANY);
-        plan.routes = PoolsFile.read(root, plan.rooms, plan.servers.stream().map(k -> k.kind).toList(),
-                plan.profiles.stream().map(q -> q.name).toList(), plan.relays, plan.servers.get(0).holds);
+        plan.routes =
+                PoolsFile.read(
+                        root,
+                        plan.rooms,
+                        plan.servers.stream().map(k -> k.kind).toList(),
+                        plan.profiles.stream().map(q -> q.name).toList(),
+                        plan.relays,
+                        plan.servers.get(0).holds);
         for (Part p : root.parts("fault")) {
             plan.faults.add(fault(p, plan));
         }
@@ -68,13 +98,19 @@
             if (List.of(BASELINES).contains(baseline)) {
                 plan.baselines.add(baseline);
             } else {
-                root.wrong("baselines", "'" + baseline + "' is none of " + String.join(", ", BASELINES), null);
+                root.wrong(
+                        "baselines",
+                        "'" + baseline + "' is none of " + String.join(", ", BASELINES),
+                        null);
             }
         }
         return plan;
     }
 
-    /** One line of what is expected; null, and told, where it is none or names a figure that no run gives. */
+    /**
+     * One line of what is expected; null, and told, where it is none or names a figure that no run
+     * gives.
+     */
     public static Plan.Expect expect(Part root, String text, Predicate<String> known) {
         Matcher m = EXPECT.matcher(text);
         if (!m.matches()) {
@@ -120,12 +156,20 @@
         for (Part p : root.parts("profile")) {
             Plan.ProfilePlan to = new Plan.ProfilePlan();
             to.name = p.need("name").text("name", "");
-            String effect = p.oneOf("effect", "repeatable", "repeatable", "referenced", "once-only");
+            String effect =
+                    p.oneOf("effect", "repeatable", "repeatable", "referenced", "once-only");
             to.effect = Settings.Kind.valueOf(effect.toUpperCase().replace('-', '_'));
-            to.reach = Settings.Reach.valueOf(p.oneOf("reach", "all", "all", "zone", "cell").toUpperCase());
+            to.reach =
+                    Settings.Reach.valueOf(
+                            p.oneOf("reach", "all", "all", "zone", "cell").toUpperCase());
             to.share = p.number("share", to.share, 0, MANY);
             to.setupGoal = p.number("setup_goal_s", to.setupGoal, 0.01, 60);
-            to.clientTimeout = p.number("client_timeout_s", Math.max(to.setupGoal, to.clientTimeout), to.setupGoal, 60);
+            to.clientTimeout =
+                    p.number(
+                            "client_timeout_s",
+                            Math.max(to.setupGoal, to.clientTimeout),
+                            to.setupGoal,
+                            60);
             to.credit = p.number("credit", to.credit, 0, MANY);
             to.lifetime = p.number("lifetime_s", to.lifetime, 0.1, LONG);
             to.load = p.number("load", to.load, 0.001, 1000);
@@ -154,7 +198,8 @@
         plan.memory = relays.whole("memory_mb", plan.memory, 32, 4096);
         plan.sockets = relays.whole("sockets", plan.sockets, 64, 200_000);
         plan.connectTimeout = relays.number("connect_timeout_s", plan.connectTimeout, 0.05, 30);
-        plan.longestRetryAfter = relays.number("longest_retry_after_s", plan.longestRetryAfter, 0, 600);
+        plan.longestRetryAfter =
+                relays.number("longest_retry_after_s", plan.longestRetryAfter, 0, 600);
         plan.frontNotice = relays.number("front_notice_s", plan.frontNotice, 0, 60);
     }
 
@@ -190,7 +235,9 @@
 
     private static String room(Part p, Plan plan) {
         String room = p.text("room", null);
-        return room == null || plan.rooms.contains(room) ? room : p.wrong("room", "'" + room + "' names no room", null);
+        return room == null || plan.rooms.contains(room)
+                ? room
+                : p.wrong("room", "'" + room + "' names no room", null);
     }
 
     private static Plan.Fault fault(Part p, Plan plan) {
@@ -218,11 +265,15 @@
         List<String> all = new ArrayList<>(names(plan));
         for (String pattern : f.servers) {
             if (all.stream().noneMatch(n -> matches(pattern, n))) {
-                p.wrong("servers", "'" + pattern + "' names no server; the first is " + all.get(0), null);
+                p.wrong(
+                        "servers",
+                        "'" + pattern + "' names no server; the first is " + all.get(0),
+                        null);
             }
         }
         for (String relay : f.relays) {
-            if (!relay.matches("r[0-9]+") || Integer.parseInt(relay.substring(1)) > plan.relays * plan.rooms.size()
+            if (!relay.matches("r[0-9]+")
+                    || Integer.parseInt(relay.substring(1)) > plan.relays * plan.rooms.size()
                     || relay.equals("r0")) {
                 p.wrong("relays", "'" + relay + "' names no relay; the first is r1", null);
             }
--- a/lab/src/main/java/asterpulley/lab/report/Outcome.java
+++ b/lab/src/main/java/asterpulley/lab/report/Outcome.java
@@ -6,12 +6,16 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What one play of a plan gave: its figures, what happened by the second, and which expectations held. */
+/**
+ * What one play of a plan gave: its figures, what happened by the second, and which expectations
+ * held.
+ */
 public final class Outcome {
     public final String carrier, policy;
     public final Map<String, Double> figures;
     public final List<double[]> rows;
     public final List<String> notes;
+
     /** Why there is no verdict; null where there is one. */
     public final String noVerdict;
 
--- a/lab/src/main/java/asterpulley/lab/sock/ClientLine.java
+++ b/lab/src/main/java/asterpulley/lab/sock/ClientLine.java
@@ -6,8 +6,8 @@
 import asterpulley.lab.world.World;
 
 /**
- * A client on a socket, for one try: says its opening, then its messages, and counts as served only the seconds whose
- * message came back in time. It must tell the world what it saw and nothing else.
+ * A client on a socket, for one try: says its opening, then its messages, and counts as served only
+ * the seconds whose message came back in time. It must tell the world what it saw and nothing else.
  */
 final class ClientLine implements Conn.Ear {
     private final Sockets carrier;
@@ -34,11 +34,23 @@
         }
         said = true;
         Client.Born born = of.client.born;
-        StringBuilder line = new StringBuilder("OPEN ").append(of.id()).append(' ').append(Long.toHexString(born.key()))
-                .append(" c=").append(plan.profiles.get(born.profile()).name)
-                .append(",t=").append(plan.customers.get(born.customer()).name)
-                .append(",d=").append(Math.max(1, Math.round((of.saidAt + of.patience - carrier.now()) * 1000)))
-                .append(",g=").append(born.group() >= 0 ? "g" + born.group() : "c" + of.client.number);
+        StringBuilder line =
+                new StringBuilder("OPEN ")
+                        .append(of.id())
+                        .append(' ')
+                        .append(Long.toHexString(born.key()))
+                        .append(" c=")
+                        .append(plan.profiles.get(born.profile()).name)
+                        .append(",t=")
+                        .append(plan.customers.get(born.customer()).name)
+                        .append(",d=")
+                        .append(
+                                Math.max(
+                                        1,
+                                        Math.round(
+                                                (of.saidAt + of.patience - carrier.now()) * 1000)))
+                        .append(",g=")
+                        .append(born.group() >= 0 ? "g" + born.group() : "c" + of.client.number);
         line.append(of.retry ? ",r=1" : "").append(of.again ? ",again=1" : "");
         up.say(line.toString());
     }
--- a/lab/src/main/java/asterpulley/lab/sock/Conn.java
+++ b/lab/src/main/java/asterpulley/lab/sock/Conn.java
@@ -8,16 +8,21 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 
-/** One connection of a stand-in, in lines. What is to be written waits here, unbounded: a run is bounded by its plan. */
+/**
+ * One connection of a stand-in, in lines. What is to be written waits here, unbounded: a run is
+ * bounded by its plan.
+ */
 public final class Conn {
     /** Who hears what comes. */
     public interface Ear {
-        default void up(Conn conn) {
-        }
+        default void up(Conn conn) {}
 
         void line(Conn conn, String line);
 
-        /** It ended: by a reset, or before it came up, or in order. Told once, and not for what this side ended. */
+        /**
+         * It ended: by a reset, or before it came up, or in order. Told once, and not for what this
+         * side ended.
+         */
         void ended(Conn conn, boolean broken);
     }
 
--- a/lab/src/main/java/asterpulley/lab/sock/Cost.java
+++ b/lab/src/main/java/asterpulley/lab/sock/Cost.java
@@ -16,13 +16,17 @@
 import java.util.Map;
 
 /**
- * Measures what a relay costs: the same load against stand-in servers directly and through one relay, in turn, in one
- * run; processor time a setup; memory a standing tunnel. Ratios are what it is for: machines are noisy. It must end
- * what it starts.
+ * Measures what a relay costs: the same load against stand-in servers directly and through one
+ * relay, in turn, in one run; processor time a setup; memory a standing tunnel. Ratios are what it
+ * is for: machines are noisy. It must end what it starts.
  */
 public final class Cost {
     private static final int SERVERS = 5;
-    /** For the memory, so many names stand for the same stand-ins: a relay must not decline for want of room. */
+
+    /**
+     * For the memory, so many names stand for the same stand-ins: a relay must not decline for want
+     * of room.
+     */
     private static final int NAMES = 600;
 
     private final PrintStream out;
@@ -34,7 +38,10 @@
         here = Sockets.ownAddress();
     }
 
-    /** A server that opens all at once and reports what it holds, far from full: what is measured is not its own. */
+    /**
+     * A server that opens all at once and reports what it holds, far from full: what is measured is
+     * not its own.
+     */
     private static final class Quick {
         private static final double ROOM = 20_000;
         private int held;
@@ -50,7 +57,12 @@
                         held++;
                         conn.say("UP r");
                     } else if (line.equals("STATS")) {
-                        conn.say(String.format(Locale.ROOT, "PONG x0=%.5f,rif=%d", (held + 1) / ROOM, held + 1));
+                        conn.say(
+                                String.format(
+                                        Locale.ROOT,
+                                        "PONG x0=%.5f,rif=%d",
+                                        (held + 1) / ROOM,
+                                        held + 1));
                     } else {
                         conn.say("ok " + line);
                     }
@@ -65,26 +77,31 @@
     }
 
     /** {@code names}: servers in the relay's list, for which the same few stand-ins answer. */
-    public static Map<String, Object> measure(double rate, double seconds, int rounds, int standing, int names, PrintStream out)
+    public static Map<String, Object> measure(
+            double rate, double seconds, int rounds, int standing, int names, PrintStream out)
             throws IOException {
         return new Cost(out).run(rate, seconds, rounds, standing, names);
     }
 
-    private Map<String, Object> run(double rate, double seconds, int rounds, int standing, int names) throws IOException {
+    private Map<String, Object> run(
+            double rate, double seconds, int rounds, int standing, int names) throws IOException {
         Path folder = Files.createTempDirectory("asterpulley-cost");
         Pump stage = new Pump();
         for (int i = 0; i < SERVERS; i++) {
             Quick quick = new Quick();
             servers.add(stage.listen(new InetSocketAddress(here, 0), c -> quick.comes()).address);
         }
-        Thread thread = new Thread(() -> {
-            try {
-                stage.run(Double.MAX_VALUE);
-            } catch (IOException | RuntimeException e) {
-                // The stage ends with the run; what it owed is seen by the tool as broken.
-                return;
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                stage.run(Double.MAX_VALUE);
+                            } catch (IOException | RuntimeException e) {
+                                // The stage ends with the run; what it owed is seen by the tool as
+                                // broken.
+                                return;
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
         InetSocketAddress at = new InetSocketAddress(here, 9_000);
@@ -94,7 +111,9 @@
             ready(at);
             compare(at, relay, rate, seconds, rounds, all);
             relay.kill();
-            relay = RelayProcess.start(folder, "memory", config(at, Math.max(NAMES, names)), 512, at);
+            relay =
+                    RelayProcess.start(
+                            folder, "memory", config(at, Math.max(NAMES, names)), 512, at);
             ready(at);
             memory(at, relay, standing, all);
             return all;
@@ -116,12 +135,37 @@
         plan.servers.add(new Plan.ServerPlan());
         List<Object> hosts = new ArrayList<>();
         for (int i = 0; i < names; i++) {
-            hosts.add(Told.map("host", "s" + i, "dial", Sockets.text(servers.get(i % SERVERS)), "site", "here", "class", "feed",
-                    "block", 0, "health", "up", "share", 1.0, "born_ms", 0));
+            hosts.add(
+                    Told.map(
+                            "host",
+                            "s" + i,
+                            "dial",
+                            Sockets.text(servers.get(i % SERVERS)),
+                            "site",
+                            "here",
+                            "class",
+                            "feed",
+                            "block",
+                            0,
+                            "health",
+                            "up",
+                            "share",
+                            1.0,
+                            "born_ms",
+                            0));
         }
-        Map<String, Object> config = Told.map("name", "cost", "listen", Sockets.text(at), "seed", "1",
-                "limits", Told.map("memory_mb", 512, "sockets", 60_000),
-                "known", Told.map("seq", 1, "whole", true, "hosts", hosts));
+        Map<String, Object> config =
+                Told.map(
+                        "name",
+                        "cost",
+                        "listen",
+                        Sockets.text(at),
+                        "seed",
+                        "1",
+                        "limits",
+                        Told.map("memory_mb", 512, "sockets", 60_000),
+                        "known",
+                        Told.map("seq", 1, "whole", true, "hosts", hosts));
         config.put("settings", Told.settings(plan, 0));
         return config;
     }
@@ -141,7 +185,8 @@
         throw new IOException("the relay did not become ready");
     }
 
-    private LoadTool drive(InetSocketAddress to, double rate, double seconds, double life) throws IOException {
+    private LoadTool drive(InetSocketAddress to, double rate, double seconds, double life)
+            throws IOException {
         LoadTool.Order order = new LoadTool.Order();
         order.to = to;
         order.rate = rate;
@@ -150,8 +195,14 @@
         return LoadTool.drive(order);
     }
 
-    private void compare(InetSocketAddress at, RelayProcess relay, double rate, double seconds, int rounds,
-            Map<String, Object> all) throws IOException {
+    private void compare(
+            InetSocketAddress at,
+            RelayProcess relay,
+            double rate,
+            double seconds,
+            int rounds,
+            Map<String, Object> all)
+            throws IOException {
         // One round of each warms up and counts for nothing.
         drive(servers.get(0), rate, seconds / 2, 0.2);
         drive(at, rate, seconds / 2, 0.2);
@@ -165,14 +216,24 @@
             double before = relay.cpu();
             LoadTool through = drive(at, rate, seconds, 0.2);
             cpu[i] = (relay.cpu() - before) / Math.max(1, through.opened) * 1e6;
-            p50[i] = through.setups.getValueAtPercentile(50) / (double) direct.setups.getValueAtPercentile(50);
-            p99[i] = through.setups.getValueAtPercentile(99) / (double) direct.setups.getValueAtPercentile(99);
+            p50[i] =
+                    through.setups.getValueAtPercentile(50)
+                            / (double) direct.setups.getValueAtPercentile(50);
+            p99[i] =
+                    through.setups.getValueAtPercentile(99)
+                            / (double) direct.setups.getValueAtPercentile(99);
             declined += through.declined + through.errors + through.broken;
             worth &= direct.worthIt() && through.worthIt();
-            out.printf(Locale.ROOT, "  round %d: direct p50 %.2f ms, p99 %.2f ms; through the relay %.2f ms, %.2f ms; %.0f us"
-                    + " of processor a setup%n", i + 1, direct.setups.getValueAtPercentile(50) / 1e3,
-                    direct.setups.getValueAtPercentile(99) / 1e3, through.setups.getValueAtPercentile(50) / 1e3,
-                    through.setups.getValueAtPercentile(99) / 1e3, cpu[i]);
+            out.printf(
+                    Locale.ROOT,
+                    "  round %d: direct p50 %.2f ms, p99 %.2f ms; through the relay %.2f ms, %.2f ms; %.0f us"
+                            + " of processor a setup%n",
+                    i + 1,
+                    direct.setups.getValueAtPercentile(50) / 1e3,
+                    direct.setups.getValueAtPercentile(99) / 1e3,
+                    through.setups.getValueAtPercentile(50) / 1e3,
+                    through.setups.getValueAtPercentile(99) / 1e3,
+                    cpu[i]);
         }
         all.put("rate_per_s", rate);
         all.put("kept_pace", worth);
@@ -184,23 +245,26 @@
     }
 
     /** What is in use on the heap, after a collection, with nothing standing and with many. */
-    private void memory(InetSocketAddress at, RelayProcess relay, int standing, Map<String, Object> all)
+    private void memory(
+            InetSocketAddress at, RelayProcess relay, int standing, Map<String, Object> all)
             throws IOException {
         drive(at, standing / 10.0, 4, 0.2);
         double before = relay.heap();
         double resident = relay.resident();
         double seconds = Math.max(4, standing / 800.0);
         double[] during = {Double.NaN, Double.NaN};
-        Thread watcher = new Thread(() -> {
-            try {
-                Thread.sleep((long) ((seconds + 1) * 1000));
-                during[0] = relay.heap();
-                during[1] = relay.resident();
-            } catch (InterruptedException | IOException e) {
-                // The figure stays unknown.
-                return;
-            }
-        });
+        Thread watcher =
+                new Thread(
+                        () -> {
+                            try {
+                                Thread.sleep((long) ((seconds + 1) * 1000));
+                                during[0] = relay.heap();
+                                during[1] = relay.resident();
+                            } catch (InterruptedException | IOException e) {
+                                // The figure stays unknown.
+                                return;
+                            }
+                        });
         watcher.start();
         LoadTool held = drive(at, standing / seconds, seconds, seconds + 4);
         try {
--- a/lab/src/main/java/asterpulley/lab/sock/Deliveries.java
+++ b/lab/src/main/java/asterpulley/lab/sock/Deliveries.java
@@ -19,43 +19,62 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures what a relay pays for deliveries, the lines that servers send to standing clients: processor time a line by the
- * size of a line, their rate and the number of connections; processor time, probes and heap of a relay on which nothing but control
- * passes, by servers and connections; and a topic's burst, one line to each of the relay's clients at once, through the relay and without it. Servers and clients have a thread each, the relay is a
- * process of its own. It must end what it starts, and say so where it could not keep its own pace or a line was lost.
+ * Measures what a relay pays for deliveries, the lines that servers send to standing clients:
+ * processor time a line by the size of a line, their rate and the number of connections; processor
+ * time, probes and heap of a relay on which nothing but control passes, by servers and connections;
+ * and a topic's burst, one line to each of the relay's clients at once, through the relay and
+ * without it. Servers and clients have a thread each, the relay is a process of its own. It must
+ * end what it starts, and say so where it could not keep its own pace or a line was lost.
  */
 public final class Deliveries {
     /** What to measure. */
     public static final class Order {
         public List<Integer> standing = List.of(100, 1000), sizes = List.of(64, 256, 1024, 4096);
+
         /** Names in the relay's list; a few stand-ins answer for all of them. */
         public List<Integer> servers = List.of(5);
+
         public List<Double> rates = List.of(5000.0);
-        /** So long nothing is sent, to see what a relay costs that only stands: its timers and its probes. */
+
+        /**
+         * So long nothing is sent, to see what a relay costs that only stands: its timers and its
+         * probes.
+         */
         public double quiet = 10;
+
         public double seconds = 1.5;
         public int rounds = 3, bursts = 5;
 
         /** How long the measured parts take at the least, which is what bounds a run. */
         public double length() {
-            return servers.size() * standing.size() * (SETTLE + quiet + rates.size() * sizes.size() * (rounds + 0.5) * seconds
-                    + 2 * bursts * BETWEEN);
+            return servers.size()
+                    * standing.size()
+                    * (SETTLE
+                            + quiet
+                            + rates.size() * sizes.size() * (rounds + 0.5) * seconds
+                            + 2 * bursts * BETWEEN);
         }
     }
 
     /** The smallest line: its word, its time, its end. */
     public static final int SMALLEST = 32, LARGEST = 4096;
+
     static final int PORT = 9_100;
     private static final int STAND_INS = 5;
     private static final int MEMORY = 512;
     private static final double TICK = 0.001;
+
     /** So many connections are opened at once, and so much time lies between two bursts. */
     private static final int AT_ONCE = 50;
+
     private static final double BETWEEN = 0.5;
+
     /** Servers that are used anew are sought sooner than they will be. */
     private static final double SETTLE = 2;
+
     /** After this, what has not come is lost. */
     private static final double PATIENCE = 5;
+
     private static final long LONGEST = 60_000_000L;
 
     private final Order order;
@@ -96,7 +115,10 @@
         return end < 0 ? -1 : Long.parseLong(line.substring(2, end));
     }
 
-    /** All servers' sides, on the stage's thread: writes at the rate that is asked for, or to all at once. */
+    /**
+     * All servers' sides, on the stage's thread: writes at the rate that is asked for, or to all at
+     * once.
+     */
     private final class Source {
         private final List<Conn> standing = new ArrayList<>();
         private int next;
@@ -119,7 +141,12 @@
                         held = standing.size();
                         conn.say("UP s");
                     } else if (line.equals("STATS")) {
-                        String report = String.format(Locale.ROOT, "PONG x0=%.6f,rif=%d", standing.size() / 1e6, standing.size());
+                        String report =
+                                String.format(
+                                        Locale.ROOT,
+                                        "PONG x0=%.6f,rif=%d",
+                                        standing.size() / 1e6,
+                                        standing.size());
                         conn.say(report);
                         probeBytes += "STATS".length() + report.length() + 4;
                         probes++;
@@ -138,7 +165,8 @@
 
         private void tick() {
             double now = stage.now();
-            // What fell due while this thread stood still is sent late, but not all at once in one burst.
+            // What fell due while this thread stood still is sent late, but not all at once in one
+            // burst.
             owed = Math.min(owed + rate * (now - last), Math.max(1, rate * 0.05));
             last = now;
             long n = sent;
@@ -185,44 +213,65 @@
             }
             until(() -> up + broken >= wanted, Math.max(PATIENCE, wanted / 200.0));
             if (up < wanted) {
-                throw new IOException("only " + up + " of " + wanted + " connections stand, " + broken + " broke");
+                throw new IOException(
+                        "only "
+                                + up
+                                + " of "
+                                + wanted
+                                + " connections stand, "
+                                + broken
+                                + " broke");
             }
         }
 
         private void one() {
             int n = begun++;
-            conns.add(clients.connect(to[n % to.length], new Conn.Ear() {
-                private boolean open;
-
-                @Override
-                public void up(Conn conn) {
-                    String id = Long.toHexString(System.nanoTime() & 0xffffffffL) + Integer.toHexString(n);
-                    conn.say("OPEN " + id + " " + id + " c=live,t=all,d=3000" + (named ? ",at=s" + n % names : ""));
-                }
-
-                @Override
-                public void line(Conn conn, String line) {
-                    long at = written(line);
-                    if (at >= 0) {
-                        lastAt = System.nanoTime();
-                        delays.recordValue(Math.max(0, Math.min(LONGEST, (lastAt - at) / 1000)));
-                        received++;
-                    } else if (line.startsWith("UP ") && !open) {
-                        open = true;
-                        up++;
-                        more();
-                    } else {
-                        ended(conn, true);
-                        conn.close();
-                    }
-                }
-
-                @Override
-                public void ended(Conn conn, boolean wasBroken) {
-                    broken++;
-                    more();
-                }
-            }));
+            conns.add(
+                    clients.connect(
+                            to[n % to.length],
+                            new Conn.Ear() {
+                                private boolean open;
+
+                                @Override
+                                public void up(Conn conn) {
+                                    String id =
+                                            Long.toHexString(System.nanoTime() & 0xffffffffL)
+                                                    + Integer.toHexString(n);
+                                    conn.say(
+                                            "OPEN "
+                                                    + id
+                                                    + " "
+                                                    + id
+                                                    + " c=live,t=all,d=3000"
+                                                    + (named ? ",at=s" + n % names : ""));
+                                }
+
+                                @Override
+                                public void line(Conn conn, String line) {
+                                    long at = written(line);
+                                    if (at >= 0) {
+                                        lastAt = System.nanoTime();
+                                        delays.recordValue(
+                                                Math.max(
+                                                        0,
+                                                        Math.min(LONGEST, (lastAt - at) / 1000)));
+                                        received++;
+                                    } else if (line.startsWith("UP ") && !open) {
+                                        open = true;
+                                        up++;
+                                        more();
+                                    } else {
+                                        ended(conn, true);
+                                        conn.close();
+                                    }
+                                }
+
+                                @Override
+                                public void ended(Conn conn, boolean wasBroken) {
+                                    broken++;
+                                    more();
+                                }
+                            }));
         }
 
         private void more() {
@@ -259,22 +308,28 @@
             servers.add(stage.listen(new InetSocketAddress(here, 0), c -> source.comes()).address);
         }
         stage.after(TICK, source::tick);
-        Thread thread = new Thread(() -> {
-            try {
-                stage.run(Double.MAX_VALUE);
-            } catch (IOException | RuntimeException e) {
-                // The stage ends with the run; lines that it owed are counted as lost.
-                return;
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                stage.run(Double.MAX_VALUE);
+                            } catch (IOException | RuntimeException e) {
+                                // The stage ends with the run; lines that it owed are counted as
+                                // lost.
+                                return;
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
         InetSocketAddress at = new InetSocketAddress(here, PORT);
-        List<Map<String, Object>> paced = new ArrayList<>(), standing = new ArrayList<>(), bursts = new ArrayList<>();
+        List<Map<String, Object>> paced = new ArrayList<>(),
+                standing = new ArrayList<>(),
+                bursts = new ArrayList<>();
         try {
             for (int of : order.servers) {
                 names = of;
-                RelayProcess relay = RelayProcess.start(folder, "relay" + of, config(at), MEMORY, at);
+                RelayProcess relay =
+                        RelayProcess.start(folder, "relay" + of, config(at), MEMORY, at);
                 try {
                     ready(at, relay);
                     double before = heap(relay);
@@ -300,8 +355,15 @@
         return all;
     }
 
-    private void one(InetSocketAddress at, RelayProcess relay, int n, double heapBefore, double residentBefore,
-            List<Map<String, Object>> standing, List<Map<String, Object>> paced, List<Map<String, Object>> bursts)
+    private void one(
+            InetSocketAddress at,
+            RelayProcess relay,
+            int n,
+            double heapBefore,
+            double residentBefore,
+            List<Map<String, Object>> standing,
+            List<Map<String, Object>> paced,
+            List<Map<String, Object>> bursts)
             throws IOException {
         Crowd crowd = new Crowd(n, true, at);
         crowd.stand();
@@ -314,22 +376,54 @@
         pass(order.quiet);
         double took = clients.now() - from;
         double idle = (relay.cpu() - quiet) / took;
-        standing.add(Told.map("servers", names, "standing", n, "idle_core_share", idle, "probes_per_s",
-                (source.probes - probes) / took, "probe_bytes_per_s", (source.probeBytes - bytes) / took, "heap_mb", heap / (1 << 20),
-                "heap_bytes_per_connection", (heap - heapBefore) / n, "rss_bytes_per_connection",
-                (relay.resident() - residentBefore) / n));
-        out.printf(Locale.ROOT, "%d standing at %d servers: %.2f%% of a core with nothing sent, %.0f probes and %.0f bytes of them a"
-                + " second, heap %.1f MB, %.0f bytes each%n", n, names, idle * 100, (source.probes - probes) / took,
-                (source.probeBytes - bytes) / took, heap / (1 << 20), (heap - heapBefore) / n);
+        standing.add(
+                Told.map(
+                        "servers",
+                        names,
+                        "standing",
+                        n,
+                        "idle_core_share",
+                        idle,
+                        "probes_per_s",
+                        (source.probes - probes) / took,
+                        "probe_bytes_per_s",
+                        (source.probeBytes - bytes) / took,
+                        "heap_mb",
+                        heap / (1 << 20),
+                        "heap_bytes_per_connection",
+                        (heap - heapBefore) / n,
+                        "rss_bytes_per_connection",
+                        (relay.resident() - residentBefore) / n));
+        out.printf(
+                Locale.ROOT,
+                "%d standing at %d servers: %.2f%% of a core with nothing sent, %.0f probes and %.0f bytes of them a"
+                        + " second, heap %.1f MB, %.0f bytes each%n",
+                n,
+                names,
+                idle * 100,
+                (source.probes - probes) / took,
+                (source.probeBytes - bytes) / took,
+                heap / (1 << 20),
+                (heap - heapBefore) / n);
         for (double rate : order.rounds > 0 ? order.rates : List.<Double>of()) {
             for (int size : order.sizes) {
                 // Half a round warms up and counts for nothing.
                 paced(crowd, relay, n, size, rate, order.seconds / 2, 1, idle);
-                Map<String, Object> row = paced(crowd, relay, n, size, rate, order.seconds, order.rounds, idle);
+                Map<String, Object> row =
+                        paced(crowd, relay, n, size, rate, order.seconds, order.rounds, idle);
                 paced.add(row);
-                out.printf(Locale.ROOT, "  %5d bytes, %6.0f a second (%6.0f kept): %5.1f us of processor a line (%.1f to %.1f),"
-                        + " delay p50 %.2f, p99 %.2f ms%n", size, rate, row.get("kept_per_s"), row.get("cpu_us_per_line"),
-                        row.get("cpu_us_per_line_least"), row.get("cpu_us_per_line_most"), row.get("p50_ms"), row.get("p99_ms"));
+                out.printf(
+                        Locale.ROOT,
+                        "  %5d bytes, %6.0f a second (%6.0f kept): %5.1f us of processor a line (%.1f to %.1f),"
+                                + " delay p50 %.2f, p99 %.2f ms%n",
+                        size,
+                        rate,
+                        row.get("kept_per_s"),
+                        row.get("cpu_us_per_line"),
+                        row.get("cpu_us_per_line_least"),
+                        row.get("cpu_us_per_line_most"),
+                        row.get("p50_ms"),
+                        row.get("p99_ms"));
             }
         }
         if (order.bursts == 0) {
@@ -346,12 +440,24 @@
         through.forEach((k, v) -> row.put("through_" + k, v));
         beside.forEach((k, v) -> row.put("direct_" + k, v));
         bursts.add(row);
-        out.printf(Locale.ROOT, "  a line of %d bytes to all %d at once: p99 %.1f ms, last %.1f ms (%.1f to %.1f); without the relay"
-                + " p99 %.1f, last %.1f ms%n", source.size, n, through.get("p99_ms"), through.get("last_ms"),
-                through.get("last_ms_least"), through.get("last_ms_most"), beside.get("p99_ms"), beside.get("last_ms"));
+        out.printf(
+                Locale.ROOT,
+                "  a line of %d bytes to all %d at once: p99 %.1f ms, last %.1f ms (%.1f to %.1f); without the relay"
+                        + " p99 %.1f, last %.1f ms%n",
+                source.size,
+                n,
+                through.get("p99_ms"),
+                through.get("last_ms"),
+                through.get("last_ms_least"),
+                through.get("last_ms_most"),
+                beside.get("p99_ms"),
+                beside.get("last_ms"));
     }
 
-    /** A collection leaves some of the dead in place but for every fourth time, and what was allocated since is in it: the least of four. */
+    /**
+     * A collection leaves some of the dead in place but for every fourth time, and what was
+     * allocated since is in it: the least of four.
+     */
     private static double heap(RelayProcess relay) throws IOException {
         double least = relay.heap();
         for (int i = 1; i < 4; i++) {
@@ -360,8 +466,16 @@
         return least;
     }
 
-    private Map<String, Object> paced(Crowd crowd, RelayProcess relay, int n, int size, double rate, double seconds,
-            int rounds, double idle) throws IOException {
+    private Map<String, Object> paced(
+            Crowd crowd,
+            RelayProcess relay,
+            int n,
+            int size,
+            double rate,
+            double seconds,
+            int rounds,
+            double idle)
+            throws IOException {
         double[] cpu = new double[rounds];
         double[] kept = new double[rounds];
         double[] share = new double[rounds];
@@ -385,7 +499,20 @@
             kept[i] = lines / took;
             share[i] = used / took;
         }
-        Map<String, Object> row = Told.map("servers", names, "standing", n, "bytes", size, "rate_per_s", rate, "lines", all, "measured", crowd.delays.getTotalCount());
+        Map<String, Object> row =
+                Told.map(
+                        "servers",
+                        names,
+                        "standing",
+                        n,
+                        "bytes",
+                        size,
+                        "rate_per_s",
+                        rate,
+                        "lines",
+                        all,
+                        "measured",
+                        crowd.delays.getTotalCount());
         spread(row, "kept_per_s", kept);
         spread(row, "cpu_us_per_line", cpu);
         spread(row, "core_share", share);
@@ -450,12 +577,37 @@
         plan.servers.add(new Plan.ServerPlan());
         List<Object> hosts = new ArrayList<>();
         for (int i = 0; i < names; i++) {
-            hosts.add(Told.map("host", "s" + i, "dial", Sockets.text(servers.get(i % STAND_INS)), "site", "here", "class", "feed",
-                    "block", 0, "health", "up", "share", 1.0, "born_ms", 0));
+            hosts.add(
+                    Told.map(
+                            "host",
+                            "s" + i,
+                            "dial",
+                            Sockets.text(servers.get(i % STAND_INS)),
+                            "site",
+                            "here",
+                            "class",
+                            "feed",
+                            "block",
+                            0,
+                            "health",
+                            "up",
+                            "share",
+                            1.0,
+                            "born_ms",
+                            0));
         }
-        Map<String, Object> config = Told.map("name", "deliveries", "listen", Sockets.text(at), "seed", "1",
-                "limits", Told.map("memory_mb", MEMORY, "sockets", 60_000),
-                "known", Told.map("seq", 1, "whole", true, "hosts", hosts));
+        Map<String, Object> config =
+                Told.map(
+                        "name",
+                        "deliveries",
+                        "listen",
+                        Sockets.text(at),
+                        "seed",
+                        "1",
+                        "limits",
+                        Told.map("memory_mb", MEMORY, "sockets", 60_000),
+                        "known",
+                        Told.map("seq", 1, "whole", true, "hosts", hosts));
         config.put("settings", Told.settings(plan, 0));
         return config;
     }
@@ -471,7 +623,8 @@
             one.leave();
             pass(0.05);
         }
-        throw new IOException(relay.alive() ? "the relay did not become ready" : "the relay ended by itself");
+        throw new IOException(
+                relay.alive() ? "the relay did not become ready" : "the relay ended by itself");
     }
 
     private static void spread(Map<String, Object> all, String name, double[] of) {
@@ -484,7 +637,8 @@
 
     /** The list of whole numbers or numbers that an option holds is not empty and within bounds. */
     public static boolean within(List<? extends Number> all, double least, double most) {
-        return !all.isEmpty() && Collections.min(all.stream().map(Number::doubleValue).toList()) >= least
+        return !all.isEmpty()
+                && Collections.min(all.stream().map(Number::doubleValue).toList()) >= least
                 && Collections.max(all.stream().map(Number::doubleValue).toList()) <= most;
     }
 }
--- a/lab/src/main/java/asterpulley/lab/sock/ListStandIn.java
+++ b/lab/src/main/java/asterpulley/lab/sock/ListStandIn.java
@@ -8,8 +8,9 @@
 import java.util.regex.Pattern;
 
 /**
- * The words of the service of the server list, or of another thing that relays watch, towards one caller: reads its
- * calls, lets one wait for news and answers. It must tell only what its service knows.
+ * The words of the service of the server list, or of another thing that relays watch, towards one
+ * caller: reads its calls, lets one wait for news and answers. It must tell only what its service
+ * knows.
  */
 public final class ListStandIn implements Conn.Ear {
     /** What is told, and who hears of it that it was. */
@@ -25,17 +26,14 @@
         Answer since(long version);
 
         /** So many bytes came with a call, or went out with an answer. */
-        default void traffic(int in, int out) {
-        }
+        default void traffic(int in, int out) {}
 
         /** Its connection ended. */
-        default void left(ListStandIn caller) {
-        }
+        default void left(ListStandIn caller) {}
     }
 
     /** An answer's body, and what is to be done once it is on its way. */
-    public record Answer(byte[] body, Runnable told) {
-    }
+    public record Answer(byte[] body, Runnable told) {}
 
     private static final String LIST = "instances";
     private static final byte[] NOTHING = "{}".getBytes(StandardCharsets.ISO_8859_1);
@@ -57,7 +55,11 @@
     public ListStandIn(Pump pump, Service service, String watched) {
         this.pump = pump;
         this.service = service;
-        calls = Pattern.compile("GET /registry/" + watched + "(?:\\?index=([0-9]+)&wait=([0-9]+)(?:&epoch=[0-9]+)?)? HTTP/1.1");
+        calls =
+                Pattern.compile(
+                        "GET /registry/"
+                                + watched
+                                + "(?:\\?index=([0-9]+)&wait=([0-9]+)(?:&epoch=[0-9]+)?)? HTTP/1.1");
     }
 
     /** For a service that has an address for each caller. */
@@ -89,11 +91,13 @@
                 if (service.version() > since) {
                     news();
                 } else {
-                    pump.after(Long.parseLong(m.group(2)) / 1e3, () -> {
-                        if (waiting != null && called == n) {
-                            news();
-                        }
-                    });
+                    pump.after(
+                            Long.parseLong(m.group(2)) / 1e3,
+                            () -> {
+                                if (waiting != null && called == n) {
+                                    news();
+                                }
+                            });
                 }
             }
         }
@@ -131,8 +135,13 @@
     }
 
     private void say(Conn conn, String status, byte[] body) {
-        byte[] head = ("HTTP/1.1 " + status + "\r\nContent-Type: application/json\r\nContent-Length: " + body.length
-                + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1);
+        byte[] head =
+                ("HTTP/1.1 "
+                                + status
+                                + "\r\nContent-Type: application/json\r\nContent-Length: "
+                                + body.length
+                                + "\r\n\r\n")
+                        .getBytes(StandardCharsets.ISO_8859_1);
         byte[] all = Arrays.copyOf(head, head.length + body.length);
         System.arraycopy(body, 0, all, head.length, body.length);
         service.traffic(0, all.length);
--- a/lab/src/main/java/asterpulley/lab/sock/LoadTool.java
+++ b/lab/src/main/java/asterpulley/lab/sock/LoadTool.java
@@ -11,9 +11,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Drives any address that speaks the line protocol, a relay or a server, at a stated rate: openings are due at times
- * drawn before, and the time of each counts from then, so that a slow answer can't hide those behind it. It must stop by
- * itself, and say so where it could not keep its rate.
+ * Drives any address that speaks the line protocol, a relay or a server, at a stated rate: openings
+ * are due at times drawn before, and the time of each counts from then, so that a slow answer can't
+ * hide those behind it. It must stop by itself, and say so where it could not keep its rate.
  */
 public final class LoadTool {
     /** What to drive, and how. */
@@ -34,7 +34,11 @@
     public final Histogram setups = new Histogram(LONGEST, 3);
     public long meant, opened, declined, errors, broken, late;
     private int open;
-    /** Openings that are due but have to wait for another to end: each still counts from when it was due. */
+
+    /**
+     * Openings that are due but have to wait for another to end: each still counts from when it was
+     * due.
+     */
     private final ArrayDeque<Double> waiting = new ArrayDeque<>();
 
     private LoadTool(Order order) throws IOException {
@@ -100,18 +104,31 @@
             this.due = due;
             id = Long.toHexString(mark << 24 | number & 0xffffff);
             conn = pump.connect(order.to, this);
-            pump.after(order.patience, () -> {
-                if (!answered) {
-                    broken++;
-                    end();
-                }
-            });
+            pump.after(
+                    order.patience,
+                    () -> {
+                        if (!answered) {
+                            broken++;
+                            end();
+                        }
+                    });
         }
 
         @Override
         public void up(Conn up) {
-            up.say("OPEN " + id + " " + id + " c=" + order.profile + ",t=" + order.customer + ",d="
-                    + Math.round(order.patience * 1000) + ",g=" + id);
+            up.say(
+                    "OPEN "
+                            + id
+                            + " "
+                            + id
+                            + " c="
+                            + order.profile
+                            + ",t="
+                            + order.customer
+                            + ",d="
+                            + Math.round(order.patience * 1000)
+                            + ",g="
+                            + id);
         }
 
         @Override
@@ -122,7 +139,8 @@
             answered = true;
             if (line.startsWith("UP ")) {
                 opened++;
-                setups.recordValue(Math.max(0, Math.min(LONGEST, Math.round((pump.now() - due) * 1e6))));
+                setups.recordValue(
+                        Math.max(0, Math.min(LONGEST, Math.round((pump.now() - due) * 1e6))));
                 pump.after(order.life, this::end);
                 return;
             }
@@ -163,8 +181,12 @@
         all.put("broken", broken);
         all.put("started_late", late);
         for (double p : new double[] {50, 90, 99, 99.9}) {
-            all.put(String.format(Locale.ROOT, "setup_p%s_ms", p == Math.rint(p) ? Integer.toString((int) p)
-                    : Double.toString(p)), setups.getValueAtPercentile(p) / 1e3);
+            all.put(
+                    String.format(
+                            Locale.ROOT,
+                            "setup_p%s_ms",
+                            p == Math.rint(p) ? Integer.toString((int) p) : Double.toString(p)),
+                    setups.getValueAtPercentile(p) / 1e3);
         }
         all.put("setup_max_ms", setups.getMaxValue() / 1e3);
         all.put("own_late_share", lateShare());
--- a/lab/src/main/java/asterpulley/lab/sock/Pump.java
+++ b/lab/src/main/java/asterpulley/lab/sock/Pump.java
@@ -14,9 +14,9 @@
 import java.util.function.Function;
 
 /**
- * One thread that carries the sockets and timers of a laboratory run. It shares no code with the relay, so that a defect
- * there can't hide one here. It keeps count of how late it is itself: a run whose own clients and servers are late
- * measures nothing. It must never block.
+ * One thread that carries the sockets and timers of a laboratory run. It shares no code with the
+ * relay, so that a defect there can't hide one here. It keeps count of how late it is itself: a run
+ * whose own clients and servers are late measures nothing. It must never block.
  */
 public final class Pump implements Clock, Closeable {
     /** A listening socket. */
@@ -40,9 +40,12 @@
     }
 
     private static final double BEAT = 0.01;
+
     /** So late, a beat counts as missed. */
     private static final double LATE = 0.03;
+
     private static final int BACKLOG = 4096;
+
     /** So many connections are served before timers have their turn. */
     private static final int IN_A_ROW = 64;
 
@@ -158,7 +161,8 @@
     @SuppressWarnings("unchecked")
     private void accept(SelectionKey key) {
         try {
-            for (SocketChannel in = ((ServerSocketChannel) key.channel()).accept(); in != null;
+            for (SocketChannel in = ((ServerSocketChannel) key.channel()).accept();
+                    in != null;
                     in = ((ServerSocketChannel) key.channel()).accept()) {
                 in.configureBlocking(false);
                 in.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -167,13 +171,15 @@
                 conn.ear = ((Function<Conn, Conn.Ear>) key.attachment()).apply(conn);
             }
         } catch (IOException e) {
-            // The listening socket was closed, or no descriptor is left: whoever connected sees a reset.
+            // The listening socket was closed, or no descriptor is left: whoever connected sees a
+            // reset.
             return;
         }
     }
 
     /** Listens here; port 0 for any that is free. */
-    public Listening listen(InetSocketAddress at, Function<Conn, Conn.Ear> ears) throws IOException {
+    public Listening listen(InetSocketAddress at, Function<Conn, Conn.Ear> ears)
+            throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
--- a/lab/src/main/java/asterpulley/lab/sock/RelayConfig.java
+++ b/lab/src/main/java/asterpulley/lab/sock/RelayConfig.java
@@ -6,18 +6,30 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Writes what a relay process is told, under the platform's names. It must say nothing that the plan does not say. */
+/**
+ * Writes what a relay process is told, under the platform's names. It must say nothing that the
+ * plan does not say.
+ */
 public final class RelayConfig {
-    private RelayConfig() {
-    }
+    private RelayConfig() {}
 
-    static Map<String, Object> of(Plan plan, World world, int relay, String listen, String list, Map<String, Object> known) {
+    static Map<String, Object> of(
+            Plan plan,
+            World world,
+            int relay,
+            String listen,
+            String list,
+            Map<String, Object> known) {
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", "r" + (relay + 1));
         config.put("listen", listen);
         config.put("discovery", list);
-        config.put("seed", Long.toHexString(plan.seed * 1_000_003 + relay * 1009L + world.relayLife(relay)));
-        config.put("limits", Told.map("cores", 1.0, "memory_mb", plan.memory, "sockets", plan.sockets));
+        config.put(
+                "seed",
+                Long.toHexString(plan.seed * 1_000_003 + relay * 1009L + world.relayLife(relay)));
+        config.put(
+                "limits",
+                Told.map("cores", 1.0, "memory_mb", plan.memory, "sockets", plan.sockets));
         config.put("known", known);
         config.put("settings", Told.settings(plan, world.roomOfRelay(relay)));
         if (plan.routes != null) {
--- a/lab/src/main/java/asterpulley/lab/sock/RelayProcess.java
+++ b/lab/src/main/java/asterpulley/lab/sock/RelayProcess.java
@@ -17,14 +17,15 @@
 import java.util.regex.Pattern;
 
 /**
- * A real relay as a process of its own, started by this run and ended by it, also when the run is broken off. It must
- * never end a process that it did not start.
+ * A real relay as a process of its own, started by this run and ended by it, also when the run is
+ * broken off. It must never end a process that it did not start.
  */
 public final class RelayProcess {
     private static final Set<Process> OURS = ConcurrentHashMap.newKeySet();
 
     static {
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> OURS.forEach(Process::destroyForcibly)));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(() -> OURS.forEach(Process::destroyForcibly)));
     }
 
     private final Process process;
@@ -39,22 +40,41 @@
     }
 
     /** Starts one with this configuration; it listens at that address once it is ready. */
-    public static RelayProcess start(Path folder, String name, Map<String, Object> config, int memory,
-            InetSocketAddress address) throws IOException {
+    public static RelayProcess start(
+            Path folder,
+            String name,
+            Map<String, Object> config,
+            int memory,
+            InetSocketAddress address)
+            throws IOException {
         Path file = folder.resolve(name + ".json");
         Files.writeString(file, WorldList.text(config));
         int heap = Math.max(12, Math.min(2048, memory - memory / 8 - 44));
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xshare:auto", "-Xss512k",
-                "-Xmx" + heap + "m", "-XX:MaxDirectMemorySize=" + Math.max(8, memory / 16) + "m",
-                "-XX:MaxMetaspaceSize=32m", "-XX:ReservedCodeCacheSize=16m", "-XX:+ExitOnOutOfMemoryError",
-                "-cp", System.getProperty("java.class.path"), "asterpulley.serve.Main", "serve"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-XX:-UsePerfData",
+                                "-Xshare:auto",
+                                "-Xss512k",
+                                "-Xmx" + heap + "m",
+                                "-XX:MaxDirectMemorySize=" + Math.max(8, memory / 16) + "m",
+                                "-XX:MaxMetaspaceSize=32m",
+                                "-XX:ReservedCodeCacheSize=16m",
+                                "-XX:+ExitOnOutOfMemoryError",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "asterpulley.serve.Main",
+                                "serve"));
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("LB_CONFIG", file.toString());
         builder.environment().put("MALLOC_ARENA_MAX", "1");
         builder.redirectInput(ProcessBuilder.Redirect.from(new File("/dev/null")));
         builder.redirectErrorStream(true);
-        builder.redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve(name + ".log").toFile()));
+        builder.redirectOutput(
+                ProcessBuilder.Redirect.appendTo(folder.resolve(name + ".log").toFile()));
         Process process = builder.start();
         OURS.add(process);
         return new RelayProcess(process, file, address);
@@ -94,7 +114,8 @@
     /** Resident memory in bytes, where the system tells it; else NaN. */
     public double resident() {
         try {
-            for (String line : Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status"))) {
+            for (String line :
+                    Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status"))) {
                 if (line.startsWith("VmRSS:")) {
                     return Double.parseDouble(line.replaceAll("[^0-9]", "")) * 1024;
                 }
@@ -112,7 +133,9 @@
         String pid = Long.toString(process.pid());
         run(jcmd, pid, "GC.run");
         double used = 0;
-        Matcher m = Pattern.compile("(?:generation|space) +total [0-9]+K, used ([0-9]+)K").matcher(run(jcmd, pid, "GC.heap_info"));
+        Matcher m =
+                Pattern.compile("(?:generation|space) +total [0-9]+K, used ([0-9]+)K")
+                        .matcher(run(jcmd, pid, "GC.heap_info"));
         while (m.find()) {
             used += Double.parseDouble(m.group(1)) * 1024;
         }
--- a/lab/src/main/java/asterpulley/lab/sock/Sockets.java
+++ b/lab/src/main/java/asterpulley/lab/sock/Sockets.java
@@ -17,18 +17,22 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Carries a world on loopback sockets in real time: stand-in servers, server lists and clients, between which stand real
- * relay processes. Each run has an address and ports of its own. It must end whatever it started, and never call a run
- * good in which it was late itself.
+ * Carries a world on loopback sockets in real time: stand-in servers, server lists and clients,
+ * between which stand real relay processes. Each run has an address and ports of its own. It must
+ * end whatever it started, and never call a run good in which it was late itself.
  */
 public final class Sockets implements Carrier {
     /** Relays get so long to become ready. */
     private static final double READY = 30;
+
     private static final double WATCH = 0.05;
+
     /** So much slack the judge gives to clients that share a thread with all servers. */
     private static final double PACE = 0.1;
+
     /** Behind its own clock for more than this part of the time, a run measured itself. */
     public static final double LATE = 0.02;
+
     private static final AtomicInteger RUNS = new AtomicInteger();
 
     private final Plan plan;
@@ -46,8 +50,10 @@
     private final boolean[] leaving, awaited;
     private final Map<String, Try> tries = new HashMap<>();
     private double resident;
+
     /** Unix seconds at the pump's zero, and the pump's time at the world's. */
     private double zero, offset;
+
     private boolean started;
     private String trouble;
 
@@ -68,16 +74,25 @@
     /** A loopback address that is this process's own: two runs side by side share none. */
     public static InetAddress ownAddress() throws IOException {
         long pid = ProcessHandle.current().pid();
-        return InetAddress.getByAddress(new byte[] {127, (byte) (64 + (pid >> 16 & 63)), (byte) (pid >> 8),
-            (byte) Math.max(1, pid & 0xfe)});
+        return InetAddress.getByAddress(
+                new byte[] {
+                    127,
+                    (byte) (64 + (pid >> 16 & 63)),
+                    (byte) (pid >> 8),
+                    (byte) Math.max(1, pid & 0xfe)
+                });
     }
 
-    /** Plays the whole plan; the world then has the figures. Null where it could not be played; ask for the trouble. */
+    /**
+     * Plays the whole plan; the world then has the figures. Null where it could not be played; ask
+     * for the trouble.
+     */
     public World play() throws IOException {
         try {
             zero = System.currentTimeMillis() / 1e3 - pump.now();
             for (Server s : world.servers) {
-                servers.add(new StandIn(this, pump, world, s, tries, new InetSocketAddress(here, 0)));
+                servers.add(
+                        new StandIn(this, pump, world, s, tries, new InetSocketAddress(here, 0)));
             }
             for (int r = 0; r < relays.length; r++) {
                 int relay = r;
@@ -108,7 +123,10 @@
         }
     }
 
-    /** From here on the world's time is real time from when all were ready; what was listed before was no start. */
+    /**
+     * From here on the world's time is real time from when all were ready; what was listed before
+     * was no start.
+     */
     private void run() throws IOException {
         double before = pump.now();
         offset = before;
@@ -159,37 +177,44 @@
     }
 
     private Map<String, Object> config(int r) {
-        return RelayConfig.of(plan, world, r, text(relayAt(r)), text(listsAt.get(r)),
+        return RelayConfig.of(
+                plan,
+                world,
+                r,
+                text(relayAt(r)),
+                text(listsAt.get(r)),
                 lists.get(r).list(true, world.registry.whole()));
     }
 
     /** As the front does: a relay is there once it has answered. */
     private void check(int r) {
         RelayProcess asked = relays[r];
-        pump.connect(relayAt(r), new Conn.Ear() {
-            @Override
-            public void up(Conn conn) {
-                conn.say("PING");
-            }
-
-            @Override
-            public void line(Conn conn, String line) {
-                conn.close();
-                if (relays[r] == asked && awaited[r]) {
-                    awaited[r] = false;
-                    // What a start costs is not what serving costs.
-                    cpu[r] -= asked.cpu();
-                    serves(r);
-                }
-            }
-
-            @Override
-            public void ended(Conn conn, boolean broken) {
-                if (relays[r] == asked && awaited[r]) {
-                    pump.after(WATCH, () -> check(r));
-                }
-            }
-        });
+        pump.connect(
+                relayAt(r),
+                new Conn.Ear() {
+                    @Override
+                    public void up(Conn conn) {
+                        conn.say("PING");
+                    }
+
+                    @Override
+                    public void line(Conn conn, String line) {
+                        conn.close();
+                        if (relays[r] == asked && awaited[r]) {
+                            awaited[r] = false;
+                            // What a start costs is not what serving costs.
+                            cpu[r] -= asked.cpu();
+                            serves(r);
+                        }
+                    }
+
+                    @Override
+                    public void ended(Conn conn, boolean broken) {
+                        if (relays[r] == asked && awaited[r]) {
+                            pump.after(WATCH, () -> check(r));
+                        }
+                    }
+                });
     }
 
     private void serves(int r) {
@@ -215,8 +240,13 @@
                 relays[r] = null;
                 awaited[r] = false;
                 if (!leaving[r]) {
-                    trouble = "relay r" + (r + 1) + " ended by itself with status " + ended.status() + "; its log is in "
-                            + folder;
+                    trouble =
+                            "relay r"
+                                    + (r + 1)
+                                    + " ended by itself with status "
+                                    + ended.status()
+                                    + "; its log is in "
+                                    + folder;
                     pump.stop();
                     return;
                 }
@@ -327,7 +357,8 @@
     }
 
     void forget(Try t) {
-        // Setups of it may still be on their way to servers; they are told apart by it for a little longer.
+        // Setups of it may still be on their way to servers; they are told apart by it for a little
+        // longer.
         pump.after(10, () -> tries.remove(t.id()));
     }
 
