--- a/lab/src/main/java/asterpulley/lab/sock/StandIn.java
+++ b/lab/src/main/java/asterpulley/lab/sock/StandIn.java
@@ -11,8 +11,8 @@
 import java.util.Optional;
 
 /**
- * A server on a socket: reads openings, questions for load and clients' messages, and answers as the world's server
- * does. It must add nothing of its own but the words of the line protocol.
+ * A server on a socket: reads openings, questions for load and clients' messages, and answers as
+ * the world's server does. It must add nothing of its own but the words of the line protocol.
  */
 final class StandIn {
     private final Sockets carrier;
@@ -20,12 +20,23 @@
     private final World world;
     private final Server server;
     private final Map<String, Try> tries;
-    /** One address a relay, so that it is known who asks; nothing else tells that of a question for load. */
+
+    /**
+     * One address a relay, so that it is known who asks; nothing else tells that of a question for
+     * load.
+     */
     private final Pump.Listening[] listening;
+
     private final InetSocketAddress[] addresses;
 
     /** {@code tries}: all openings by their id. */
-    StandIn(Sockets carrier, Pump pump, World world, Server server, Map<String, Try> tries, InetSocketAddress at)
+    StandIn(
+            Sockets carrier,
+            Pump pump,
+            World world,
+            Server server,
+            Map<String, Try> tries,
+            InetSocketAddress at)
             throws IOException {
         this.carrier = carrier;
         this.pump = pump;
@@ -72,8 +83,16 @@
             if (line.equals("STATS") || line.equals("PING")) {
                 world.figures.count("probes");
                 Optional<Report> report = world.asked(relay, server);
-                report.ifPresent(r -> conn.say(line.equals("PING") ? "PONG" : "PONG x0=" + plain(r.load)
-                        + (r.held >= 0 ? ",rif=" + (int) r.held : "")));
+                report.ifPresent(
+                        r ->
+                                conn.say(
+                                        line.equals("PING")
+                                                ? "PONG"
+                                                : "PONG x0="
+                                                        + plain(r.load)
+                                                        + (r.held >= 0
+                                                                ? ",rif=" + (int) r.held
+                                                                : "")));
                 return;
             }
             String[] words = line.split(" ");
--- a/lab/src/main/java/asterpulley/lab/sock/Starts.java
+++ b/lab/src/main/java/asterpulley/lab/sock/Starts.java
@@ -17,9 +17,10 @@
 import java.util.Map;
 
 /**
- * Measures what a whole list of servers costs a relay: how long its start takes where the list is handed to it, how long it is busy with one
- * that discovery sends, and the memory that it keeps. Each start is a process of its own. It must end what it starts, and say
- * so where a relay did not become ready.
+ * Measures what a whole list of servers costs a relay: how long its start takes where the list is
+ * handed to it, how long it is busy with one that discovery sends, and the memory that it keeps.
+ * Each start is a process of its own. It must end what it starts, and say so where a relay did not
+ * become ready.
  */
 public final class Starts implements Conn.Ear {
     /** What to measure. */
@@ -31,6 +32,7 @@
 
     /** A relay that is not ready by now is taken for one that never will be. */
     private static final double READY = 30;
+
     private static final double ASK_EVERY = 0.005;
 
     private final Order order;
@@ -53,12 +55,35 @@
         return new Starts(order, out).run();
     }
 
-    /** A list of so many servers as discovery writes it; nobody listens where they are said to be. */
+    /**
+     * A list of so many servers as discovery writes it; nobody listens where they are said to be.
+     */
     static Map<String, Object> list(int entries, long version) {
         List<Object> hosts = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
-            hosts.add(Told.map("host", "feed-" + i, "dial", "127.9." + (i >> 8 & 255) + "." + (1 + (i & 127)) + ":" + (20_000 + i % 10_000),
-                    "site", "here", "class", "feed", "block", i / 100, "health", "up", "share", 1.0, "born_ms", 0));
+            hosts.add(
+                    Told.map(
+                            "host",
+                            "feed-" + i,
+                            "dial",
+                            "127.9."
+                                    + (i >> 8 & 255)
+                                    + "."
+                                    + (1 + (i & 127))
+                                    + ":"
+                                    + (20_000 + i % 10_000),
+                            "site",
+                            "here",
+                            "class",
+                            "feed",
+                            "block",
+                            i / 100,
+                            "health",
+                            "up",
+                            "share",
+                            1.0,
+                            "born_ms",
+                            0));
         }
         return Told.map("seq", version, "whole", true, "hosts", hosts);
     }
@@ -113,7 +138,12 @@
         return all;
     }
 
-    private boolean rounds(Path folder, InetSocketAddress list, int entries, boolean asked, Map<String, Object> row)
+    private boolean rounds(
+            Path folder,
+            InetSocketAddress list,
+            int entries,
+            boolean asked,
+            Map<String, Object> row)
             throws IOException {
         String how = asked ? "asked" : "handed";
         int n = order.rounds;
@@ -130,7 +160,13 @@
             toldAt = takenAt = 0;
             whole = answer(list(entries, 5));
             double from = pump.now();
-            RelayProcess relay = RelayProcess.start(folder, name, config(at, asked ? list : null, asked ? 1 : entries), order.memory, at);
+            RelayProcess relay =
+                    RelayProcess.start(
+                            folder,
+                            name,
+                            config(at, asked ? list : null, asked ? 1 : entries),
+                            order.memory,
+                            at);
             try {
                 boolean up = ready(at) && (!asked || until(() -> takenAt > 0, READY));
                 good &= up && relay.alive();
@@ -150,16 +186,32 @@
         if (asked) {
             spread(row, "asked_taken_ms", taken);
         }
-        out.printf(Locale.ROOT, "%7d entries %s: ready after %.0f ms (%.0f to %.0f), %.0f ms of processor, heap %.1f MB, resident %.0f MB%s%n",
-                entries, how, row.get(how + "_ready_ms"), row.get(how + "_ready_ms_least"), row.get(how + "_ready_ms_most"),
-                row.get(how + "_cpu_ms"), row.get(how + "_heap_mb"), row.get(how + "_rss_mb"),
-                asked ? String.format(Locale.ROOT, ", the answer taken in %.0f ms", row.get("asked_taken_ms")) : "");
+        out.printf(
+                Locale.ROOT,
+                "%7d entries %s: ready after %.0f ms (%.0f to %.0f), %.0f ms of processor, heap %.1f MB, resident %.0f MB%s%n",
+                entries,
+                how,
+                row.get(how + "_ready_ms"),
+                row.get(how + "_ready_ms_least"),
+                row.get(how + "_ready_ms_most"),
+                row.get(how + "_cpu_ms"),
+                row.get(how + "_heap_mb"),
+                row.get(how + "_rss_mb"),
+                asked
+                        ? String.format(
+                                Locale.ROOT,
+                                ", the answer taken in %.0f ms",
+                                row.get("asked_taken_ms"))
+                        : "");
         return good;
     }
 
     private static byte[] answer(Map<String, Object> list) {
         String body = WorldList.text(list);
-        return ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+        return ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
+                        + body.length()
+                        + "\r\n\r\n"
+                        + body)
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 
@@ -181,23 +233,26 @@
         double end = pump.now() + READY;
         while (!answered[0] && pump.now() < end) {
             boolean[] over = {false};
-            Conn asks = pump.connect(at, new Conn.Ear() {
-                @Override
-                public void up(Conn conn) {
-                    conn.say("PING");
-                }
+            Conn asks =
+                    pump.connect(
+                            at,
+                            new Conn.Ear() {
+                                @Override
+                                public void up(Conn conn) {
+                                    conn.say("PING");
+                                }
 
-                @Override
-                public void line(Conn conn, String line) {
-                    answered[0] |= line.equals("PONG");
-                    over[0] = true;
-                }
+                                @Override
+                                public void line(Conn conn, String line) {
+                                    answered[0] |= line.equals("PONG");
+                                    over[0] = true;
+                                }
 
-                @Override
-                public void ended(Conn conn, boolean broken) {
-                    over[0] = true;
-                }
-            });
+                                @Override
+                                public void ended(Conn conn, boolean broken) {
+                                    over[0] = true;
+                                }
+                            });
             until(() -> over[0], 1);
             asks.close();
             if (!answered[0]) {
@@ -215,8 +270,18 @@
         plan.customers.add(new Plan.CustomerPlan());
         plan.servers.add(new Plan.ServerPlan());
         plan.relays = 6_400;
-        Map<String, Object> config = Told.map("name", "start", "listen", Sockets.text(at), "seed", "1",
-                "limits", Told.map("memory_mb", order.memory, "sockets", 8192), "known", list(entries, 1));
+        Map<String, Object> config =
+                Told.map(
+                        "name",
+                        "start",
+                        "listen",
+                        Sockets.text(at),
+                        "seed",
+                        "1",
+                        "limits",
+                        Told.map("memory_mb", order.memory, "sockets", 8192),
+                        "known",
+                        list(entries, 1));
         if (list != null) {
             config.put("discovery", Sockets.text(list));
         }
--- a/lab/src/main/java/asterpulley/lab/sock/WorldList.java
+++ b/lab/src/main/java/asterpulley/lab/sock/WorldList.java
@@ -14,8 +14,8 @@
 import java.util.function.Function;
 
 /**
- * The list of a world's servers as one relay is told it, at an address of its own, so that it is known who was told what
- * and when. It must tell only what the world's registry knows.
+ * The list of a world's servers as one relay is told it, at an address of its own, so that it is
+ * known who was told what and when. It must tell only what the world's registry knows.
  */
 final class WorldList implements ListStandIn.Service {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -53,7 +53,8 @@
     }
 
     private ListStandIn.Answer answer(boolean whole, List<Registry.Entry> entries) {
-        return new ListStandIn.Answer(text(list(whole, entries)).getBytes(StandardCharsets.ISO_8859_1),
+        return new ListStandIn.Answer(
+                text(list(whole, entries)).getBytes(StandardCharsets.ISO_8859_1),
                 () -> world.told(relay, entries));
     }
 
@@ -67,10 +68,17 @@
             host.put("site", plan.rooms.get(e.server().room));
             host.put("class", e.server().kind.kind);
             host.put("block", e.server().room);
-            host.put("health", e.state() == Listed.State.RUNNING ? "up" : e.state() == Listed.State.DRAINING ? "draining"
-                    : "removed");
+            host.put(
+                    "health",
+                    e.state() == Listed.State.RUNNING
+                            ? "up"
+                            : e.state() == Listed.State.DRAINING ? "draining" : "removed");
             host.put("share", 1.0);
-            host.put("born_ms", Double.isInfinite(e.startedAt()) ? 0 : Math.round(carrier.unix(e.startedAt()) * 1000));
+            host.put(
+                    "born_ms",
+                    Double.isInfinite(e.startedAt())
+                            ? 0
+                            : Math.round(carrier.unix(e.startedAt()) * 1000));
             hosts.add(host);
         }
         Map<String, Object> list = new LinkedHashMap<>();
--- a/lab/src/main/java/asterpulley/lab/world/Agenda.java
+++ b/lab/src/main/java/asterpulley/lab/world/Agenda.java
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** What is due on any clock, in the order of its times and, at one time, of its calls. It must never skip or reorder. */
+/**
+ * What is due on any clock, in the order of its times and, at one time, of its calls. It must never
+ * skip or reorder.
+ */
 public final class Agenda {
     private record Due(double at, long order, Runnable what) implements Comparable<Due> {
         @Override
--- a/lab/src/main/java/asterpulley/lab/world/Carrier.java
+++ b/lab/src/main/java/asterpulley/lab/world/Carrier.java
@@ -1,9 +1,9 @@
 package asterpulley.lab.world;
 
 /**
- * What the world asks of whatever carries it: in virtual time or on sockets. The world calls these, and hears what came
- * of them through {@link World}. A carrier must add no rule of its own: what servers can do and what clients count as
- * served stands in the world.
+ * What the world asks of whatever carries it: in virtual time or on sockets. The world calls these,
+ * and hears what came of them through {@link World}. A carrier must add no rule of its own: what
+ * servers can do and what clients count as served stands in the world.
  */
 public interface Carrier extends Clock {
     /** A client says its opening to a relay; the end of it comes back through the world. */
@@ -25,7 +25,10 @@
     /** Relays are told anew what the plan says of pools now. */
     void reloadRelays();
 
-    /** A server's process ends or listens again: its connections were told already, new ones are refused or taken. */
+    /**
+     * A server's process ends or listens again: its connections were told already, new ones are
+     * refused or taken.
+     */
     void listens(Server server, boolean up);
 
     /** The list has news; whoever watches it hears of it. */
--- a/lab/src/main/java/asterpulley/lab/world/Client.java
+++ b/lab/src/main/java/asterpulley/lab/world/Client.java
@@ -2,12 +2,22 @@
 
 import java.util.random.RandomGenerator;
 
-/** A client: what it was born with, which never depends on how it is served, and how far it has come. */
+/**
+ * A client: what it was born with, which never depends on how it is served, and how far it has
+ * come.
+ */
 public final class Client {
     /** Drawn before the run, so that every carrier and every baseline plays the same load. */
-    public record Born(double at, int profile, int customer, int group, long key, int room, double lifetime, double load,
-            long seed) {
-    }
+    public record Born(
+            double at,
+            int profile,
+            int customer,
+            int group,
+            long key,
+            int room,
+            double lifetime,
+            double load,
+            long seed) {}
 
     public final int number;
     public final Born born;
@@ -16,6 +26,7 @@
     int tries, failures;
     boolean again, over;
     double served;
+
     /** Since when it has been without a tunnel; NaN while it stands or is over. */
     double without;
 
--- a/lab/src/main/java/asterpulley/lab/world/Figures.java
+++ b/lab/src/main/java/asterpulley/lab/world/Figures.java
@@ -8,24 +8,70 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Owns the figures of a run: counts, times and what happened second by second. Times are kept from when a client meant
- * to start, so that a relay that makes clients late is not spared for it. It must never judge.
+ * Owns the figures of a run: counts, times and what happened second by second. Times are kept from
+ * when a client meant to start, so that a relay that makes clients late is not spared for it. It
+ * must never judge.
  */
 public final class Figures {
     private static final double[] SHARES = {50, 90, 99};
     private static final String[] TIMES = {"setup", "answer", "gap"};
     private static final long LONGEST = 600_000_000L;
+
     /** Counts that every run gives, also where nothing was counted. */
-    public static final List<String> COUNTS = List.of("clients.count", "clients.unserved", "clients.cut_by_server",
-            "clients.cut_by_relay", "clients.left_before_answer", "tries.taken", "tries.opened", "tries.declined", "tries.errors",
-            "tries.lost_with_relay", "tries.unreached", "tries.broken", "moves", "setups", "setups.full", "setups.errors",
-            "setups.unanswered", "probes", "servers.fell");
-    private static final List<String> OTHERS = List.of("credit.share", "credit.net", "rules.broken", "servers.worst_factor",
-            "servers.mean_worst_factor", "setups_per_opened", "moves_per_client_min", "run.late_share", "relays.rss_mb",
-            "relays.cpu_us_per_setup", "spill.worst_share", "spill.over_most", "spill.over_s", "spill.home_s");
+    public static final List<String> COUNTS =
+            List.of(
+                    "clients.count",
+                    "clients.unserved",
+                    "clients.cut_by_server",
+                    "clients.cut_by_relay",
+                    "clients.left_before_answer",
+                    "tries.taken",
+                    "tries.opened",
+                    "tries.declined",
+                    "tries.errors",
+                    "tries.lost_with_relay",
+                    "tries.unreached",
+                    "tries.broken",
+                    "moves",
+                    "setups",
+                    "setups.full",
+                    "setups.errors",
+                    "setups.unanswered",
+                    "probes",
+                    "servers.fell");
+
+    private static final List<String> OTHERS =
+            List.of(
+                    "credit.share",
+                    "credit.net",
+                    "rules.broken",
+                    "servers.worst_factor",
+                    "servers.mean_worst_factor",
+                    "setups_per_opened",
+                    "moves_per_client_min",
+                    "run.late_share",
+                    "relays.rss_mb",
+                    "relays.cpu_us_per_setup",
+                    "spill.worst_share",
+                    "spill.over_most",
+                    "spill.over_s",
+                    "spill.home_s");
+
     /** One row a second. */
-    public static final List<String> SERIES = List.of("standing", "opened", "declined", "errors", "moves", "cut", "setups",
-            "served_share", "worst_factor", "mean_factor", "silent_servers", "guests_load");
+    public static final List<String> SERIES =
+            List.of(
+                    "standing",
+                    "opened",
+                    "declined",
+                    "errors",
+                    "moves",
+                    "cut",
+                    "setups",
+                    "served_share",
+                    "worst_factor",
+                    "mean_factor",
+                    "silent_servers",
+                    "guests_load");
 
     private final Map<String, Long> counts = new TreeMap<>();
     private final Map<String, Double> values = new TreeMap<>();
@@ -50,7 +96,8 @@
             }
         }
         for (Plan.ProfilePlan p : plan.profiles) {
-            if (List.of("credit.share.", "opened.worst.", "declined.").contains(figure.replace(p.name, ""))
+            if (List.of("credit.share.", "opened.worst.", "declined.")
+                            .contains(figure.replace(p.name, ""))
                     && figure.endsWith(p.name)) {
                 return true;
             }
@@ -94,12 +141,15 @@
     public Map<String, Double> all() {
         Map<String, Double> all = new TreeMap<>(values);
         counts.forEach((k, v) -> all.put(k, (double) v));
-        times.forEach((name, h) -> {
-            for (double share : SHARES) {
-                all.put(name + ".p" + (int) share + "_ms", h.getValueAtPercentile(share) / 1e3);
-            }
-            all.put(name + ".max_ms", h.getMaxValue() / 1e3);
-        });
+        times.forEach(
+                (name, h) -> {
+                    for (double share : SHARES) {
+                        all.put(
+                                name + ".p" + (int) share + "_ms",
+                                h.getValueAtPercentile(share) / 1e3);
+                    }
+                    all.put(name + ".max_ms", h.getMaxValue() / 1e3);
+                });
         return all;
     }
 }
--- a/lab/src/main/java/asterpulley/lab/world/Judge.java
+++ b/lab/src/main/java/asterpulley/lab/world/Judge.java
@@ -8,22 +8,36 @@
 import java.util.Map;
 
 /**
- * Owns the rules: whether each was kept, by what clients and servers saw, never by what a relay says of itself. It must
- * never change what happens.
+ * Owns the rules: whether each was kept, by what clients and servers saw, never by what a relay
+ * says of itself. It must never change what happens.
  */
 public final class Judge {
-    /** One final answer in time; no effect twice; drains kept; no cold server pushed over; moved before cut off. */
-    public enum Rule { ANSWER, EFFECT, DRAIN, COLD, MOVE }
+    /**
+     * One final answer in time; no effect twice; drains kept; no cold server pushed over; moved
+     * before cut off.
+     */
+    public enum Rule {
+        ANSWER,
+        EFFECT,
+        DRAIN,
+        COLD,
+        MOVE
+    }
 
     /** What a client's own connection and timers may take, beyond what is told to it. */
     static final double SLACK = 0.05;
+
     private static final int NOTES = 20;
 
     private final Plan plan;
     private final Map<Rule, Integer> broken = new EnumMap<>(Rule.class);
     private final List<String> notes = new ArrayList<>();
-    /** When a relay was told that a server drains or is gone, by relay and server; 0: it was not. */
+
+    /**
+     * When a relay was told that a server drains or is gone, by relay and server; 0: it was not.
+     */
     private final double[][] toldAt;
+
     /** How far the carrier's own clients may be behind. */
     double pace;
 
@@ -52,10 +66,13 @@
         }
     }
 
-    /** A relay has heard of a server's state; the earliest time that it heard of this drain counts. */
+    /**
+     * A relay has heard of a server's state; the earliest time that it heard of this drain counts.
+     */
     void told(int relay, Server server, boolean running, double at) {
         double[] known = toldAt[relay];
-        known[server.index] = running ? 0 : known[server.index] > 0 ? known[server.index] : Math.max(1e-9, at);
+        known[server.index] =
+                running ? 0 : known[server.index] > 0 ? known[server.index] : Math.max(1e-9, at);
     }
 
     void forgets(int relay) {
@@ -68,8 +85,16 @@
         Plan.ProfilePlan profile = plan.profiles.get(t.client.born.profile());
         for (Setup before : t.setups) {
             if (!before.provedNotRun && !mayGoAgain(before, setup, profile, now)) {
-                breaks(Rule.EFFECT, now, profile.effect.name().toLowerCase() + " tunnel " + t.id() + " may have run at "
-                        + before.server.name + " and was sent to " + setup.server.name);
+                breaks(
+                        Rule.EFFECT,
+                        now,
+                        profile.effect.name().toLowerCase()
+                                + " tunnel "
+                                + t.id()
+                                + " may have run at "
+                                + before.server.name
+                                + " and was sent to "
+                                + setup.server.name);
             }
         }
         Server s = setup.server;
@@ -80,25 +105,42 @@
             told = told > 0 ? Math.min(told, deemed) : deemed;
         }
         if (told > 0 && saidAt > told + plan.drainGrace + SLACK + pace) {
-            breaks(Rule.DRAIN, now, String.format("relay r%d sent tunnel %s to %s %.3f s after it was told", t.relay + 1,
-                    t.id(), s.name, saidAt - told));
+            breaks(
+                    Rule.DRAIN,
+                    now,
+                    String.format(
+                            "relay r%d sent tunnel %s to %s %.3f s after it was told",
+                            t.relay + 1, t.id(), s.name, saidAt - told));
         }
     }
 
-    /** Asked a little after a setup came, since news that an earlier one was given up may take longer than the setup. */
+    /**
+     * Asked a little after a setup came, since news that an earlier one was given up may take
+     * longer than the setup.
+     */
     void twoOut(Setup before, Setup after, double now) {
         if (before.state != Setup.State.OVER) {
-            breaks(Rule.EFFECT, now, "tunnel " + after.of.id() + " has a setup out at " + before.server.name + " and one at "
-                    + after.server.name);
+            breaks(
+                    Rule.EFFECT,
+                    now,
+                    "tunnel "
+                            + after.of.id()
+                            + " has a setup out at "
+                            + before.server.name
+                            + " and one at "
+                            + after.server.name);
         }
     }
 
-    private static boolean mayGoAgain(Setup before, Setup after, Plan.ProfilePlan profile, double now) {
+    private static boolean mayGoAgain(
+            Setup before, Setup after, Plan.ProfilePlan profile, double now) {
         return switch (profile.effect) {
             case REPEATABLE -> true;
             case ONCE_ONLY -> false;
-            case REFERENCED -> now - before.arrivedAt <= profile.window + SLACK
-                    && (profile.reach == Settings.Reach.ALL || before.server.room == after.server.room);
+            case REFERENCED ->
+                    now - before.arrivedAt <= profile.window + SLACK
+                            && (profile.reach == Settings.Reach.ALL
+                                    || before.server.room == after.server.room);
         };
     }
 
@@ -106,32 +148,59 @@
     void answers(Try t, Try.Answer answer, double now, boolean excused) {
         if (t.answer != Try.Answer.NONE) {
             if (answer != Try.Answer.BROKEN) {
-                breaks(Rule.ANSWER, now, "tunnel " + t.id() + " was " + said(t.answer) + " and then " + said(answer));
+                breaks(
+                        Rule.ANSWER,
+                        now,
+                        "tunnel "
+                                + t.id()
+                                + " was "
+                                + said(t.answer)
+                                + " and then "
+                                + said(answer));
             }
             return;
         }
         if (answer == Try.Answer.BROKEN) {
             if (!excused) {
-                breaks(Rule.ANSWER, now, "tunnel " + t.id() + " ended without an answer at relay r" + (t.relay + 1));
+                breaks(
+                        Rule.ANSWER,
+                        now,
+                        "tunnel " + t.id() + " ended without an answer at relay r" + (t.relay + 1));
             }
             return;
         }
         if (now > t.saidAt + t.patience + SLACK + pace) {
-            breaks(Rule.ANSWER, now, String.format("tunnel %s was %s %.3f s after its client timeout", t.id(), said(answer),
-                    now - t.saidAt - t.patience));
+            breaks(
+                    Rule.ANSWER,
+                    now,
+                    String.format(
+                            "tunnel %s was %s %.3f s after its client timeout",
+                            t.id(), said(answer), now - t.saidAt - t.patience));
         }
         Plan.ProfilePlan profile = plan.profiles.get(t.client.born.profile());
-        if (answer == Try.Answer.DECLINED && profile.effect == Settings.Kind.ONCE_ONLY
+        if (answer == Try.Answer.DECLINED
+                && profile.effect == Settings.Kind.ONCE_ONLY
                 && t.setups.stream().anyMatch(s -> !s.provedNotRun)) {
-            breaks(Rule.EFFECT, now, "once-only tunnel " + t.id() + " may have run and was declined");
+            breaks(
+                    Rule.EFFECT,
+                    now,
+                    "once-only tunnel " + t.id() + " may have run and was declined");
         }
     }
 
     /** A client's time is up and it has heard nothing. */
     void silence(Try t, double now, boolean excused) {
         if (!excused) {
-            breaks(Rule.ANSWER, now, "tunnel " + t.id() + " had no answer from relay r" + (t.relay + 1) + " in "
-                    + t.patience + " s");
+            breaks(
+                    Rule.ANSWER,
+                    now,
+                    "tunnel "
+                            + t.id()
+                            + " had no answer from relay r"
+                            + (t.relay + 1)
+                            + " in "
+                            + t.patience
+                            + " s");
         }
     }
 
--- a/lab/src/main/java/asterpulley/lab/world/Load.java
+++ b/lab/src/main/java/asterpulley/lab/world/Load.java
@@ -8,14 +8,18 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** Owns the load of an experiment: every client of it, drawn from the seed alone. It must never ask how the run goes. */
+/**
+ * Owns the load of an experiment: every client of it, drawn from the seed alone. It must never ask
+ * how the run goes.
+ */
 public final class Load {
-    private static final RandomGeneratorFactory<RandomGenerator> RANDOM = RandomGeneratorFactory.of("L64X128MixRandom");
+    private static final RandomGeneratorFactory<RandomGenerator> RANDOM =
+            RandomGeneratorFactory.of("L64X128MixRandom");
+
     /** A swing's period. */
     private static final double SWING = 30;
 
-    private Load() {
-    }
+    private Load() {}
 
     public static RandomGenerator random(long seed) {
         return RANDOM.create(seed);
@@ -61,8 +65,16 @@
         double lifetime = Math.max(0.5, -Math.log(1 - random.nextDouble()) * p.lifetime);
         // Loads spread about their mean as sums of two draws do: few are idle, few cost twice.
         double load = p.load * (random.nextDouble() + random.nextDouble());
-        return new Client.Born(at, profile, customer, group, random.nextLong(), room >= 0 ? room : home, lifetime,
-                Math.max(0.05 * p.load, load), random.nextLong());
+        return new Client.Born(
+                at,
+                profile,
+                customer,
+                group,
+                random.nextLong(),
+                room >= 0 ? room : home,
+                lifetime,
+                Math.max(0.05 * p.load, load),
+                random.nextLong());
     }
 
     private static <T> int one(List<T> of, ToDoubleFunction<T> share, RandomGenerator random) {
--- a/lab/src/main/java/asterpulley/lab/world/Registry.java
+++ b/lab/src/main/java/asterpulley/lab/world/Registry.java
@@ -5,22 +5,26 @@
 import java.util.List;
 
 /**
- * Owns the list of servers as its service has it: versions, and every entry with the version that it comes from. What
- * happens to servers reaches it late, and the world says when. It must never know the truth before it is told.
+ * Owns the list of servers as its service has it: versions, and every entry with the version that
+ * it comes from. What happens to servers reaches it late, and the world says when. It must never
+ * know the truth before it is told.
  */
 public final class Registry {
     /** An entry as it is listed; {@code version} is the one that last changed it. */
     public record Entry(Server server, Listed.State state, double startedAt, long version) {
         public Listed listed() {
-            return new Listed(server.name, server.room, server.kindIndex, server.room, state, startedAt);
+            return new Listed(
+                    server.name, server.room, server.kindIndex, server.room, state, startedAt);
         }
     }
 
     private final List<Entry> entries = new ArrayList<>();
     private long version = 1;
     boolean down;
+
     /** Since when it answers without a break. */
     double upSince = Double.NEGATIVE_INFINITY;
+
     double late;
 
     Registry(List<Server> servers) {
--- a/lab/src/main/java/asterpulley/lab/world/Server.java
+++ b/lab/src/main/java/asterpulley/lab/world/Server.java
@@ -7,14 +7,19 @@
 import java.util.Set;
 
 /**
- * Owns what a server can do: the load that it holds, how warm it is, how long its messages and setups take, when it
- * refuses and when it falls over. Its faults are flags that the timetable sets. It must never know who asks: whether a
- * setup was lawful is the judge's to say.
+ * Owns what a server can do: the load that it holds, how warm it is, how long its messages and
+ * setups take, when it refuses and when it falls over. Its faults are flags that the timetable
+ * sets. It must never know who asks: whether a setup was lawful is the judge's to say.
  */
 public final class Server {
-    /** From this part of its room on, messages wait for each other; at all of it they wait for this long. */
+    /**
+     * From this part of its room on, messages wait for each other; at all of it they wait for this
+     * long.
+     */
     private static final double KNEE = 0.9, AT_FULL = 0.5;
+
     private static final double QUICK = 0.005;
+
     /** A setup takes longer the fuller its server, by this much at most. */
     private static final double SLOWEST_SETUP = 8;
 
@@ -23,12 +28,16 @@
     public final Plan.ServerPlan kind;
     private final double messageGoal, groupCost, fallMultiple, fallTime;
     double startedAt = Double.NEGATIVE_INFINITY;
+
     /** A timetable's doing. */
     boolean down, silent, vanished, noAnswer, refusing, resetting, draining;
+
     double slow = 1, errorShare;
     double drainedAt = Double.NaN;
+
     /** Of its load, what clients of other rooms brought. */
     double guests;
+
     private double load, advancedAt, sound, overSince = Double.NaN;
     private final Map<Integer, Integer> groups = new HashMap<>();
     final Set<Setup> held = new LinkedHashSet<>();
@@ -49,7 +58,9 @@
     /** From what a cold one can do to all of it. */
     public double warmth(double now) {
         double age = now - startedAt;
-        return age >= kind.warmUp ? 1 : kind.coldFrom + (1 - kind.coldFrom) * Math.max(0, age) / kind.warmUp;
+        return age >= kind.warmUp
+                ? 1
+                : kind.coldFrom + (1 - kind.coldFrom) * Math.max(0, age) / kind.warmUp;
     }
 
     public boolean cold(double now) {
@@ -87,7 +98,8 @@
     /** How long a message takes here, in seconds; without end where it says nothing. */
     public double message(double now) {
         double f = factor(now);
-        return silent || down ? Double.POSITIVE_INFINITY
+        return silent || down
+                ? Double.POSITIVE_INFINITY
                 : slow * (QUICK + Math.max(0, f - KNEE) / (1 - KNEE) * AT_FULL);
     }
 
@@ -97,7 +109,10 @@
         return kind.setup * slow / Math.max(1 / SLOWEST_SETUP, 1 - f * f);
     }
 
-    /** A cold one does not know its own limit: it takes what it could hold when warm, and falls over. */
+    /**
+     * A cold one does not know its own limit: it takes what it could hold when warm, and falls
+     * over.
+     */
     boolean refuses(double now) {
         return refusing || draining || load / kind.holds >= kind.refuseAt;
     }
--- a/lab/src/main/java/asterpulley/lab/world/Setup.java
+++ b/lab/src/main/java/asterpulley/lab/world/Setup.java
@@ -2,7 +2,12 @@
 
 /** One setup that came to a server: where it stands there, and how the server answers it. */
 public final class Setup {
-    public enum State { UNHEARD, AT_WORK, STANDING, OVER }
+    public enum State {
+        UNHEARD,
+        AT_WORK,
+        STANDING,
+        OVER
+    }
 
     /** How a server's answer goes back; after {@link #broke} nothing more is said. */
     public interface Reply {
@@ -21,10 +26,13 @@
     public final double arrivedAt;
     final Reply reply;
     public State state = State.UNHEARD;
+
     /** What is true of its effect, whatever anybody knows. */
     boolean ran;
+
     /** Proved not to have run: turned away, or never read. */
     boolean provedNotRun;
+
     boolean brokenByServer;
     double soundAtStart, cutAtStart;
 
--- a/lab/src/main/java/asterpulley/lab/world/Store.java
+++ b/lab/src/main/java/asterpulley/lab/world/Store.java
@@ -1,8 +1,8 @@
 package asterpulley.lab.world;
 
 /**
- * Owns the session store that all setups share: one queue, served at a rate. It must never lose a setup; one that
- * comes to a long queue waits for it.
+ * Owns the session store that all setups share: one queue, served at a rate. It must never lose a
+ * setup; one that comes to a long queue waits for it.
  */
 public final class Store {
     private final double rate;
--- a/lab/src/main/java/asterpulley/lab/world/Timetable.java
+++ b/lab/src/main/java/asterpulley/lab/world/Timetable.java
@@ -11,7 +11,10 @@
 import java.util.Random;
 import java.util.function.Consumer;
 
-/** Owns the faults of an experiment: what goes wrong when, with whom, and how it ends. It must never look at how the run goes. */
+/**
+ * Owns the faults of an experiment: what goes wrong when, with whom, and how it ends. It must never
+ * look at how the run goes.
+ */
 final class Timetable {
     private final World world;
     private final Carrier carrier;
@@ -33,13 +36,18 @@
     private List<Server> servers(Plan.Fault f, Random random) {
         List<Server> of = new ArrayList<>();
         for (Server s : world.servers) {
-            boolean named = f.servers.isEmpty() || f.servers.stream().anyMatch(p -> PlanReader.matches(p, s.name));
+            boolean named =
+                    f.servers.isEmpty()
+                            || f.servers.stream().anyMatch(p -> PlanReader.matches(p, s.name));
             if (named && (f.room == null || world.plan.rooms.get(s.room).equals(f.room))) {
                 of.add(s);
             }
         }
         if (f.count > 0 || f.share < 1) {
-            int many = f.count > 0 ? Math.min(f.count, of.size()) : (int) Math.ceil(f.share * of.size());
+            int many =
+                    f.count > 0
+                            ? Math.min(f.count, of.size())
+                            : (int) Math.ceil(f.share * of.size());
             Collections.shuffle(of, random);
             of = new ArrayList<>(of.subList(0, many));
             of.sort((a, b) -> a.index - b.index);
@@ -52,8 +60,10 @@
         for (int r = 0; r < world.relays(); r++) {
             boolean all = f.room == null || f.kind.equals("relay-cut");
             boolean named = f.relays.isEmpty() ? all && r == 0 : f.relays.contains("r" + (r + 1));
-            if (named || f.relays.isEmpty() && !all
-                    && world.plan.rooms.get(world.roomOfRelay(r)).equals(f.room)) {
+            if (named
+                    || f.relays.isEmpty()
+                            && !all
+                            && world.plan.rooms.get(world.roomOfRelay(r)).equals(f.room)) {
                 of.add(r);
             }
         }
@@ -69,10 +79,12 @@
             case "slow" -> during(f, servers, s -> s.slow = f.factor, s -> s.slow = 1);
             case "errors" -> during(f, servers, s -> s.errorShare = f.share, s -> s.errorShare = 0);
             case "vanish", "room-dark" -> servers.forEach(s -> vanish(s, f.lasts));
-            case "crash" -> servers.forEach(s -> {
-                world.dies(s, f.lasts, false);
-                world.list(s, Listed.State.GONE);
-            });
+            case "crash" ->
+                    servers.forEach(
+                            s -> {
+                                world.dies(s, f.lasts, false);
+                                world.list(s, Listed.State.GONE);
+                            });
             case "drain" -> servers.forEach(s -> drain(s, f));
             case "deploy" -> {
                 double after = 0;
@@ -90,11 +102,15 @@
                 world.cutOff(room, true);
                 carrier.after(f.lasts, () -> world.cutOff(room, false));
             }
-            case "relay-cut" -> relays(f).forEach(r -> {
-                int room = world.plan.rooms.indexOf(f.room);
-                world.cutOffRelay(r, room, true);
-                carrier.after(f.lasts, () -> world.cutOffRelay(r, room, false));
-            });
+            case "relay-cut" ->
+                    relays(f)
+                            .forEach(
+                                    r -> {
+                                        int room = world.plan.rooms.indexOf(f.room);
+                                        world.cutOffRelay(r, room, true);
+                                        carrier.after(
+                                                f.lasts, () -> world.cutOffRelay(r, room, false));
+                                    });
             case "reload" -> {
                 if (!Double.isNaN(f.spill)) {
                     Map<String, Object> routes = new LinkedHashMap<>(world.plan.routes);
@@ -111,14 +127,25 @@
                 world.registry.late = f.factor;
                 carrier.after(f.lasts, () -> world.registry.late = 0);
             }
-            case "relay-kill" -> relays(f).forEach(r -> {
-                carrier.killRelay(r);
-                carrier.after(f.down, () -> carrier.startRelay(r));
-            });
-            case "relay-restart" -> relays(f).forEach(r -> {
-                world.whenDied(r, () -> carrier.after(f.down, () -> carrier.startRelay(r)));
-                world.relayLeaves(r);
-            });
+            case "relay-kill" ->
+                    relays(f)
+                            .forEach(
+                                    r -> {
+                                        carrier.killRelay(r);
+                                        carrier.after(f.down, () -> carrier.startRelay(r));
+                                    });
+            case "relay-restart" ->
+                    relays(f)
+                            .forEach(
+                                    r -> {
+                                        world.whenDied(
+                                                r,
+                                                () ->
+                                                        carrier.after(
+                                                                f.down,
+                                                                () -> carrier.startRelay(r)));
+                                        world.relayLeaves(r);
+                                    });
             case "reconnect" -> world.reconnect(f.share, f.within);
             default -> {
                 // A crowd is part of the load.
@@ -126,19 +153,24 @@
         }
     }
 
-    private void during(Plan.Fault f, List<Server> servers, Consumer<Server> on, Consumer<Server> off) {
+    private void during(
+            Plan.Fault f, List<Server> servers, Consumer<Server> on, Consumer<Server> off) {
         double now = carrier.now();
-        servers.forEach(s -> {
-            s.advance(now);
-            on.accept(s);
-        });
-        carrier.after(f.lasts, () -> {
-            servers.forEach(s -> {
-                s.advance(carrier.now());
-                off.accept(s);
-            });
-            world.hear();
-        });
+        servers.forEach(
+                s -> {
+                    s.advance(now);
+                    on.accept(s);
+                });
+        carrier.after(
+                f.lasts,
+                () -> {
+                    servers.forEach(
+                            s -> {
+                                s.advance(carrier.now());
+                                off.accept(s);
+                            });
+                    world.hear();
+                });
     }
 
     /** Says nothing, then is back empty and cold; the list learns of the end and of the start. */
@@ -152,10 +184,12 @@
     /** A planned restart: it wants nothing new, finishes for a time, ends, and is back cold. */
     private void drain(Server s, Plan.Fault f) {
         world.drains(s);
-        carrier.after(f.drain, () -> {
-            world.dies(s, f.down, true);
-            world.list(s, Listed.State.GONE);
-        });
+        carrier.after(
+                f.drain,
+                () -> {
+                    world.dies(s, f.down, true);
+                    world.list(s, Listed.State.GONE);
+                });
     }
 
     private void listDown(boolean down) {
--- a/lab/src/main/java/asterpulley/lab/world/Try.java
+++ b/lab/src/main/java/asterpulley/lab/world/Try.java
@@ -3,27 +3,49 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One opening of a client at one relay, and what became of it: plain facts, which the world writes and nobody judges here. */
+/**
+ * One opening of a client at one relay, and what became of it: plain facts, which the world writes
+ * and nobody judges here.
+ */
 public final class Try {
-    public enum Answer { NONE, OPENED, DECLINED, ERROR, BROKEN }
+    public enum Answer {
+        NONE,
+        OPENED,
+        DECLINED,
+        ERROR,
+        BROKEN
+    }
 
     public final Client client;
     public final int number, relay, relayLife;
+
     /** When the client meant to say it, and when it did. */
     public final double meantAt, saidAt;
+
     public final double patience;
     public final boolean again, retry;
     public Answer answer = Answer.NONE;
     public double answeredAt = Double.NaN;
+
     /** It stood and has ended, or never will. */
     public boolean over;
+
     /** The setups of it that came to servers, in their order. */
     public final List<Setup> setups = new ArrayList<>(1);
+
     /** The carrier's own record of it. */
     public Object carried;
 
-    Try(Client client, int number, int relay, int relayLife, double meantAt, double saidAt, double patience,
-            boolean again, boolean retry) {
+    Try(
+            Client client,
+            int number,
+            int relay,
+            int relayLife,
+            double meantAt,
+            double saidAt,
+            double patience,
+            boolean again,
+            boolean retry) {
         this.client = client;
         this.number = number;
         this.relay = relay;
--- a/lab/src/main/java/asterpulley/lab/world/World.java
+++ b/lab/src/main/java/asterpulley/lab/world/World.java
@@ -11,23 +11,34 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The served world: servers, store, rooms, list and clients, and what happens between them by rules that hold on any
- * carrier. Clients and servers act here; the carrier brings their words to relays and back. It must never look into a
- * relay, and never do input or output.
+ * The served world: servers, store, rooms, list and clients, and what happens between them by rules
+ * that hold on any carrier. Clients and servers act here; the carrier brings their words to relays
+ * and back. It must never look into a relay, and never do input or output.
  */
 public final class World {
     private static final double TICK = 0.1;
+
     /** Tries are looked at by profile in windows of so long, where so many were answered. */
     private static final double WINDOW = 5;
+
     private static final int ENOUGH = 10;
+
     /** Faults after which clients have a way home. */
-    private static final List<String> AWAY = List.of("room-dark", "room-cut", "relay-cut", "silent", "vanish");
+    private static final List<String> AWAY =
+            List.of("room-dark", "room-cut", "relay-cut", "silent", "vanish");
+
     /** A process that fell over or crashed is up again after this, where nobody says otherwise. */
     private static final double REBOOT = 3;
+
     /** How soon a client comes again that was moved, or cut off. */
     private static final double AFTER_MOVE = 0.2, AFTER_CUT = 0.8, AFTER_REFUSED = 0.25;
-    /** A crowd loses its connections over this time: all in one instant would only hold up the run itself. */
+
+    /**
+     * A crowd loses its connections over this time: all in one instant would only hold up the run
+     * itself.
+     */
     private static final double LOSE_OVER = 0.3;
+
     /** A client's own pause before a further try, doubled each time up to a limit. */
     private static final double PAUSE = 0.2, LONGEST_PAUSE = 3;
 
@@ -41,30 +52,47 @@
     private Carrier carrier;
     private final RandomGenerator random;
     private final int relays;
-    /** How often each relay has died, and whether it serves; what the front knows of that comes later. */
+
+    /**
+     * How often each relay has died, and whether it serves; what the front knows of that comes
+     * later.
+     */
     private final int[] relayLife;
+
     /** The life that each ended as it was told to; -1: none. */
     private final int[] leftInOrder;
+
     private final Runnable[] whenDied;
     private final boolean[] relayUp, relayLeaving, frontKnows;
+
     /** Rooms that are cut off, and for how many seconds each was, for what crosses its border. */
     private final boolean[] cut;
+
     private final double[] cutFor, cutSince;
+
     /** Rooms that single relays are cut off from, kept as those are. */
     private final boolean[][] relayCut;
+
     private final double[][] relayCutFor, relayCutSince;
     private int relayCuts;
     private final List<Setup> unheard = new ArrayList<>();
     private double wanted, served;
+
     /** Of a tunnel's second, over the profiles. */
     private final double meanCredit;
+
     private final double[] wantedBy, servedBy, wantedIn, servedIn;
     private int standing, present;
     private final long[] lastCounts = new long[5];
     private long lastCut;
     private double guestSeconds, worstSpill, worstOver, overFor, longestOver, guestsNow;
-    /** By profile: tries that were opened, and all that were answered, in the window that runs; the worst so far. */
+
+    /**
+     * By profile: tries that were opened, and all that were answered, in the window that runs; the
+     * worst so far.
+     */
     private final int[] openedNow, answeredNow;
+
     private final long[] declinedOf;
     private final double[] worstOpened;
 
@@ -77,8 +105,14 @@
             for (String room : kind.rooms) {
                 for (int i = 0; i < kind.count; i++) {
                     int at = servers.size();
-                    servers.add(new Server(at, names.get(at), plan.rooms.indexOf(room), kindIndex, kind,
-                            plan));
+                    servers.add(
+                            new Server(
+                                    at,
+                                    names.get(at),
+                                    plan.rooms.indexOf(room),
+                                    kindIndex,
+                                    kind,
+                                    plan));
                 }
             }
             kindIndex++;
@@ -105,8 +139,9 @@
         declinedOf = new long[plan.profiles.size()];
         worstOpened = new double[plan.profiles.size()];
         java.util.Arrays.fill(worstOpened, 1);
-        meanCredit = plan.profiles.stream().mapToDouble(p -> p.credit * p.share).sum()
-                / plan.profiles.stream().mapToDouble(p -> p.share).sum();
+        meanCredit =
+                plan.profiles.stream().mapToDouble(p -> p.credit * p.share).sum()
+                        / plan.profiles.stream().mapToDouble(p -> p.share).sum();
         wantedIn = new double[plan.rooms.size()];
         servedIn = new double[plan.rooms.size()];
         wantedBy = new double[plan.profiles.size()];
@@ -128,10 +163,13 @@
         for (int r = 0; r < relays; r++) {
             relayUp[r] = frontKnows[r] = true;
         }
-        servers.stream().filter(s -> s.kind.cold).forEach(s -> {
-            s.starts(by.now());
-            registry.change(s, Listed.State.RUNNING);
-        });
+        servers.stream()
+                .filter(s -> s.kind.cold)
+                .forEach(
+                        s -> {
+                            s.starts(by.now());
+                            registry.change(s, Listed.State.RUNNING);
+                        });
         come(0);
         new Timetable(this, by).start();
         by.after(TICK, this::tick);
@@ -176,7 +214,9 @@
     private double cutTime(int relay, int toRoom, double now) {
         int fromRoom = roomOfRelay(relay);
         double rooms = fromRoom == toRoom ? 0 : Math.max(cutOf(fromRoom, now), cutOf(toRoom, now));
-        return rooms + relayCutFor[relay][toRoom] + (relayCut[relay][toRoom] ? now - relayCutSince[relay][toRoom] : 0);
+        return rooms
+                + relayCutFor[relay][toRoom]
+                + (relayCut[relay][toRoom] ? now - relayCutSince[relay][toRoom] : 0);
     }
 
     void cutOffRelay(int relay, int room, boolean off) {
@@ -225,7 +265,10 @@
         }
     }
 
-    /** The front deals out connections among the relays of the client's room, as far as it knows them. */
+    /**
+     * The front deals out connections among the relays of the client's room, as far as it knows
+     * them.
+     */
     private int front(Client c) {
         int room = c.born.room();
         int found = -1;
@@ -250,11 +293,22 @@
         int relay = front(c);
         if (relay < 0) {
             figures.count("tries.unreached");
-            carrier.after(AFTER_REFUSED * (1 + c.random.nextDouble()), () -> say(c, meantAt, retry));
+            carrier.after(
+                    AFTER_REFUSED * (1 + c.random.nextDouble()), () -> say(c, meantAt, retry));
             return;
         }
         Plan.ProfilePlan p = plan.profiles.get(c.born.profile());
-        Try t = new Try(c, c.tries++, relay, relayLife[relay], meantAt, carrier.now(), p.clientTimeout, c.again, retry);
+        Try t =
+                new Try(
+                        c,
+                        c.tries++,
+                        relay,
+                        relayLife[relay],
+                        meantAt,
+                        carrier.now(),
+                        p.clientTimeout,
+                        c.again,
+                        retry);
         c.now = t;
         figures.count("tries.taken");
         carrier.after(t.patience + 2 * Judge.SLACK + judge.pace, () -> silence(t));
@@ -285,7 +339,9 @@
         t.over = true;
         t.answer = Try.Answer.BROKEN;
         t.client.now = null;
-        carrier.after(AFTER_REFUSED * (1 + t.client.random.nextDouble()), () -> say(t.client, t.meantAt, t.retry));
+        carrier.after(
+                AFTER_REFUSED * (1 + t.client.random.nextDouble()),
+                () -> say(t.client, t.meantAt, t.retry));
     }
 
     public void opened(Try t) {
@@ -346,7 +402,10 @@
         return true;
     }
 
-    /** What a client does that was not served: it comes again as long as that is harmless and of use to it. */
+    /**
+     * What a client does that was not served: it comes again as long as that is harmless and of use
+     * to it.
+     */
     private void next(Try t, double pause, boolean mayHaveRun) {
         Client c = t.client;
         c.now = null;
@@ -355,7 +414,10 @@
             end(c);
             return;
         }
-        double wait = mayHaveRun ? Math.min(LONGEST_PAUSE, pause * (1 << Math.min(10, c.failures - 1))) : pause;
+        double wait =
+                mayHaveRun
+                        ? Math.min(LONGEST_PAUSE, pause * (1 << Math.min(10, c.failures - 1)))
+                        : pause;
         double after = wait * (1 + 0.3 * c.random.nextDouble());
         double meant = carrier.now() + after;
         carrier.after(after, () -> say(c, meant, true));
@@ -375,9 +437,15 @@
             return;
         }
         boolean byServer = t.setups.stream().anyMatch(s -> s.brokenByServer);
-        boolean leaving = relayLife[t.relay] == t.relayLife ? relayLeaving[t.relay] : leftInOrder[t.relay] == t.relayLife;
+        boolean leaving =
+                relayLife[t.relay] == t.relayLife
+                        ? relayLeaving[t.relay]
+                        : leftInOrder[t.relay] == t.relayLife;
         if (!byServer && leaving) {
-            judge.breaks(Judge.Rule.MOVE, carrier.now(), "relay r" + (t.relay + 1) + " left and cut off tunnel " + t.id());
+            judge.breaks(
+                    Judge.Rule.MOVE,
+                    carrier.now(),
+                    "relay r" + (t.relay + 1) + " left and cut off tunnel " + t.id());
         }
         figures.count(byServer ? "clients.cut_by_server" : "clients.cut_by_relay");
         again(t, AFTER_CUT);
@@ -452,28 +520,39 @@
         wantedIn[c.born.room()] += credit;
     }
 
-    /** A part of the clients loses its connections, a few at a time but soon all, and each comes back within a time. */
+    /**
+     * A part of the clients loses its connections, a few at a time but soon all, and each comes
+     * back within a time.
+     */
     void reconnect(double share, double within) {
         List<Try> lose = new ArrayList<>();
         for (Client c : clients) {
             Try t = c.now;
-            if (t != null && !t.over && t.answer == Try.Answer.OPENED && c.random.nextDouble() < share) {
+            if (t != null
+                    && !t.over
+                    && t.answer == Try.Answer.OPENED
+                    && c.random.nextDouble() < share) {
                 lose.add(t);
             }
         }
         double over = Math.min(LOSE_OVER, within / 2);
         for (int i = 0; i < lose.size(); i++) {
             Try t = lose.get(i);
-            carrier.after(over * i / lose.size(), () -> {
-                if (!t.over) {
-                    fell(t, carrier.breakOff(t));
-                    again(t, within);
-                }
-            });
+            carrier.after(
+                    over * i / lose.size(),
+                    () -> {
+                        if (!t.over) {
+                            fell(t, carrier.breakOff(t));
+                            again(t, within);
+                        }
+                    });
         }
     }
 
-    /** The run is over: what still stands counts up to now, and nothing is asked of anybody any more. */
+    /**
+     * The run is over: what still stands counts up to now, and nothing is asked of anybody any
+     * more.
+     */
     public void finish() {
         double now = carrier.now();
         for (Client c : clients) {
@@ -490,13 +569,18 @@
                 want(c, Math.min(c.born.lifetime(), now - c.born.at()));
             }
         }
-        figures.set("credit.net", wanted > 0 ? (served - plan.crossingFee * guestSeconds) / wanted : 1);
+        figures.set(
+                "credit.net", wanted > 0 ? (served - plan.crossingFee * guestSeconds) / wanted : 1);
         figures.set("credit.share", wanted > 0 ? served / wanted : 1);
         for (int p = 0; p < wantedBy.length; p++) {
-            figures.set("credit.share." + plan.profiles.get(p).name, wantedBy[p] > 0 ? servedBy[p] / wantedBy[p] : 1);
+            figures.set(
+                    "credit.share." + plan.profiles.get(p).name,
+                    wantedBy[p] > 0 ? servedBy[p] / wantedBy[p] : 1);
         }
         for (int r = 0; r < wantedIn.length; r++) {
-            figures.set("credit.room." + plan.rooms.get(r), wantedIn[r] > 0 ? servedIn[r] / wantedIn[r] : 1);
+            figures.set(
+                    "credit.room." + plan.rooms.get(r),
+                    wantedIn[r] > 0 ? servedIn[r] / wantedIn[r] : 1);
         }
         for (int p = 0; p < worstOpened.length; p++) {
             figures.set("opened.worst." + plan.profiles.get(p).name, worstOpened[p]);
@@ -510,18 +594,31 @@
         figures.set("spill.over_s", Math.max(longestOver, overFor));
         figures.set("spill.home_s", home(now));
         figures.set("rules.broken", judge.broken());
-        figures.set("servers.worst_factor", servers.stream().mapToDouble(s -> s.worst).max().orElse(0));
-        figures.set("servers.mean_worst_factor", servers.stream().mapToDouble(s -> s.worst).average().orElse(0));
+        figures.set(
+                "servers.worst_factor", servers.stream().mapToDouble(s -> s.worst).max().orElse(0));
+        figures.set(
+                "servers.mean_worst_factor",
+                servers.stream().mapToDouble(s -> s.worst).average().orElse(0));
         double opened = figures.counted("tries.opened");
         figures.set("setups_per_opened", opened > 0 ? figures.counted("setups") / opened : 0);
-        double minutes = clients.stream().mapToDouble(c -> Math.min(c.born.lifetime(), Math.max(0, now - c.born.at()))).sum()
-                / 60;
+        double minutes =
+                clients.stream()
+                                .mapToDouble(
+                                        c ->
+                                                Math.min(
+                                                        c.born.lifetime(),
+                                                        Math.max(0, now - c.born.at())))
+                                .sum()
+                        / 60;
         figures.set("moves_per_client_min", minutes > 0 ? figures.counted("moves") / minutes : 0);
     }
 
     // ---- Servers
 
-    /** A setup's opening has come whole to a server; {@code saidAt}: when its relay began to send it. */
+    /**
+     * A setup's opening has come whole to a server; {@code saidAt}: when its relay began to send
+     * it.
+     */
     public Setup arrives(Try t, Server s, double saidAt, Setup.Reply reply) {
         double now = carrier.now();
         Setup setup = new Setup(t, s, now, reply);
@@ -542,7 +639,8 @@
     }
 
     private boolean heard(Setup setup) {
-        return !setup.server.silent && !setup.server.down
+        return !setup.server.silent
+                && !setup.server.down
                 && reaches(setup.of.relay, setup.server.room);
     }
 
@@ -565,14 +663,16 @@
         if (s.resetting) {
             broke(setup);
         } else if (s.refuses(now)) {
-            carrier.after(0.001, () -> {
-                if (setup.state == Setup.State.AT_WORK) {
-                    figures.count("setups.full");
-                    setup.provedNotRun = true;
-                    setup.state = Setup.State.OVER;
-                    setup.reply.full();
-                }
-            });
+            carrier.after(
+                    0.001,
+                    () -> {
+                        if (setup.state == Setup.State.AT_WORK) {
+                            figures.count("setups.full");
+                            setup.provedNotRun = true;
+                            setup.state = Setup.State.OVER;
+                            setup.reply.full();
+                        }
+                    });
         } else if (s.noAnswer) {
             setup.ran = true;
             s.enter(setup, now);
@@ -633,12 +733,18 @@
         return Math.max(0, setup.server.sound(now) - setup.soundAtStart - cutFor);
     }
 
-    /** How long a message of a tunnel between these takes at its server; without end where nothing comes back. */
+    /**
+     * How long a message of a tunnel between these takes at its server; without end where nothing
+     * comes back.
+     */
     public double message(int relay, Server s) {
         return reaches(relay, s.room) ? s.message(carrier.now()) : Double.POSITIVE_INFINITY;
     }
 
-    /** True while some tunnels may have no message answered: nobody needs to look for them otherwise. */
+    /**
+     * True while some tunnels may have no message answered: nobody needs to look for them
+     * otherwise.
+     */
     public boolean anySilent() {
         for (boolean c : cut) {
             if (c) {
@@ -677,7 +783,10 @@
         s.down = true;
         for (Setup setup : List.copyOf(s.held)) {
             if (planned && setup.state == Setup.State.STANDING && wasHeard) {
-                judge.breaks(Judge.Rule.MOVE, now, "server " + s.name + " left and cut off tunnel " + setup.of.id());
+                judge.breaks(
+                        Judge.Rule.MOVE,
+                        now,
+                        "server " + s.name + " left and cut off tunnel " + setup.of.id());
             }
             broke(setup);
         }
@@ -701,11 +810,14 @@
 
     /** The list comes to know of a server's state, late. */
     void list(Server s, Listed.State state) {
-        double late = plan.toldFrom + (plan.toldTo - plan.toldFrom) * random.nextDouble() + registry.late;
-        carrier.after(late, () -> {
-            registry.change(s, state);
-            carrier.listed();
-        });
+        double late =
+                plan.toldFrom + (plan.toldTo - plan.toldFrom) * random.nextDouble() + registry.late;
+        carrier.after(
+                late,
+                () -> {
+                    registry.change(s, state);
+                    carrier.listed();
+                });
     }
 
     /** A relay was told these entries. */
@@ -760,8 +872,12 @@
         for (Server s : servers) {
             if (s.falls(now)) {
                 figures.count("servers.fell");
-                judge.breaks(Judge.Rule.COLD, now, String.format("server %s was pushed over, cold for %.1f s, at a factor of %.1f",
-                        s.name, now - s.startedAt, s.factor(now)));
+                judge.breaks(
+                        Judge.Rule.COLD,
+                        now,
+                        String.format(
+                                "server %s was pushed over, cold for %.1f s, at a factor of %.1f",
+                                s.name, now - s.startedAt, s.factor(now)));
                 dies(s, REBOOT, false);
                 list(s, Listed.State.GONE);
             }
@@ -770,7 +886,10 @@
         carrier.after(TICK, this::tick);
     }
 
-    /** How much of a room's capacity clients of others take, in the fullest of them, and for how long more than may. */
+    /**
+     * How much of a room's capacity clients of others take, in the fullest of them, and for how
+     * long more than may.
+     */
     private void spill() {
         double[] guests = new double[plan.rooms.size()];
         double[] holds = new double[plan.rooms.size()];
@@ -793,7 +912,10 @@
         overFor = over > 1e-9 ? overFor + TICK : 0;
     }
 
-    /** Seconds from when the last room was back until its clients were home but for a hundredth of a room. */
+    /**
+     * Seconds from when the last room was back until its clients were home but for a hundredth of a
+     * room.
+     */
     private double home(double now) {
         double back = 0;
         for (Plan.Fault f : plan.faults) {
@@ -829,7 +951,8 @@
             row[i < 4 ? i + 1 : 6] = is - lastCounts[i];
             lastCounts[i] = is;
         }
-        long cutNow = figures.counted("clients.cut_by_server") + figures.counted("clients.cut_by_relay");
+        long cutNow =
+                figures.counted("clients.cut_by_server") + figures.counted("clients.cut_by_relay");
         row[5] = cutNow - lastCut;
         lastCut = cutNow;
         double got = 0;
--- a/lab/src/test/java/asterpulley/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/asterpulley/lab/fleet/FleetTest.java
@@ -23,7 +23,8 @@
 /** A small fleet of hollow relays on sockets: it is measured, and its judge can fail. */
 @Timeout(120)
 class FleetTest {
-    private static final String SMALL = """
+    private static final String SMALL =
+            """
             length_s = %d
             settle_s = 1.5
             zones = 4
@@ -63,21 +64,36 @@
         FleetOutcome o = lab.outcomes().get(0);
         // A busy machine may leave no verdict; what was measured then still has to hold.
         assertEquals(o.noVerdict == null, good, printed.toString());
-        assertTrue(o.figure("inforce.last_ms") < 3000 && o.figure("inforce.missing") == 0, printed.toString());
+        assertTrue(
+                o.figure("inforce.last_ms") < 3000 && o.figure("inforce.missing") == 0,
+                printed.toString());
         // 20 changes, each told to 20 relays; the last two may be made too close to the end.
         assertTrue(o.figure("inforce.count") >= 18 * 20, o.figures.toString());
-        assertEquals(o.figure("real.list_calls_per_s"), o.figure("hollow.list_calls_per_s"), 0.34, o.figures.toString());
-        assertTrue(o.figure("hollow.probes_per_s") > 1 && o.figure("real.probes_per_s") > 1, o.figures.toString());
+        assertEquals(
+                o.figure("real.list_calls_per_s"),
+                o.figure("hollow.list_calls_per_s"),
+                0.34,
+                o.figures.toString());
+        assertTrue(
+                o.figure("hollow.probes_per_s") > 1 && o.figure("real.probes_per_s") > 1,
+                o.figures.toString());
         assertTrue(o.figure("tunnels.opened_share") > 0.9, o.figures.toString());
-        assertTrue(o.figure("hollow.cpu_percent") > 0 && o.figure("hollow.heap_mb") > 0, o.figures.toString());
-        assertTrue(printed.toString().contains("hollow and real relays differ by"), printed.toString());
+        assertTrue(
+                o.figure("hollow.cpu_percent") > 0 && o.figure("hollow.heap_mb") > 0,
+                o.figures.toString());
+        assertTrue(
+                printed.toString().contains("hollow and real relays differ by"),
+                printed.toString());
         JsonNode json = new ObjectMapper().readTree(lab.json());
         assertEquals(6, json.get("plays").get(0).get("by_second").get("list_calls").size());
     }
 
     @Test
     void aListThatIsToldLateMakesAnExpectationFall() throws IOException {
-        FleetLab lab = play(SMALL.formatted(6, 0) + "[[entry]]\nkind = \"list-late\"\nat_s = 0\nfor_s = 2\ndelay_s = 3.2\n");
+        FleetLab lab =
+                play(
+                        SMALL.formatted(6, 0)
+                                + "[[entry]]\nkind = \"list-late\"\nat_s = 0\nfor_s = 2\ndelay_s = 3.2\n");
         assertFalse(lab.verdict());
         assertTrue(lab.outcomes().get(0).figure("inforce.last_ms") >= 3200, printed.toString());
         assertTrue(printed.toString().contains("SHORT    inforce.last_ms"), printed.toString());
@@ -85,7 +101,10 @@
 
     @Test
     void afterACutAllComeBackAndLearnWhatTheyMissed() throws IOException {
-        FleetLab lab = play(SMALL.formatted(8, 0) + """
+        FleetLab lab =
+                play(
+                        SMALL.formatted(8, 0)
+                                + """
                 [[entry]]
                 kind = "list-cut"
                 at_s = 1
@@ -101,13 +120,20 @@
         // Twenty calls at least in the seconds after it, and as many new connections over the run.
         assertTrue(o.figure("after.list-cut.calls_worst") >= 10, o.figures.toString());
         assertTrue(o.figure("worst.connects_per_s") >= 10, o.figures.toString());
-        assertTrue(o.figure("after.list-cut.told_s") > 0 && o.figure("after.list-cut.told_s") < 7, o.figures.toString());
+        assertTrue(
+                o.figure("after.list-cut.told_s") > 0 && o.figure("after.list-cut.told_s") < 7,
+                o.figures.toString());
         assertEquals(0, o.figure("inforce.missing"), o.figures.toString());
     }
 
-    private static final String SETTINGS = SMALL.formatted(5, 0).replace("expect = [", "expect = [\"settings.missing = 0\", "
-            + "\"settings.last_ms < 5000\", ") + "[[entry]]\nkind = \"settings\"\nat_s = 0.2\nfor_s = 100\nevery_s = 0.3\n"
-            + "[[entry]]\nkind = \"zone-relays\"\nat_s = 1\nfor_s = 1\nzone = 2\n";
+    private static final String SETTINGS =
+            SMALL.formatted(5, 0)
+                            .replace(
+                                    "expect = [",
+                                    "expect = [\"settings.missing = 0\", "
+                                            + "\"settings.last_ms < 5000\", ")
+                    + "[[entry]]\nkind = \"settings\"\nat_s = 0.2\nfor_s = 100\nevery_s = 0.3\n"
+                    + "[[entry]]\nkind = \"zone-relays\"\nat_s = 1\nfor_s = 1\nzone = 2\n";
 
     @Test
     void changedSettingsAreInForceAtEveryRelayThatStands() throws IOException {
@@ -115,15 +141,23 @@
         lab.verdict();
         FleetOutcome o = lab.outcomes().get(0);
         assertEquals(0, o.figure("settings.missing"), o.figures.toString());
-        assertTrue(o.figure("settings.last_ms") > 0 && o.figure("settings.last_ms") < 5000, o.figures.toString());
+        assertTrue(
+                o.figure("settings.last_ms") > 0 && o.figure("settings.last_ms") < 5000,
+                o.figures.toString());
         // 16 changes; a quarter of 20 relays is away for some of them.
         assertTrue(o.figure("settings.count") >= 12 * 15, o.figures.toString());
-        assertEquals(25, o.figure("settings.whole_asked"), "a whole copy at a start, and none besides: " + o.figures);
+        assertEquals(
+                25,
+                o.figure("settings.whole_asked"),
+                "a whole copy at a start, and none besides: " + o.figures);
     }
 
     @Test
     void withoutAServiceOfSettingsNoChangeIsEverInForce() throws IOException {
-        FleetLab lab = play(SETTINGS.replace("length_s = 5", "length_s = 3") + "[settings]\ntold = false\n");
+        FleetLab lab =
+                play(
+                        SETTINGS.replace("length_s = 5", "length_s = 3")
+                                + "[settings]\ntold = false\n");
         assertFalse(lab.verdict());
         assertTrue(printed.toString().contains("SHORT    settings.missing"), printed.toString());
     }
@@ -159,20 +193,32 @@
 
     @Test
     void aWrongFileIsToldWhole() {
-        Sheet sheet = Sheet.of("w.toml", "expect = [\"hollow.bytes < 1\", \"after.roll.told_s < 1\"]\n[[size]]\nrelays = 0\n"
-                + "[[entry]]\nkind = \"roll-back\"\nat_s = 1\nzone = 12\n");
+        Sheet sheet =
+                Sheet.of(
+                        "w.toml",
+                        "expect = [\"hollow.bytes < 1\", \"after.roll.told_s < 1\"]\n[[size]]\nrelays = 0\n"
+                                + "[[entry]]\nkind = \"roll-back\"\nat_s = 1\nzone = 12\n");
         FleetReader.read(sheet, "w");
         String told = String.join("\n", sheet.problems());
-        for (String part : List.of("no run gives the figure hollow.bytes", "no run gives the figure after.roll.told_s",
-                "size[0].servers: is missing", "size[0].relays: 0 is not between", "entry[0].kind: 'roll-back' is none",
-                "entry[0].zone: 12 is not between")) {
+        for (String part :
+                List.of(
+                        "no run gives the figure hollow.bytes",
+                        "no run gives the figure after.roll.told_s",
+                        "size[0].servers: is missing",
+                        "size[0].relays: 0 is not between",
+                        "entry[0].kind: 'roll-back' is none",
+                        "entry[0].zone: 12 is not between")) {
             assertTrue(told.contains(part), part + " in " + told);
         }
     }
 
     @Test
     void aPlanWithoutRealRelaysNamesNoneOfTheirFigures() {
-        assertNull(plan(SMALL.formatted(4, 0)).expects.stream().filter(e -> e.figure().startsWith("real.")).findAny().orElse(null));
+        assertNull(
+                plan(SMALL.formatted(4, 0)).expects.stream()
+                        .filter(e -> e.figure().startsWith("real."))
+                        .findAny()
+                        .orElse(null));
         assertFalse(FleetFigures.known("real.cpu_percent", plan(SMALL.formatted(4, 0))));
         assertTrue(FleetFigures.known("real.cpu_percent", plan(SMALL.formatted(4, 1))));
     }
--- a/lab/src/test/java/asterpulley/lab/fleet/ReckoningTest.java
+++ b/lab/src/test/java/asterpulley/lab/fleet/ReckoningTest.java
@@ -14,12 +14,20 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** What a fleet run works out without sockets: its timetable, when changes were in force, lines through figures, its room. */
+/**
+ * What a fleet run works out without sockets: its timetable, when changes were in force, lines
+ * through figures, its room.
+ */
 class ReckoningTest {
     private static final FleetPlan.Size SIZE = new FleetPlan.Size(20, 12);
 
     private static FleetPlan plan(String entries) {
-        return FleetReader.read(Sheet.of("t.toml", "length_s = 30\nzones = 4\n[[size]]\nrelays = 20\nservers = 12\n" + entries), "t");
+        return FleetReader.read(
+                Sheet.of(
+                        "t.toml",
+                        "length_s = 30\nzones = 4\n[[size]]\nrelays = 20\nservers = 12\n"
+                                + entries),
+                "t");
     }
 
     @Test
@@ -28,7 +36,8 @@
         assertEquals(2, exact.slope(), 1e-12);
         assertEquals(0, exact.error(), 1e-12);
         assertEquals(3, exact.at0(), 1e-12);
-        // By hand: 2.9 / 5; what is left is 0.12, -0.26, 0.16 and -0.02, their squares 0.108 together.
+        // By hand: 2.9 / 5; what is left is 0.12, -0.26, 0.16 and -0.02, their squares 0.108
+        // together.
         Fit rough = Fit.line(new double[] {1, 2, 3, 4}, new double[] {1.2, 1.4, 2.4, 2.8});
         assertEquals(0.58, rough.slope(), 1e-9);
         assertEquals(Math.sqrt(0.108 / 2 / 5), rough.error(), 1e-9);
@@ -47,7 +56,8 @@
         f.made(4, 300 * ms, true);
         f.saw(new InForce.Sight(1, InForce.What.CAME_TO, 2, 110 * ms));
         f.saw(new InForce.Sight(1, InForce.What.CAME_TO, 4, 350 * ms));
-        // The second stops, is back with its old list, and comes to what was made while it was gone: that does not count.
+        // The second stops, is back with its old list, and comes to what was made while it was
+        // gone: that does not count.
         f.saw(new InForce.Sight(2, InForce.What.STOPPED, 0, 150 * ms));
         f.saw(new InForce.Sight(2, InForce.What.STARTED, 1, 400 * ms));
         f.saw(new InForce.Sight(2, InForce.What.CAME_TO, 4, 410 * ms));
@@ -82,7 +92,10 @@
 
     @Test
     void theTimetableIsWorkedOutBeforeTheRun() {
-        Schedule s = new Schedule(plan("""
+        Schedule s =
+                new Schedule(
+                        plan(
+                                """
                 [[entry]]
                 kind = "change"
                 at_s = 1
@@ -99,15 +112,33 @@
                 step_share = 0.25
                 step_s = 1
                 down_s = 0.5
-                """), SIZE);
+                """),
+                        SIZE);
         assertEquals(12, s.calm);
         assertEquals(10, s.steps.stream().filter(t -> t.act() == Schedule.Act.CHANGE).count());
-        assertEquals(List.of(1, 5, 9, 13, 17), s.steps.stream().filter(t -> t.act() == Schedule.Act.RELAYS_BACK).findFirst().orElseThrow().who());
-        assertEquals(20, s.steps.stream().filter(t -> t.at() >= 20 && t.act() == Schedule.Act.RELAYS_GONE)
-                .mapToInt(t -> t.who().size()).sum());
-        assertEquals(List.of(new Schedule.After(FleetPlan.Kind.ZONE_RELAYS, 16, 20),
-                new Schedule.After(FleetPlan.Kind.ROLL, 20, 30)), s.afters);
-        assertEquals(s.steps, new Schedule(plan("""
+        assertEquals(
+                List.of(1, 5, 9, 13, 17),
+                s.steps.stream()
+                        .filter(t -> t.act() == Schedule.Act.RELAYS_BACK)
+                        .findFirst()
+                        .orElseThrow()
+                        .who());
+        assertEquals(
+                20,
+                s.steps.stream()
+                        .filter(t -> t.at() >= 20 && t.act() == Schedule.Act.RELAYS_GONE)
+                        .mapToInt(t -> t.who().size())
+                        .sum());
+        assertEquals(
+                List.of(
+                        new Schedule.After(FleetPlan.Kind.ZONE_RELAYS, 16, 20),
+                        new Schedule.After(FleetPlan.Kind.ROLL, 20, 30)),
+                s.afters);
+        assertEquals(
+                s.steps,
+                new Schedule(
+                                plan(
+                                        """
                 [[entry]]
                 kind = "change"
                 at_s = 1
@@ -124,7 +155,9 @@
                 step_share = 0.25
                 step_s = 1
                 down_s = 0.5
-                """), SIZE).steps);
+                """),
+                                SIZE)
+                        .steps);
     }
 
     @Test
@@ -157,7 +190,12 @@
         c.change(3, Catalog.Health.REMOVED, 0);
         c.change(4, Catalog.Health.DRAINING, 0);
         String since = new String(page.since(1), StandardCharsets.ISO_8859_1);
-        assertTrue(since.contains("\"s4\"") && since.contains("removed") && since.contains("\"s5\"") && since.contains("\"seq\":3"), since);
+        assertTrue(
+                since.contains("\"s4\"")
+                        && since.contains("removed")
+                        && since.contains("\"s5\"")
+                        && since.contains("\"seq\":3"),
+                since);
         assertTrue(!new String(page.since(2), StandardCharsets.ISO_8859_1).contains("\"s4\""));
         assertTrue(!new String(page.whole(), StandardCharsets.ISO_8859_1).contains("\"s4\""));
         assertTrue(new String(page.since(3), StandardCharsets.ISO_8859_1).contains("\"hosts\":[]"));
@@ -168,19 +206,32 @@
         FleetPlan plan = plan("");
         plan.probeConnections = 10;
         assertNull(Room.of(plan, new FleetPlan.Size(400, 100), 20_000, 24_000).tooMuch());
-        assertTrue(Room.of(plan, new FleetPlan.Size(400, 100), 1_000, 24_000).hollowProcesses() > 1);
-        assertTrue(Room.of(plan, new FleetPlan.Size(6_400, 100), 7_000, 24_000).tooMuch().contains("descriptors"));
-        assertTrue(Room.of(plan, new FleetPlan.Size(6_400, 400), 20_000, 8_000).tooMuch().contains("MB"));
-        // Real relays' connections count as well, and are not the same process's as those of hollow ones.
+        assertTrue(
+                Room.of(plan, new FleetPlan.Size(400, 100), 1_000, 24_000).hollowProcesses() > 1);
+        assertTrue(
+                Room.of(plan, new FleetPlan.Size(6_400, 100), 7_000, 24_000)
+                        .tooMuch()
+                        .contains("descriptors"));
+        assertTrue(
+                Room.of(plan, new FleetPlan.Size(6_400, 400), 20_000, 8_000)
+                        .tooMuch()
+                        .contains("MB"));
+        // Real relays' connections count as well, and are not the same process's as those of hollow
+        // ones.
         plan.real = 8;
         plan.probeConnections = 0;
         assertNull(Room.of(plan, new FleetPlan.Size(100, 1_600), 20_000, 24_000).tooMuch());
         plan.real = 20;
-        assertTrue(Room.of(plan, new FleetPlan.Size(100, 1_600), 20_000, 24_000).tooMuch().contains("descriptors"));
+        assertTrue(
+                Room.of(plan, new FleetPlan.Size(100, 1_600), 20_000, 24_000)
+                        .tooMuch()
+                        .contains("descriptors"));
         plan.real = 0;
         int without = Room.of(plan, new FleetPlan.Size(100, 25), 20_000, 24_000).serverProcesses();
         plan.real = 1;
-        assertEquals(without + 1, Room.of(plan, new FleetPlan.Size(100, 25), 20_000, 24_000).serverProcesses());
+        assertEquals(
+                without + 1,
+                Room.of(plan, new FleetPlan.Size(100, 25), 20_000, 24_000).serverProcesses());
         assertNotNull(Room.of(plan, new FleetPlan.Size(6_400, 400), 20_000, 200_000).tooMuch());
     }
 }
--- a/lab/src/test/java/asterpulley/lab/model/ExperimentsTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/ExperimentsTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** The experiments of a lost room hold in virtual time, but for the large ones; and what they hold by is what holds them. */
+/**
+ * The experiments of a lost room hold in virtual time, but for the large ones; and what they hold
+ * by is what holds them.
+ */
 class ExperimentsTest {
     private static final Path ROOMS = Path.of("..", "experiments", "rooms");
     private static final int SMALL = 100;
@@ -35,20 +38,31 @@
 
     @TestFactory
     Stream<DynamicTest> eachHoldsAsItSays() throws IOException {
-        return Files.list(ROOMS).sorted().map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> {
-            Plan plan = plan(file);
-            if (plan.allServers() > SMALL) {
-                return;
-            }
-            Outcome o = play(plan);
-            for (Plan.Expect e : plan.expects) {
-                assertTrue(o.holds(e), e + " is " + o.figure(e.figure()));
-            }
-            assertTrue(plan.expects.size() > 2 && o.notes.isEmpty(), o.notes.toString());
-        }));
+        return Files.list(ROOMS)
+                .sorted()
+                .map(
+                        file ->
+                                DynamicTest.dynamicTest(
+                                        file.getFileName().toString(),
+                                        () -> {
+                                            Plan plan = plan(file);
+                                            if (plan.allServers() > SMALL) {
+                                                return;
+                                            }
+                                            Outcome o = play(plan);
+                                            for (Plan.Expect e : plan.expects) {
+                                                assertTrue(
+                                                        o.holds(e),
+                                                        e + " is " + o.figure(e.figure()));
+                                            }
+                                            assertTrue(
+                                                    plan.expects.size() > 2 && o.notes.isEmpty(),
+                                                    o.notes.toString());
+                                        }));
     }
 
-    private static double without(String experiment, String figure, Object... keysAndValues) throws IOException {
+    private static double without(String experiment, String figure, Object... keysAndValues)
+            throws IOException {
         Plan plan = plan(ROOMS.resolve(experiment));
         for (int i = 0; i < keysAndValues.length; i += 2) {
             plan.routes.put((String) keysAndValues[i], keysAndValues[i + 1]);
@@ -62,16 +76,38 @@
 
     @Test
     void whatEachLimitIsForFailsWithoutIt() throws IOException {
-        assertTrue(without("near-full.toml", "spill.worst_share", "share", 1.0, "below", 10.0, "guests_kept", Map.of(), "kept",
-                Map.of()) > 0.35);
+        assertTrue(
+                without(
+                                "near-full.toml",
+                                "spill.worst_share",
+                                "share",
+                                1.0,
+                                "below",
+                                10.0,
+                                "guests_kept",
+                                Map.of(),
+                                "kept",
+                                Map.of())
+                        > 0.35);
         assertTrue(with("near-full.toml", "spill.worst_share") < 0.33);
         assertTrue(without("cold-return.toml", "spill.home_s", "return_share_per_s", null) > 35);
         assertTrue(with("cold-return.toml", "spill.home_s") < 30);
         double storm = with("near-full.toml", "credit.share.storm");
-        assertTrue(without("near-full.toml", "credit.share.storm", "guests_kept", Map.of(), "kept", Map.of()) < storm - 0.01);
+        assertTrue(
+                without(
+                                "near-full.toml",
+                                "credit.share.storm",
+                                "guests_kept",
+                                Map.of(),
+                                "kept",
+                                Map.of())
+                        < storm - 0.01);
     }
 
-    /** One play without the limit ends now above, now under full, as its seed has it: eight seeds tell. */
+    /**
+     * One play without the limit ends now above, now under full, as its seed has it: eight seeds
+     * tell.
+     */
     @Test
     void aLimitOnHowFullServersAreForGuestsIsWhatKeepsThemUnderFull() throws IOException {
         double highest = 0;
@@ -83,7 +119,9 @@
             plan.seed = seed;
             plan.routes.put("below", 10.0);
             double without = play(plan).figure("servers.worst_factor");
-            assertTrue(with < 0.8 && with < without, "seed " + seed + ": " + with + " with it, " + without + " without");
+            assertTrue(
+                    with < 0.8 && with < without,
+                    "seed " + seed + ": " + with + " with it, " + without + " without");
             highest = Math.max(highest, without);
         }
         assertTrue(highest > 0.8, "at most " + highest);
--- a/lab/src/test/java/asterpulley/lab/model/ModelTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/ModelTest.java
@@ -22,9 +22,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** The world in virtual time: the same each time, and each fault does to figures what its name says. */
+/**
+ * The world in virtual time: the same each time, and each fault does to figures what its name says.
+ */
 class ModelTest {
-    private static final String SMALL = """
+    private static final String SMALL =
+            """
             length_s = 12
             [load]
             arrivals_per_s = 20
@@ -49,76 +52,131 @@
 
     @Test
     void theSameSeedGivesTheSameBytesAndAnotherDoesNot() throws IOException {
-        String faults = "[[fault]]\nkind=\"silent\"\nat_s=3\nfor_s=3\ncount=1\n[[fault]]\nkind=\"reconnect\"\nat_s=7\n";
+        String faults =
+                "[[fault]]\nkind=\"silent\"\nat_s=3\nfor_s=3\ncount=1\n[[fault]]\nkind=\"reconnect\"\nat_s=7\n";
         Plan plan = plan(SMALL + faults);
         List<byte[]> runs = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             runs.add(Reports.json(plan, List.of(play(SMALL + faults, Model.MODULE))));
         }
         assertArrayEquals(runs.get(0), runs.get(1));
-        assertFalse(Arrays.equals(runs.get(0),
-                Reports.json(plan, List.of(play("seed = 2\n" + SMALL + faults, Model.MODULE)))));
+        assertFalse(
+                Arrays.equals(
+                        runs.get(0),
+                        Reports.json(
+                                plan, List.of(play("seed = 2\n" + SMALL + faults, Model.MODULE)))));
     }
 
     /** A fault, what it does to a figure compared with the calm, and how. */
-    private record Case(String fault, String figure, String sign) {
-    }
+    private record Case(String fault, String figure, String sign) {}
 
-    private static final List<Case> CASES = List.of(
-            new Case("kind=\"silent\"\nat_s=3\nfor_s=4\nservers=[\"feed-here-1\"]", "moves", ">"),
-            new Case("kind=\"no-answer\"\nat_s=3\nfor_s=4\nshare=0.5", "setups.unanswered", ">"),
-            new Case("kind=\"refuse\"\nat_s=3\nfor_s=4\nservers=[\"*-1\"]", "setups.full", ">"),
-            new Case("kind=\"refuse\"\nat_s=3\nfor_s=4", "tries.declined", ">"),
-            new Case("kind=\"reset\"\nat_s=3\nfor_s=4\ncount=1", "setups_per_opened", ">"),
-            new Case("kind=\"slow\"\nat_s=3\nfor_s=6\nfactor=20", "setup.p90_ms", ">"),
-            new Case("kind=\"errors\"\nat_s=3\nfor_s=4\nshare=0.5", "setups.errors", ">"),
-            new Case("kind=\"vanish\"\nat_s=3\nfor_s=4\ncount=1", "credit.share", "<"),
-            new Case("kind=\"crash\"\nat_s=3\nfor_s=2\ncount=1", "clients.cut_by_server", ">"),
-            new Case("kind=\"drain\"\nat_s=3\ncount=1\ndrain_s=6", "moves", ">"),
-            new Case("kind=\"room-dark\"\nroom=\"here\"\nat_s=3\nfor_s=3", "credit.share", "<"),
-            new Case("kind=\"relay-kill\"\nat_s=3", "clients.cut_by_relay", ">"),
-            new Case("kind=\"relay-restart\"\nat_s=3", "moves", ">"),
-            new Case("kind=\"reconnect\"\nat_s=3\nshare=1", "tries.taken", ">"),
-            new Case("kind=\"crowd\"\nat_s=3\ncount=200", "clients.count", ">"));
+    private static final List<Case> CASES =
+            List.of(
+                    new Case(
+                            "kind=\"silent\"\nat_s=3\nfor_s=4\nservers=[\"feed-here-1\"]",
+                            "moves",
+                            ">"),
+                    new Case(
+                            "kind=\"no-answer\"\nat_s=3\nfor_s=4\nshare=0.5",
+                            "setups.unanswered",
+                            ">"),
+                    new Case(
+                            "kind=\"refuse\"\nat_s=3\nfor_s=4\nservers=[\"*-1\"]",
+                            "setups.full",
+                            ">"),
+                    new Case("kind=\"refuse\"\nat_s=3\nfor_s=4", "tries.declined", ">"),
+                    new Case("kind=\"reset\"\nat_s=3\nfor_s=4\ncount=1", "setups_per_opened", ">"),
+                    new Case("kind=\"slow\"\nat_s=3\nfor_s=6\nfactor=20", "setup.p90_ms", ">"),
+                    new Case("kind=\"errors\"\nat_s=3\nfor_s=4\nshare=0.5", "setups.errors", ">"),
+                    new Case("kind=\"vanish\"\nat_s=3\nfor_s=4\ncount=1", "credit.share", "<"),
+                    new Case(
+                            "kind=\"crash\"\nat_s=3\nfor_s=2\ncount=1",
+                            "clients.cut_by_server",
+                            ">"),
+                    new Case("kind=\"drain\"\nat_s=3\ncount=1\ndrain_s=6", "moves", ">"),
+                    new Case(
+                            "kind=\"room-dark\"\nroom=\"here\"\nat_s=3\nfor_s=3",
+                            "credit.share",
+                            "<"),
+                    new Case("kind=\"relay-kill\"\nat_s=3", "clients.cut_by_relay", ">"),
+                    new Case("kind=\"relay-restart\"\nat_s=3", "moves", ">"),
+                    new Case("kind=\"reconnect\"\nat_s=3\nshare=1", "tries.taken", ">"),
+                    new Case("kind=\"crowd\"\nat_s=3\ncount=200", "clients.count", ">"));
 
     @TestFactory
     Stream<DynamicTest> faultsDoWhatTheirNamesSay() {
         Outcome calm = play(SMALL, Model.MODULE);
-        return CASES.stream().map(c -> DynamicTest.dynamicTest(c.fault.lines().findFirst().orElse(""), () -> {
-            Outcome with = play(SMALL + "[[fault]]\n" + c.fault + "\n", Model.MODULE);
-            double is = with.figure(c.figure);
-            double was = calm.figure(c.figure);
-            assertTrue(c.sign.equals(">") ? is > was : is < was, c.figure + " was " + was + ", is " + is);
-            assertEquals(0, with.figure("rules.broken"), with.notes.toString());
-        }));
+        return CASES.stream()
+                .map(
+                        c ->
+                                DynamicTest.dynamicTest(
+                                        c.fault.lines().findFirst().orElse(""),
+                                        () -> {
+                                            Outcome with =
+                                                    play(
+                                                            SMALL + "[[fault]]\n" + c.fault + "\n",
+                                                            Model.MODULE);
+                                            double is = with.figure(c.figure);
+                                            double was = calm.figure(c.figure);
+                                            assertTrue(
+                                                    c.sign.equals(">") ? is > was : is < was,
+                                                    c.figure + " was " + was + ", is " + is);
+                                            assertEquals(
+                                                    0,
+                                                    with.figure("rules.broken"),
+                                                    with.notes.toString());
+                                        }));
     }
 
     @Test
     void aListThatIsDownIsReadAgainAndADrainMeanwhileIsKept() {
-        Outcome o = play(SMALL.replace("length_s = 12", "length_s = 18") + "[[fault]]\nkind=\"list-down\"\nat_s=2\nfor_s=4\n"
-                + "[[fault]]\nkind=\"drain\"\nat_s=1.9\ncount=1\ndrain_s=14\n", Model.MODULE);
+        Outcome o =
+                play(
+                        SMALL.replace("length_s = 12", "length_s = 18")
+                                + "[[fault]]\nkind=\"list-down\"\nat_s=2\nfor_s=4\n"
+                                + "[[fault]]\nkind=\"drain\"\nat_s=1.9\ncount=1\ndrain_s=14\n",
+                        Model.MODULE);
         assertEquals(List.of(), o.notes);
         assertTrue(o.figure("moves") > 0);
     }
 
     @Test
     void aRoomThatIsCutOffServesItsOwnAndIsAvoidedByOthers() {
-        String two = SMALL.replace("[load]", "[rooms]\nnames=[\"a\",\"b\"]\n[load]").replace("count = 4", "count = 2");
+        String two =
+                SMALL.replace("[load]", "[rooms]\nnames=[\"a\",\"b\"]\n[load]")
+                        .replace("count = 4", "count = 2");
         Outcome calm = play(two, Model.MODULE);
-        Outcome o = play(two + "[[fault]]\nkind=\"room-cut\"\nroom=\"b\"\nat_s=3\nfor_s=6\n", Model.MODULE);
+        Outcome o =
+                play(
+                        two + "[[fault]]\nkind=\"room-cut\"\nroom=\"b\"\nat_s=3\nfor_s=6\n",
+                        Model.MODULE);
         assertEquals(0, o.figure("rules.broken"), o.notes.toString());
         assertTrue(o.figure("credit.share") > 0.9 * calm.figure("credit.share"));
     }
 
     @TestFactory
     Stream<DynamicTest> baselinesServeACalmDayByTheRules() {
-        return Stream.of(PlanReader.BASELINES).map(b -> DynamicTest.dynamicTest(b, () -> {
-            Outcome o = play(SMALL, b);
-            assertEquals(0, o.figure("rules.broken"), o.notes.toString());
-            assertTrue(o.figure("credit.share") > 0.9);
-            Outcome withSilence = play(SMALL + "[[fault]]\nkind=\"silent\"\nat_s=3\nfor_s=5\ncount=3\n", b);
-            assertTrue(withSilence.figure("credit.share") < o.figure("credit.share"));
-        }));
+        return Stream.of(PlanReader.BASELINES)
+                .map(
+                        b ->
+                                DynamicTest.dynamicTest(
+                                        b,
+                                        () -> {
+                                            Outcome o = play(SMALL, b);
+                                            assertEquals(
+                                                    0,
+                                                    o.figure("rules.broken"),
+                                                    o.notes.toString());
+                                            assertTrue(o.figure("credit.share") > 0.9);
+                                            Outcome withSilence =
+                                                    play(
+                                                            SMALL
+                                                                    + "[[fault]]\nkind=\"silent\"\nat_s=3\nfor_s=5\ncount=3\n",
+                                                            b);
+                                            assertTrue(
+                                                    withSilence.figure("credit.share")
+                                                            < o.figure("credit.share"));
+                                        }));
     }
 
     @Test
--- a/lab/src/test/java/asterpulley/lab/model/RoomTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/RoomTest.java
@@ -13,7 +13,8 @@
 
 /** A room that is lost, in virtual time: what spills, and the way back. */
 class RoomTest {
-    private static final String WORLD = """
+    private static final String WORLD =
+            """
             seed = 31
             length_s = 60
             [rooms]
@@ -30,7 +31,8 @@
             holds = 80
             warm_up_s = 8
             """;
-    private static final String DARK = "[[fault]]\nkind=\"room-dark\"\nroom=\"west\"\nat_s=20\nfor_s=8\n";
+    private static final String DARK =
+            "[[fault]]\nkind=\"room-dark\"\nroom=\"west\"\nat_s=20\nfor_s=8\n";
     private static final String SPILL = "[spill]\nshare = 0.3\n";
     private static final String RETURN = "[return]\nshare_per_s = 0.03\nstay_s = 4\n";
     private static final int GUESTS = Figures.SERIES.indexOf("guests_load");
@@ -50,9 +52,13 @@
     void theSpillKeepsWithinItsLimitWhereTheFeeAloneDoesNot() {
         Outcome free = play(WORLD.formatted(20) + DARK);
         Outcome bound = play(WORLD.formatted(20) + SPILL + DARK);
-        assertTrue(free.figure("spill.worst_share") > 0.33, "free " + free.figure("spill.worst_share"));
+        assertTrue(
+                free.figure("spill.worst_share") > 0.33,
+                "free " + free.figure("spill.worst_share"));
         // Limits count tunnels and rooms hold loads: a tenth of the limit is the draw of the loads.
-        assertTrue(bound.figure("spill.worst_share") < 0.33, "bound " + bound.figure("spill.worst_share"));
+        assertTrue(
+                bound.figure("spill.worst_share") < 0.33,
+                "bound " + bound.figure("spill.worst_share"));
         assertEquals(List.of(), bound.notes);
     }
 
@@ -72,21 +78,31 @@
         String full = WORLD.formatted(26);
         Outcome bound = play(full + "[spill]\nshare = 0.1\n" + DARK);
         assertEquals(List.of(), bound.notes);
-        assertTrue(bound.figure("spill.worst_share") < 0.13, "spill " + bound.figure("spill.worst_share"));
-        assertTrue(bound.figure("servers.worst_factor") < 1, "worst " + bound.figure("servers.worst_factor"));
-        assertTrue(bound.figure("tries.declined") > play(full + DARK).figure("tries.declined"), "declined at once");
+        assertTrue(
+                bound.figure("spill.worst_share") < 0.13,
+                "spill " + bound.figure("spill.worst_share"));
+        assertTrue(
+                bound.figure("servers.worst_factor") < 1,
+                "worst " + bound.figure("servers.worst_factor"));
+        assertTrue(
+                bound.figure("tries.declined") > play(full + DARK).figure("tries.declined"),
+                "declined at once");
     }
 
     @Test
     void aRoomThatComesAndGoesDoesNotSendItsClientsToAndFro() {
         StringBuilder faults = new StringBuilder();
         for (int at = 10; at < 50; at += 10) {
-            faults.append("[[fault]]\nkind=\"silent\"\nroom=\"west\"\nfor_s=5\nat_s=").append(at).append('\n');
+            faults.append("[[fault]]\nkind=\"silent\"\nroom=\"west\"\nfor_s=5\nat_s=")
+                    .append(at)
+                    .append('\n');
         }
         Outcome o = play(WORLD.formatted(16) + SPILL + RETURN + faults);
         assertEquals(List.of(), o.notes);
         double clients = o.figure("clients.count");
-        assertTrue(o.figure("moves") < 2 * clients, o.figure("moves") + " moves of " + clients + " clients");
+        assertTrue(
+                o.figure("moves") < 2 * clients,
+                o.figure("moves") + " moves of " + clients + " clients");
     }
 
     @Test
--- a/lab/src/test/java/asterpulley/lab/sock/DeliveriesTest.java
+++ b/lab/src/test/java/asterpulley/lab/sock/DeliveriesTest.java
@@ -14,7 +14,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The tools that measure deliveries and whole lists, against real relay processes, at a small size. */
+/**
+ * The tools that measure deliveries and whole lists, against real relay processes, at a small size.
+ */
 @Timeout(60)
 class DeliveriesTest {
     private final ByteArrayOutputStream said = new ByteArrayOutputStream();
@@ -59,15 +61,22 @@
         assertEquals(2, rows(figures, "paced").size());
         for (Map<String, Object> row : rows(figures, "paced")) {
             assertEquals(row.get("lines"), row.get("measured"), said.toString());
-            // Two rounds of half a second; a busy machine may keep less of the rate, never more than it makes up for.
+            // Two rounds of half a second; a busy machine may keep less of the rate, never more
+            // than it makes up for.
             assertTrue(figure(row, "lines") > 100 && figure(row, "lines") < 500, row.toString());
-            assertTrue(figure(row, "p99_ms") >= figure(row, "p50_ms") && figure(row, "p50_ms") > 0, row.toString());
+            assertTrue(
+                    figure(row, "p99_ms") >= figure(row, "p50_ms") && figure(row, "p50_ms") > 0,
+                    row.toString());
         }
         Map<String, Object> standing = rows(figures, "standing").get(0);
         // Twenty servers that are used are each sought every 0.4 s and a little.
-        assertTrue(figure(standing, "probes_per_s") > 20 && figure(standing, "probes_per_s") < 60, standing.toString());
+        assertTrue(
+                figure(standing, "probes_per_s") > 20 && figure(standing, "probes_per_s") < 60,
+                standing.toString());
         Map<String, Object> burst = rows(figures, "bursts").get(0);
-        assertTrue(figure(burst, "through_last_ms") >= figure(burst, "through_p99_ms") * 0.9, burst.toString());
+        assertTrue(
+                figure(burst, "through_last_ms") >= figure(burst, "through_p99_ms") * 0.9,
+                burst.toString());
         assertTrue(figure(burst, "direct_last_ms") > 0, burst.toString());
         assertEquals(0, ProcessHandle.current().children().filter(ProcessHandle::isAlive).count());
     }
@@ -80,8 +89,13 @@
         Map<String, Object> figures = Starts.measure(order, out);
         assertEquals(true, figures.get("all_ready"), said.toString());
         Map<String, Object> row = rows(figures, "starts").get(0);
-        assertTrue(figure(row, "bytes_per_entry") > 100 && figure(row, "bytes_per_entry") < 200, row.toString());
-        assertTrue(figure(row, "handed_ready_ms") > 20 && figure(row, "asked_ready_ms") >= figure(row, "asked_taken_ms"), row.toString());
+        assertTrue(
+                figure(row, "bytes_per_entry") > 100 && figure(row, "bytes_per_entry") < 200,
+                row.toString());
+        assertTrue(
+                figure(row, "handed_ready_ms") > 20
+                        && figure(row, "asked_ready_ms") >= figure(row, "asked_taken_ms"),
+                row.toString());
         assertTrue(figure(row, "asked_taken_ms") > 0, row.toString());
         assertEquals(0, ProcessHandle.current().children().filter(ProcessHandle::isAlive).count());
     }
@@ -91,7 +105,8 @@
         Deliveries.Order order = new Deliveries.Order();
         try (ServerSocket taken = new ServerSocket(Deliveries.PORT, 1, Sockets.ownAddress())) {
             assertTrue(taken.isBound());
-            IOException said = assertThrows(IOException.class, () -> Deliveries.measure(order, out));
+            IOException said =
+                    assertThrows(IOException.class, () -> Deliveries.measure(order, out));
             assertEquals("the relay ended by itself", said.getMessage());
         }
         assertEquals(0, ProcessHandle.current().children().filter(ProcessHandle::isAlive).count());
--- a/lab/src/test/java/asterpulley/lab/sock/SocketsTest.java
+++ b/lab/src/test/java/asterpulley/lab/sock/SocketsTest.java
@@ -24,7 +24,8 @@
 /** The world on sockets, against real relay processes, for a few seconds each. */
 @Timeout(90)
 class SocketsTest {
-    private static final String SHORT = """
+    private static final String SHORT =
+            """
             length_s = 5
             settle_s = 1
             [load]
@@ -38,8 +39,7 @@
             holds = 60
             """;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private static Plan plan(String text) {
         Sheet sheet = Sheet.of("sockets.toml", text);
@@ -66,8 +66,13 @@
 
     @Test
     void aRelayKilledWithSetupsOutCountsByWhatClientsSaw() throws IOException {
-        World world = play(SHORT.replace("holds = 60", "holds = 60\nsetup_s = 0.3").replace("lifetime_s = 3",
-                "lifetime_s = 3\nsetup_goal_s = 1") + "[[fault]]\nkind=\"relay-kill\"\nat_s=2\ndown_s=0.5\n");
+        World world =
+                play(
+                        SHORT.replace("holds = 60", "holds = 60\nsetup_s = 0.3")
+                                        .replace(
+                                                "lifetime_s = 3",
+                                                "lifetime_s = 3\nsetup_goal_s = 1")
+                                + "[[fault]]\nkind=\"relay-kill\"\nat_s=2\ndown_s=0.5\n");
         assertEquals(List.of(), world.judge.notes());
         assertTrue(world.figures.counted("clients.cut_by_relay") > 0);
         assertTrue(world.figures.counted("tries.lost_with_relay") > 0);
@@ -77,13 +82,15 @@
     @Test
     void twoRunsSideBySideShareNoPort() throws Exception {
         Path other = Files.createDirectory(folder.resolve("other"));
-        CompletableFuture<World> second = CompletableFuture.supplyAsync(() -> {
-            try {
-                return new Sockets(plan(SHORT), other).play();
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            }
-        });
+        CompletableFuture<World> second =
+                CompletableFuture.supplyAsync(
+                        () -> {
+                            try {
+                                return new Sockets(plan(SHORT), other).play();
+                            } catch (IOException e) {
+                                throw new java.io.UncheckedIOException(e);
+                            }
+                        });
         World first = play(SHORT);
         assertEquals(List.of(), first.judge.notes());
         assertEquals(List.of(), second.get(60, TimeUnit.SECONDS).judge.notes());
@@ -104,14 +111,18 @@
         try (Pump pump = new Pump()) {
             pump.run(0.2);
             double before = pump.lateShare();
-            pump.after(0, () -> {
-                long end = System.nanoTime() + 300_000_000L;
-                while (System.nanoTime() < end) {
-                    Thread.onSpinWait();
-                }
-            });
+            pump.after(
+                    0,
+                    () -> {
+                        long end = System.nanoTime() + 300_000_000L;
+                        while (System.nanoTime() < end) {
+                            Thread.onSpinWait();
+                        }
+                    });
             pump.run(1);
-            assertTrue(pump.lateShare() > Math.max(before, Sockets.LATE), "late share " + pump.lateShare());
+            assertTrue(
+                    pump.lateShare() > Math.max(before, Sockets.LATE),
+                    "late share " + pump.lateShare());
         }
     }
 
@@ -119,25 +130,30 @@
     void theLoadToolCountsFromWhenAnOpeningWasDue() throws Exception {
         try (Pump pump = new Pump()) {
             // One at a time, and each answer takes 50 ms: the tenth waits for the nine before it.
-            Pump.Listening server = pump.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
-                    conn -> new Conn.Ear() {
-                        @Override
-                        public void line(Conn on, String line) {
-                            pump.after(0.05, () -> on.say("UP r"));
-                        }
+            Pump.Listening server =
+                    pump.listen(
+                            new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
+                            conn ->
+                                    new Conn.Ear() {
+                                        @Override
+                                        public void line(Conn on, String line) {
+                                            pump.after(0.05, () -> on.say("UP r"));
+                                        }
 
-                        @Override
-                        public void ended(Conn on, boolean broken) {
-                            // Counted by the tool.
-                        }
-                    });
-            Thread stage = new Thread(() -> {
-                try {
-                    pump.run(20);
-                } catch (IOException e) {
-                    return;
-                }
-            });
+                                        @Override
+                                        public void ended(Conn on, boolean broken) {
+                                            // Counted by the tool.
+                                        }
+                                    });
+            Thread stage =
+                    new Thread(
+                            () -> {
+                                try {
+                                    pump.run(20);
+                                } catch (IOException e) {
+                                    return;
+                                }
+                            });
             stage.start();
             LoadTool.Order order = new LoadTool.Order();
             order.to = server.address;
@@ -149,7 +165,8 @@
             pump.stop();
             stage.join();
             assertTrue(tool.opened > 10 && tool.opened == tool.meant, tool.figures().toString());
-            assertTrue(tool.setups.getMaxValue() > 300_000, "coordinated omission: " + tool.figures());
+            assertTrue(
+                    tool.setups.getMaxValue() > 300_000, "coordinated omission: " + tool.figures());
             assertTrue(tool.setups.getMinValue() >= 45_000, tool.figures().toString());
         }
     }
--- a/relay/src/main/java/asterpulley/door/Desk.java
+++ b/relay/src/main/java/asterpulley/door/Desk.java
@@ -1,6 +1,9 @@
 package asterpulley.door;
 
-/** What the operators' calls ask of a relay. A yes is given only after the thing is so; a no changes nothing. */
+/**
+ * What the operators' calls ask of a relay. A yes is given only after the thing is so; a no changes
+ * nothing.
+ */
 public interface Desk {
     /** What a call is told: a yes or one of the ways of no, and a plain line, or the figures. */
     record Answer(Kind kind, String text) {
@@ -13,7 +16,12 @@
         }
     }
 
-    enum Kind { YES, NOT_NOW, UNKNOWN, FAILED }
+    enum Kind {
+        YES,
+        NOT_NOW,
+        UNKNOWN,
+        FAILED
+    }
 
     Answer health();
 
--- a/relay/src/main/java/asterpulley/door/Door.java
+++ b/relay/src/main/java/asterpulley/door/Door.java
@@ -33,23 +33,31 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Owns the second address, for operators: HTTP, one call to a connection, and who waits there. Callers that say nothing
- * or half a call wait in a bounded set in which the longest silent gives way. It must decide nothing, act on no call
- * that is not whole, and never let a caller hold up another.
+ * Owns the second address, for operators: HTTP, one call to a connection, and who waits there.
+ * Callers that say nothing or half a call wait in a bounded set in which the longest silent gives
+ * way. It must decide nothing, act on no call that is not whole, and never let a caller hold up
+ * another.
  */
 public final class Door extends BaseFilter {
-    /** Descriptors that are kept for it; so many callers wait at most, besides the listening socket. */
+    /**
+     * Descriptors that are kept for it; so many callers wait at most, besides the listening socket.
+     */
     public static final int SOCKETS = 24;
+
     private static final int CALLERS = SOCKETS - 1;
+
     /** A call that is not whole after this has none coming. */
     private static final double CALL = 5;
+
     /** An answered caller may take so long to read and end. */
     private static final double LINGER = 0.5;
+
     private static final double SWEEP = 0.1;
     private static final int LONGEST_HEAD = 8192, LONGEST_BODY = 4096;
     private static final String PLAIN = "text/plain;charset=utf-8";
     private static final String JSON = "application/json";
-    private static final Set<String> GETS = Set.of("/admin/health", "/admin/stats", "/admin/settings");
+    private static final Set<String> GETS =
+            Set.of("/admin/health", "/admin/stats", "/admin/settings");
     private static final String FIGURES = "text/plain;version=0.0.4;charset=utf-8";
 
     /** One that is connected; its call is answered once. */
@@ -66,8 +74,10 @@
     private final Desk desk;
     private final Loop loop;
     private final Book book;
+
     /** In the order in which they came. */
     private final Map<Connection<?>, Caller> callers = new LinkedHashMap<>();
+
     private TCPNIOServerConnection listener;
 
     public Door(Desk desk, Loop loop, Book book) {
@@ -78,15 +88,24 @@
 
     /** Answers calls from now on. */
     public void open(InetSocketAddress address, TCPNIOTransport transport) throws IOException {
-        HttpServerFilter http = new HttpServerFilter(false, LONGEST_HEAD, null, null) {
-            @Override
-            protected HttpContent customizeErrorResponse(HttpResponsePacket response) {
-                book.count("operator_calls_unreadable");
-                return said(response, PLAIN, "not a call that can be read");
-            }
-        };
-        listener = TCPNIOBindingHandler.builder(transport).processor(FilterChainBuilder.stateless()
-                .add(new TransportFilter()).add(http).add(this).build()).build().bind(address);
+        HttpServerFilter http =
+                new HttpServerFilter(false, LONGEST_HEAD, null, null) {
+                    @Override
+                    protected HttpContent customizeErrorResponse(HttpResponsePacket response) {
+                        book.count("operator_calls_unreadable");
+                        return said(response, PLAIN, "not a call that can be read");
+                    }
+                };
+        listener =
+                TCPNIOBindingHandler.builder(transport)
+                        .processor(
+                                FilterChainBuilder.stateless()
+                                        .add(new TransportFilter())
+                                        .add(http)
+                                        .add(this)
+                                        .build())
+                        .build()
+                        .bind(address);
         loop.handIn(this::sweep);
     }
 
@@ -130,13 +149,21 @@
     private void sweep() {
         double now = loop.now();
         List<Connection<?>> late = new ArrayList<>();
-        callers.forEach((connection, caller) -> {
-            if (caller.answeredAt > 0 ? now - caller.answeredAt > LINGER : now - caller.since > CALL) {
-                late.add(connection);
-            }
-        });
-        late.forEach(caller -> gone(caller, callers.get(caller).answeredAt > 0
-                ? "operator_callers_lingered" : "operator_callers_silent"));
+        callers.forEach(
+                (connection, caller) -> {
+                    if (caller.answeredAt > 0
+                            ? now - caller.answeredAt > LINGER
+                            : now - caller.since > CALL) {
+                        late.add(connection);
+                    }
+                });
+        late.forEach(
+                caller ->
+                        gone(
+                                caller,
+                                callers.get(caller).answeredAt > 0
+                                        ? "operator_callers_lingered"
+                                        : "operator_callers_silent"));
         loop.after(SWEEP, this::sweep);
     }
 
@@ -168,7 +195,10 @@
         for (String one : List.of("/admin/cordon/", "/admin/uncordon/")) {
             if (path.startsWith(one)) {
                 try {
-                    named = URLDecoder.decode(path.substring(one.length()).replace("+", "%2B"), StandardCharsets.UTF_8);
+                    named =
+                            URLDecoder.decode(
+                                    path.substring(one.length()).replace("+", "%2B"),
+                                    StandardCharsets.UTF_8);
                 } catch (IllegalArgumentException e) {
                     answer(ctx, call, caller, 400, "the backend's id cannot be read: " + path);
                     return;
@@ -178,16 +208,17 @@
         }
         String wants = GETS.contains(path) ? "GET" : "POST";
         String id = named;
-        Supplier<Desk.Answer> asked = switch (path) {
-            case "/admin/health" -> desk::health;
-            case "/admin/stats" -> desk::stats;
-            case "/admin/settings" -> desk::settings;
-            case "/admin/cordon/" -> () -> desk.cordon(id);
-            case "/admin/uncordon/" -> () -> desk.uncordon(id);
-            case "/admin/quiesce" -> desk::quiesce;
-            case "/admin/resume" -> desk::resume;
-            default -> null;
-        };
+        Supplier<Desk.Answer> asked =
+                switch (path) {
+                    case "/admin/health" -> desk::health;
+                    case "/admin/stats" -> desk::stats;
+                    case "/admin/settings" -> desk::settings;
+                    case "/admin/cordon/" -> () -> desk.cordon(id);
+                    case "/admin/uncordon/" -> () -> desk.uncordon(id);
+                    case "/admin/quiesce" -> desk::quiesce;
+                    case "/admin/resume" -> desk::resume;
+                    default -> null;
+                };
         if (asked == null) {
             answer(ctx, call, caller, 404, "no such call: " + path);
             return;
@@ -198,35 +229,50 @@
             return;
         }
         Desk.Answer answer = asked.get();
-        int status = switch (answer.kind()) {
-            case YES -> 200;
-            case UNKNOWN -> 404;
-            case NOT_NOW -> 503;
-            case FAILED -> 500;
-        };
-        call.getResponse().setContentType(!answer.yes() ? PLAIN : path.equals("/admin/stats") ? FIGURES
-                : path.equals("/admin/settings") ? JSON : PLAIN);
+        int status =
+                switch (answer.kind()) {
+                    case YES -> 200;
+                    case UNKNOWN -> 404;
+                    case NOT_NOW -> 503;
+                    case FAILED -> 500;
+                };
+        call.getResponse()
+                .setContentType(
+                        !answer.yes()
+                                ? PLAIN
+                                : path.equals("/admin/stats")
+                                        ? FIGURES
+                                        : path.equals("/admin/settings") ? JSON : PLAIN);
         answer(ctx, call, caller, status, answer.text());
     }
 
-    private void answer(FilterChainContext ctx, HttpRequestPacket call, Caller caller, int status, String text) {
+    private void answer(
+            FilterChainContext ctx,
+            HttpRequestPacket call,
+            Caller caller,
+            int status,
+            String text) {
         caller.answeredAt = loop.now();
         HttpResponsePacket response = call.getResponse();
         HttpStatus.getHttpStatus(status).setValues(response);
         response.setHeader("Connection", "close");
         String type = response.getContentType() == null ? PLAIN : response.getContentType();
         Connection<?> connection = ctx.getConnection();
-        ctx.write(said(response, type, text), new EmptyCompletionHandler<WriteResult>() {
-            @Override
-            public void completed(WriteResult written) {
-                try {
-                    // What it still sends must not destroy what it was told: it ends, or the sweep ends it.
-                    ((SocketChannel) ((NIOConnection) connection).getChannel()).shutdownOutput();
-                } catch (IOException e) {
-                    connection.terminateSilently();
-                }
-            }
-        });
+        ctx.write(
+                said(response, type, text),
+                new EmptyCompletionHandler<WriteResult>() {
+                    @Override
+                    public void completed(WriteResult written) {
+                        try {
+                            // What it still sends must not destroy what it was told: it ends, or
+                            // the sweep ends it.
+                            ((SocketChannel) ((NIOConnection) connection).getChannel())
+                                    .shutdownOutput();
+                        } catch (IOException e) {
+                            connection.terminateSilently();
+                        }
+                    }
+                });
     }
 
     private static HttpContent said(HttpResponsePacket response, String type, String text) {
--- a/relay/src/main/java/asterpulley/door/Figures.java
+++ b/relay/src/main/java/asterpulley/door/Figures.java
@@ -5,41 +5,94 @@
 import asterpulley.settings.InForce;
 
 /**
- * Owns the figures' names, in the text format of Prometheus. Every figure is read where it stands, from what is or from
- * the one count of it; it must never count anything itself.
+ * Owns the figures' names, in the text format of Prometheus. Every figure is read where it stands,
+ * from what is or from the one count of it; it must never count anything itself.
  */
 public final class Figures {
-    private Figures() {
-    }
+    private Figures() {}
 
     /** {@code settings}: null where no service tells any; then they have no figures. */
     public static String text(Book book, Route route, InForce settings) {
         StringBuilder text = new StringBuilder(1024);
-        head(text, "downstream_requests_total", "counter", "Tunnels answered, by profile: opened, declined, closed with error.");
+        head(
+                text,
+                "downstream_requests_total",
+                "counter",
+                "Tunnels answered, by profile: opened, declined, closed with error.");
         for (int p = 0; p < book.profiles().size(); p++) {
             for (Book.Answer answer : Book.Answer.values()) {
-                text.append("relay_downstream_requests_total{lane=\"").append(escaped(book.profiles().get(p)))
-                        .append("\",result=\"").append(result(answer)).append("\"} ")
-                        .append(book.answers(answer, p)).append('\n');
+                text.append("relay_downstream_requests_total{lane=\"")
+                        .append(escaped(book.profiles().get(p)))
+                        .append("\",result=\"")
+                        .append(result(answer))
+                        .append("\"} ")
+                        .append(book.answers(answer, p))
+                        .append('\n');
             }
         }
-        figure(text, "upstream_requests_total", "counter", "Setups written whole to servers.", book.counted("setups_written"));
+        figure(
+                text,
+                "upstream_requests_total",
+                "counter",
+                "Setups written whole to servers.",
+                book.counted("setups_written"));
         figure(text, "pending", "gauge", "Tunnels taken and not ended.", book.held());
         figure(text, "members", "gauge", "Servers in the list.", route.members(false));
-        figure(text, "members_unavailable", "gauge", "Listed servers that get nothing new from here now.", route.members(true));
-        figure(text, "config_reloads_total", "counter", "Configurations taken on while running.", book.counted("configurations"));
-        figure(text, "config_reload_errors_total", "counter", "Configurations that could not be read.",
+        figure(
+                text,
+                "members_unavailable",
+                "gauge",
+                "Listed servers that get nothing new from here now.",
+                route.members(true));
+        figure(
+                text,
+                "config_reloads_total",
+                "counter",
+                "Configurations taken on while running.",
+                book.counted("configurations"));
+        figure(
+                text,
+                "config_reload_errors_total",
+                "counter",
+                "Configurations that could not be read.",
                 book.counted("configurations_unreadable"));
         if (settings != null) {
             InForce.Version version = settings.version();
-            figure(text, "settings_epoch", "gauge", "The history of the settings in force, -1: the relay's own file's.",
+            figure(
+                    text,
+                    "settings_epoch",
+                    "gauge",
+                    "The history of the settings in force, -1: the relay's own file's.",
                     Math.max(-1, version.epoch()));
-            figure(text, "settings_version", "gauge", "The version of the settings in force within it.", version.seq());
-            figure(text, "settings_since_seconds", "gauge", "Unix time at which it came in force.", Math.round(settings.since()));
-            figure(text, "settings_changes_total", "counter", "Times that other settings came in force.",
+            figure(
+                    text,
+                    "settings_version",
+                    "gauge",
+                    "The version of the settings in force within it.",
+                    version.seq());
+            figure(
+                    text,
+                    "settings_since_seconds",
+                    "gauge",
+                    "Unix time at which it came in force.",
+                    Math.round(settings.since()));
+            figure(
+                    text,
+                    "settings_changes_total",
+                    "counter",
+                    "Times that other settings came in force.",
                     book.counted("settings_changes"));
-            figure(text, "settings_refused_total", "counter", "Versions that could not be in force.", settings.refusals());
-            figure(text, "settings_failures_total", "counter", "Calls to the settings service that failed.",
+            figure(
+                    text,
+                    "settings_refused_total",
+                    "counter",
+                    "Versions that could not be in force.",
+                    settings.refusals());
+            figure(
+                    text,
+                    "settings_failures_total",
+                    "counter",
+                    "Calls to the settings service that failed.",
                     book.counted("settings_failures"));
         }
         return text.toString();
@@ -53,14 +106,22 @@
         };
     }
 
-    private static void figure(StringBuilder text, String name, String type, String help, long value) {
+    private static void figure(
+            StringBuilder text, String name, String type, String help, long value) {
         head(text, name, type, help);
         text.append("relay_").append(name).append(' ').append(value).append('\n');
     }
 
     private static void head(StringBuilder text, String name, String type, String help) {
-        text.append("# HELP relay_").append(name).append(' ').append(help).append("\n# TYPE relay_").append(name)
-                .append(' ').append(type).append('\n');
+        text.append("# HELP relay_")
+                .append(name)
+                .append(' ')
+                .append(help)
+                .append("\n# TYPE relay_")
+                .append(name)
+                .append(' ')
+                .append(type)
+                .append('\n');
     }
 
     private static String escaped(String label) {
--- a/relay/src/main/java/asterpulley/line/Gather.java
+++ b/relay/src/main/java/asterpulley/line/Gather.java
@@ -1,12 +1,13 @@
 package asterpulley.line;
 
-import java.util.Arrays;
 import asterpulley.net.Leg;
+import java.util.Arrays;
 import org.glassfish.grizzly.Buffer;
 
 /**
- * Owns a line that has come only in part. Bytes go in as they were read, whole lines come out, however they were
- * split or joined on their way. It must never keep more than the longest line, and never lose a byte behind one.
+ * Owns a line that has come only in part. Bytes go in as they were read, whole lines come out,
+ * however they were split or joined on their way. It must never keep more than the longest line,
+ * and never lose a byte behind one.
  */
 public final class Gather {
     private byte[] bytes = new byte[128];
@@ -21,7 +22,10 @@
         return (Gather) leg.partly;
     }
 
-    /** The next whole line, without its end; null when it is still to come. What follows it stays in the buffer. */
+    /**
+     * The next whole line, without its end; null when it is still to come. What follows it stays in
+     * the buffer.
+     */
     public String next(Buffer in) {
         while (in.hasRemaining()) {
             byte b = in.get();
--- a/relay/src/main/java/asterpulley/line/LineTalk.java
+++ b/relay/src/main/java/asterpulley/line/LineTalk.java
@@ -5,8 +5,8 @@
 import asterpulley.net.Talk;
 
 /**
- * The line protocol's side of the shared stages: says its words to clients, and hands setups and moves to the stages that
- * own them. It must hold nothing itself.
+ * The line protocol's side of the shared stages: says its words to clients, and hands setups and
+ * moves to the stages that own them. It must hold nothing itself.
  */
 public final class LineTalk implements Talk {
     private Send send;
--- a/relay/src/main/java/asterpulley/line/Probes.java
+++ b/relay/src/main/java/asterpulley/line/Probes.java
@@ -19,11 +19,15 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Owns the connections on which backends are asked for their load: one a backend, kept between questions because a
- * new one costs the backend work and room. It must answer every question exactly once, and never judge by itself.
+ * Owns the connections on which backends are asked for their load: one a backend, kept between
+ * questions because a new one costs the backend work and room. It must answer every question
+ * exactly once, and never judge by itself.
  */
 public final class Probes extends BaseFilter {
-    /** A connection unused this long is of a backend that nobody asks any more, or of a machine that fell silent. */
+    /**
+     * A connection unused this long is of a backend that nobody asks any more, or of a machine that
+     * fell silent.
+     */
     private static final double UNUSED = 60;
 
     /** One backend's connection and the question that is out on it. */
@@ -31,8 +35,13 @@
         private final String host;
         private String address;
         private Leg leg;
-        /** The number of the question that is out, or was: who dialled for an earlier one is not heard any more. */
+
+        /**
+         * The number of the question that is out, or was: who dialled for an earlier one is not
+         * heard any more.
+         */
         private int question;
+
         private boolean asked, fresh;
         private double askedAt;
         private Failure.Reach reach;
@@ -60,7 +69,10 @@
         settings(settings);
     }
 
-    /** Counts from the next question on: an answer later than any tunnel's goal says that a tunnel would be too late as well. */
+    /**
+     * Counts from the next question on: an answer later than any tunnel's goal says that a tunnel
+     * would be too late as well.
+     */
     public void settings(Settings settings) {
         patience = settings.profiles.stream().mapToDouble(p -> p.setupGoal).min().orElse(0.5);
     }
@@ -71,23 +83,29 @@
 
     /** Starts the watch over unused connections. */
     public void start() {
-        lines.values().removeIf(line -> {
-            boolean unused = !line.asked && loop.now() - line.askedAt > UNUSED;
-            if (unused && line.leg != null) {
-                drop(line.leg);
-            }
-            return unused;
-        });
+        lines.values()
+                .removeIf(
+                        line -> {
+                            boolean unused = !line.asked && loop.now() - line.askedAt > UNUSED;
+                            if (unused && line.leg != null) {
+                                drop(line.leg);
+                            }
+                            return unused;
+                        });
         loop.after(UNUSED / 4, this::start);
     }
 
     /**
-     * Ends so many connections on which nothing is asked, the longest unused first, for who needs a socket now; ends none
-     * and says no where there are fewer. The next question dials anew.
+     * Ends so many connections on which nothing is asked, the longest unused first, for who needs a
+     * socket now; ends none and says no where there are fewer. The next question dials anew.
      */
     public boolean hangUp(int count) {
-        List<Line> unused = lines.values().stream().filter(line -> !line.asked && line.leg != null && !line.leg.closed())
-                .sorted(Comparator.comparingDouble(line -> line.askedAt)).limit(count).toList();
+        List<Line> unused =
+                lines.values().stream()
+                        .filter(line -> !line.asked && line.leg != null && !line.leg.closed())
+                        .sorted(Comparator.comparingDouble(line -> line.askedAt))
+                        .limit(count)
+                        .toList();
         if (unused.size() < count) {
             return false;
         }
@@ -109,7 +127,10 @@
         int n = ++line.question;
         line.patience = loop.after(patience, () -> failed(line, n, Failure.Cause.GIVEN_UP));
         String address = dialer.address(host);
-        if (line.leg != null && !line.leg.closed() && address != null && !address.equals(line.address)) {
+        if (line.leg != null
+                && !line.leg.closed()
+                && address != null
+                && !address.equals(line.address)) {
             // The backend is reached elsewhere now: what the old connection tells is not of it.
             drop(line.leg);
         }
@@ -126,8 +147,13 @@
         int n = line.question;
         line.fresh = true;
         line.reach = Failure.Reach.NOT_CONNECTED;
-        line.leg = dialer.dial(line.host, chain, patience, leg -> connected(line, n, leg),
-                () -> failed(line, n, Failure.Cause.BROKEN));
+        line.leg =
+                dialer.dial(
+                        line.host,
+                        chain,
+                        patience,
+                        leg -> connected(line, n, leg),
+                        () -> failed(line, n, Failure.Cause.BROKEN));
     }
 
     private void connected(Line line, int n, Leg leg) {
@@ -153,7 +179,9 @@
             broken(leg, line);
             return ctx.getStopAction();
         }
-        for (String answer = Gather.of(leg).next(in); answer != null; answer = Gather.of(leg).next(in)) {
+        for (String answer = Gather.of(leg).next(in);
+                answer != null;
+                answer = Gather.of(leg).next(in)) {
             if (line.asked) {
                 settle(line);
                 book.count("probes_answered");
@@ -177,7 +205,8 @@
             if (line.fresh) {
                 failed(line, line.question, Failure.Cause.BROKEN);
             } else {
-                // It was closed as idle just when the question went out: that says nothing of the backend.
+                // It was closed as idle just when the question went out: that says nothing of the
+                // backend.
                 dial(line);
             }
         }
--- a/relay/src/main/java/asterpulley/line/Relay.java
+++ b/relay/src/main/java/asterpulley/line/Relay.java
@@ -13,22 +13,34 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The fifth stage, relay: owns a tunnel that stands. It passes bytes both ways unchanged and as they come, reads
- * along for what the backend tells of the tunnel, ends each side as the other ended, and moves clients away. It
- * must never change a byte, never speak to a client in the middle of a line, and never hold a line back.
+ * The fifth stage, relay: owns a tunnel that stands. It passes bytes both ways unchanged and as
+ * they come, reads along for what the backend tells of the tunnel, ends each side as the other
+ * ended, and moves clients away. It must never change a byte, never speak to a client in the middle
+ * of a line, and never hold a line back.
  */
 public final class Relay extends BaseFilter {
     /** One side has ended and the other says nothing this long: it holds sockets for nobody. */
     private static final double HALF_CLOSED = 10;
+
     /**
-     * A client must not wait for ever on what fell silent. The platform bounds that at 7 s from where it stopped, which
-     * may be 2 s, the time between two lines of a client, before the first line that nothing answers.
+     * A client must not wait for ever on what fell silent. The platform bounds that at 7 s from
+     * where it stopped, which may be 2 s, the time between two lines of a client, before the first
+     * line that nothing answers.
      */
     private static final double SILENT = 3.5;
-    /** A sound backend brings a line back at once: from here on the module is told, as often as this. */
+
+    /**
+     * A sound backend brings a line back at once: from here on the module is told, as often as
+     * this.
+     */
     private static final double SLOW = 1.1;
+
     private static final double SWEEP = 0.25;
-    /** A line that the backend does not finish can not be waited for any longer than it may be held back. */
+
+    /**
+     * A line that the backend does not finish can not be waited for any longer than it may be held
+     * back.
+     */
     private static final double UNFINISHED = 0.8;
 
     private final Loop loop;
@@ -43,7 +55,10 @@
         this.send = send;
     }
 
-    /** Starts the watch over silent backends: what passes here tells of one sooner than its load reports do. */
+    /**
+     * Starts the watch over silent backends: what passes here tells of one sooner than its load
+     * reports do.
+     */
     public void start() {
         for (Passage passage : book.all()) {
             double waits = passage.unansweredSince > 0 ? loop.now() - passage.unansweredSince : 0;
@@ -70,7 +85,8 @@
         } else if (!passage.standing && (passage.over || !fromClient)) {
             ((Buffer) message).tryDispose();
         } else if (!passage.standing) {
-            // A client waits for its answer: words before it are no client's, and no backend shall have to read them.
+            // A client waits for its answer: words before it are no client's, and no backend shall
+            // have to read them.
             ((Buffer) message).tryDispose();
             book.count("early_words");
             route.drop(passage);
@@ -145,12 +161,15 @@
             return;
         }
         Leg other = byClient ? passage.backend : passage.client;
-        Failure.Cause cause = byClient ? Failure.Cause.CLIENT_LEFT
-                : passage.farewell != null ? passage.farewell : Failure.Cause.BROKEN;
+        Failure.Cause cause =
+                byClient
+                        ? Failure.Cause.CLIENT_LEFT
+                        : passage.farewell != null ? passage.farewell : Failure.Cause.BROKEN;
         passage.clientEnded |= byClient;
         passage.backendEnded |= !byClient;
         if (!byClient && passage.farewell != null) {
-            // A reset on a client's last line must not destroy the backend's last word to that client.
+            // A reset on a client's last line must not destroy the backend's last word to that
+            // client.
             finish(passage, cause);
             leg.close();
             other.linger();
@@ -172,12 +191,16 @@
         }
     }
 
-    /** Guards against a side that never ends: a client's machine, or a backend's, that fell silent. */
+    /**
+     * Guards against a side that never ends: a client's machine, or a backend's, that fell silent.
+     */
     private void halfClosed(Passage passage) {
         if (passage.client.closed() && passage.backend.closed()) {
             return;
         }
-        double moved = Math.max(passage.heardAt, Math.max(passage.client.wroteAt, passage.backend.wroteAt));
+        double moved =
+                Math.max(
+                        passage.heardAt, Math.max(passage.client.wroteAt, passage.backend.wroteAt));
         double quiet = loop.now() - moved;
         if (quiet < HALF_CLOSED) {
             loop.after(HALF_CLOSED - quiet, () -> halfClosed(passage));
@@ -189,8 +212,9 @@
     }
 
     /**
-     * The client left before its answer, or only ended its own sending: nobody can tell. What was sent whole may still
-     * open and is waited for; nothing is sent on from here, and in any case there is an answer.
+     * The client left before its answer, or only ended its own sending: nobody can tell. What was
+     * sent whole may still open and is waited for; nothing is sent on from here, and in any case
+     * there is an answer.
      */
     private void left(Passage passage, SocketFilter.End end) {
         if (passage.over) {
@@ -226,14 +250,16 @@
         if (Gather.of(passage.backend).between()) {
             moveNow(passage);
         } else {
-            loop.after(UNFINISHED, () -> {
-                if (!passage.over) {
-                    book.count("moved_unfinished");
-                    finish(passage, Failure.Cause.CLIENT_LEFT);
-                    passage.backend.close();
-                    passage.client.linger();
-                }
-            });
+            loop.after(
+                    UNFINISHED,
+                    () -> {
+                        if (!passage.over) {
+                            book.count("moved_unfinished");
+                            finish(passage, Failure.Cause.CLIENT_LEFT);
+                            passage.backend.close();
+                            passage.client.linger();
+                        }
+                    });
         }
     }
 
--- a/relay/src/main/java/asterpulley/line/Send.java
+++ b/relay/src/main/java/asterpulley/line/Send.java
@@ -14,13 +14,17 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The fourth stage, send: owns a setup from its connect to the backend's first word. It knows at every moment how
- * far the setup has come, so that its end tells truly whether it may have run. It must never have two setups of a
- * tunnel out, and never send one again by itself.
+ * The fourth stage, send: owns a setup from its connect to the backend's first word. It knows at
+ * every moment how far the setup has come, so that its end tells truly whether it may have run. It
+ * must never have two setups of a tunnel out, and never send one again by itself.
  */
 public final class Send extends BaseFilter {
-    /** Tunnels that stood before the relay started are tried for as long as the platform waits for them. */
+    /**
+     * Tunnels that stood before the relay started are tried for as long as the platform waits for
+     * them.
+     */
     private static final double REOPEN_FOR = 35;
+
     private static final double REOPEN_EVERY = 0.5;
     private static final double REOPEN_PATIENCE = 10;
 
@@ -50,11 +54,18 @@
         passage.sentAt = loop.now();
         passage.patience = loop.after(timeout, () -> failed(passage, n, Failure.Cause.GIVEN_UP));
         book.count("setups");
-        passage.backend = dialer.dial(host, chain, timeout,
-                leg -> connected(passage, n, leg, timeout), () -> failed(passage, n, Failure.Cause.BROKEN));
+        passage.backend =
+                dialer.dial(
+                        host,
+                        chain,
+                        timeout,
+                        leg -> connected(passage, n, leg, timeout),
+                        () -> failed(passage, n, Failure.Cause.BROKEN));
     }
 
-    /** A tunnel that stood at this backend before the relay started: it goes there and nowhere else. */
+    /**
+     * A tunnel that stood at this backend before the relay started: it goes there and nowhere else.
+     */
     public void reopen(Passage passage) {
         if (passage.over) {
             return;
@@ -97,12 +108,14 @@
         }
         leg.passage = passage;
         passage.reach = Failure.Reach.PARTLY_WRITTEN;
-        leg.say(passage.asked.opening(passage.sentAt + timeout - loop.now()), () -> {
-            if (passage.setups == n && passage.reach == Failure.Reach.PARTLY_WRITTEN) {
-                passage.reach = Failure.Reach.SENT;
-                book.count("setups_written");
-            }
-        });
+        leg.say(
+                passage.asked.opening(passage.sentAt + timeout - loop.now()),
+                () -> {
+                    if (passage.setups == n && passage.reach == Failure.Reach.PARTLY_WRITTEN) {
+                        passage.reach = Failure.Reach.SENT;
+                        book.count("setups_written");
+                    }
+                });
     }
 
     @Override
@@ -134,7 +147,10 @@
         if (!Words.isOpened(line)) {
             in.tryDispose();
             Failure.Cause cause = Words.cause(line);
-            failed(passage, passage.setups, cause == null || cause == Failure.Cause.BYE ? Failure.Cause.ERR : cause);
+            failed(
+                    passage,
+                    passage.setups,
+                    cause == null || cause == Failure.Cause.BYE ? Failure.Cause.ERR : cause);
             return ctx.getStopAction();
         }
         passage.out = false;
@@ -145,7 +161,8 @@
         book.opened(passage);
         passage.client.say(Words.line(line));
         if (passage.clientEnded) {
-            // It ended its sending behind its line, and only that: the backend is told so, and it gets its answer.
+            // It ended its sending behind its line, and only that: the backend is told so, and it
+            // gets its answer.
             leg.endSending();
         }
         route.opened(passage);
@@ -174,7 +191,10 @@
         }
     }
 
-    /** Its server is to get nothing new: what is not written yet is known not to run, and goes elsewhere at once. */
+    /**
+     * Its server is to get nothing new: what is not written yet is known not to run, and goes
+     * elsewhere at once.
+     */
     public void recall(Passage passage) {
         if (passage.out && passage.reach == Failure.Reach.NOT_CONNECTED) {
             failed(passage, passage.setups, Failure.Cause.RECALLED);
--- a/relay/src/main/java/asterpulley/line/TakeIn.java
+++ b/relay/src/main/java/asterpulley/line/TakeIn.java
@@ -13,9 +13,10 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The first stage, take in: owns a client's connection until its first line is whole. It answers the front's
- * checks, turns an opening into a tunnel and hands that on; whatever else comes is answered and ended at once. It
- * must never pass on what is not an opening to the letter, and never wait for a client that does not speak.
+ * The first stage, take in: owns a client's connection until its first line is whole. It answers
+ * the front's checks, turns an opening into a tunnel and hands that on; whatever else comes is
+ * answered and ended at once. It must never pass on what is not an opening to the letter, and never
+ * wait for a client that does not speak.
  */
 public final class TakeIn extends BaseFilter {
     private final Loop loop;
@@ -26,7 +27,8 @@
     private final BooleanSupplier wanted;
 
     /** {@code wanted}: whether the front shall send more clients here. */
-    public TakeIn(Loop loop, Words words, Talk talk, Book book, Lobby lobby, BooleanSupplier wanted) {
+    public TakeIn(
+            Loop loop, Words words, Talk talk, Book book, Lobby lobby, BooleanSupplier wanted) {
         this.loop = loop;
         this.words = words;
         this.talk = talk;
@@ -35,7 +37,10 @@
         this.wanted = wanted;
     }
 
-    /** The names that lines may use from now on; a line in part is read by those of when it is whole. */
+    /**
+     * The names that lines may use from now on; a line in part is read by those of when it is
+     * whole.
+     */
     public void words(Words anew) {
         words = anew;
     }
@@ -59,8 +64,11 @@
             return ctx.getStopAction();
         }
         String line = Gather.of(leg).next(in);
-        // A client waits for the answer to its line: what has more behind it is none, and nothing of it is heeded.
-        boolean wrong = Gather.of(leg).tooLong() || line != null && (Gather.of(leg).bare() || in.hasRemaining());
+        // A client waits for the answer to its line: what has more behind it is none, and nothing
+        // of it is heeded.
+        boolean wrong =
+                Gather.of(leg).tooLong()
+                        || line != null && (Gather.of(leg).bare() || in.hasRemaining());
         in.tryDispose();
         leg.spokeAt = loop.now();
         leg.awaited = line == null && !wrong;
--- a/relay/src/main/java/asterpulley/line/Words.java
+++ b/relay/src/main/java/asterpulley/line/Words.java
@@ -12,14 +12,16 @@
 import java.util.regex.Pattern;
 
 /**
- * Owns the words of the platform's line protocol: lines are read into the relay's terms here and written here, and
- * nowhere else. It must never decide anything, nor touch a socket.
+ * Owns the words of the platform's line protocol: lines are read into the relay's terms here and
+ * written here, and nowhere else. It must never decide anything, nor touch a socket.
  */
 public final class Words {
     /** The longest line that is taken. */
     public static final int LONGEST = 4096;
+
     /** Lines go on byte for byte, whatever a client wrote in them. */
     public static final Charset BYTES = StandardCharsets.ISO_8859_1;
+
     public static final String PONG = "PONG";
     public static final String MOVE = "MOVE";
     public static final String ERR = "ERR";
@@ -28,18 +30,36 @@
     public static final String NO = "NO";
 
     private static final Pattern MARK = Pattern.compile("[0-9a-fA-F]{1,32}");
+
     /** No blank, no control character. */
     private static final Pattern PLAIN = Pattern.compile("[!-~\\x80-\\xff]+");
+
     private static final Pattern MILLISECONDS = Pattern.compile("[1-9][0-9]{0,9}");
 
-    /** A client's first line; {@code patience} is NaN where it names none, as only a standing tunnel's may. */
-    public record Opening(String id, String key, int profile, int customer, String group, double patience, String at,
-            String beforePatience, String afterPatience) implements Asked {
+    /**
+     * A client's first line; {@code patience} is NaN where it names none, as only a standing
+     * tunnel's may.
+     */
+    public record Opening(
+            String id,
+            String key,
+            int profile,
+            int customer,
+            String group,
+            double patience,
+            String at,
+            String beforePatience,
+            String afterPatience)
+            implements Asked {
         /** The line for a backend: unchanged but for how long this relay will wait. */
         @Override
         public byte[] opening(double wait) {
-            return line(afterPatience == null ? beforePatience
-                    : beforePatience + Math.max(1, Math.round(wait * 1000)) + afterPatience);
+            return line(
+                    afterPatience == null
+                            ? beforePatience
+                            : beforePatience
+                                    + Math.max(1, Math.round(wait * 1000))
+                                    + afterPatience);
         }
     }
 
@@ -60,18 +80,25 @@
     /** Names as the bytes of a line have them. */
     private static Map<String, Integer> places(Map<String, Object> settings, String list) {
         Map<String, Integer> places = new HashMap<>();
-        SettingsDecoder.current(settings, list).forEach(
-                (name, place) -> places.put(new String(name.getBytes(StandardCharsets.UTF_8), BYTES), place));
+        SettingsDecoder.current(settings, list)
+                .forEach(
+                        (name, place) ->
+                                places.put(
+                                        new String(name.getBytes(StandardCharsets.UTF_8), BYTES),
+                                        place));
         return places;
     }
 
     /**
-     * Null where the line is not an opening to the letter: backends close on what they cannot read, and what one
-     * client sent must never cost another its tunnel.
+     * Null where the line is not an opening to the letter: backends close on what they cannot read,
+     * and what one client sent must never cost another its tunnel.
      */
     public Opening opening(String line) {
         String[] w = line.split(" ", -1);
-        if (w.length != 4 || !w[0].equals("OPEN") || !MARK.matcher(w[1]).matches() || !MARK.matcher(w[2]).matches()
+        if (w.length != 4
+                || !w[0].equals("OPEN")
+                || !MARK.matcher(w[1]).matches()
+                || !MARK.matcher(w[2]).matches()
                 || !PLAIN.matcher(w[3]).matches()) {
             return null;
         }
@@ -94,11 +121,26 @@
         String customer = named.get("t");
         String at = named.get("at");
         String patience = named.get("d");
-        boolean wrong = profile == null || customer != null && !customers.isEmpty() && !customers.containsKey(customer)
-                || patience == null && at == null || patience != null && !MILLISECONDS.matcher(patience).matches()
-                || "".equals(at);
-        return wrong ? null : new Opening(w[1], w[2], profile, customers.getOrDefault(customer, -1), named.get("g"),
-                patience == null ? Double.NaN : Long.parseLong(patience) / 1000.0, at, before, after);
+        boolean wrong =
+                profile == null
+                        || customer != null
+                                && !customers.isEmpty()
+                                && !customers.containsKey(customer)
+                        || patience == null && at == null
+                        || patience != null && !MILLISECONDS.matcher(patience).matches()
+                        || "".equals(at);
+        return wrong
+                ? null
+                : new Opening(
+                        w[1],
+                        w[2],
+                        profile,
+                        customers.getOrDefault(customer, -1),
+                        named.get("g"),
+                        patience == null ? Double.NaN : Long.parseLong(patience) / 1000.0,
+                        at,
+                        before,
+                        after);
     }
 
     public static String busy(double retryAfter) {
@@ -134,7 +176,8 @@
     }
 
     public static Outcome probed(String line) {
-        return line.startsWith(PONG) ? Outcome.OK
+        return line.startsWith(PONG)
+                ? Outcome.OK
                 : Failure.Cause.BUSY == cause(line) ? Outcome.FULL : Outcome.FAILED;
     }
 
@@ -142,10 +185,13 @@
     public static Report report(String line) {
         Map<String, Object> figures = new HashMap<>();
         int space = line.indexOf(' ');
-        for (String pair : space < 0 ? new String[0] : line.substring(space + 1).trim().split(",")) {
+        for (String pair :
+                space < 0 ? new String[0] : line.substring(space + 1).trim().split(",")) {
             int eq = pair.indexOf('=');
             try {
-                figures.put(name(pair.substring(0, Math.max(0, eq))), Double.valueOf(pair.substring(eq + 1)));
+                figures.put(
+                        name(pair.substring(0, Math.max(0, eq))),
+                        Double.valueOf(pair.substring(eq + 1)));
             } catch (NumberFormatException e) {
                 // A figure that is no number is left out, the others count.
                 continue;
--- a/relay/src/main/java/asterpulley/list/Discovery.java
+++ b/relay/src/main/java/asterpulley/list/Discovery.java
@@ -17,35 +17,52 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Owns the watch on the list of backends, and where each is reached. One long poll waits at discovery all the time, and
- * the next goes out with the last answer, so that the watch never lapses. It must never keep a list that it was
- * told is over, never forget one because discovery fails or moves, and never ask again after a failure before the
- * module says so.
+ * Owns the watch on the list of backends, and where each is reached. One long poll waits at
+ * discovery all the time, and the next goes out with the last answer, so that the watch never
+ * lapses. It must never keep a list that it was told is over, never forget one because discovery
+ * fails or moves, and never ask again after a failure before the module says so.
  */
 public final class Discovery implements LongPoll.Caller {
     private static final Logger LOG = Logger.getLogger(Discovery.class.getName());
     private static final String PATH = "/registry/instances";
-    /** How long a call may wait for news. Shorter costs discovery calls; longer leaves a dead call unnoticed. */
+
+    /**
+     * How long a call may wait for news. Shorter costs discovery calls; longer leaves a dead call
+     * unnoticed.
+     */
     private static final double WAIT = 10;
+
     /** How long a call waits that only catches up. */
     private static final double AT_ONCE = 1e-3;
+
     /**
-     * What a silent call misses counts as told so long after its wait, whether or not it arrived; where it may not wait,
-     * so long after this relay was sent to another address. By then it must have been opened anew.
+     * What a silent call misses counts as told so long after its wait, whether or not it arrived;
+     * where it may not wait, so long after this relay was sent to another address. By then it must
+     * have been opened anew.
      */
     private static final double TOLD_AFTER_WAIT = 2, TOLD_AFTER_MOVE = 4;
+
     /**
-     * Whatever a call failed on, a change counts as told so long after discovery could be reached again, which may be
-     * just behind a call that was lost. By then that one must be given up, a pause be over and a new one answered.
+     * Whatever a call failed on, a change counts as told so long after discovery could be reached
+     * again, which may be just behind a call that was lost. By then that one must be given up, a
+     * pause be over and a new one answered.
      */
     private static final double TOLD_AFTER_FAILURE = 6;
-    /** Of that, what a new call takes: a connection, the others' calls before it, and the list on its way. */
+
+    /**
+     * Of that, what a new call takes: a connection, the others' calls before it, and the list on
+     * its way.
+     */
     private static final double ANEW = 1;
-    /** The pause after a call that took so long is at most half a second, and the rest is margin. */
+
+    /**
+     * The pause after a call that took so long is at most half a second, and the rest is margin.
+     */
     private static final double PAUSE = 1, LONG = 2;
+
     /**
-     * Where the list is asked for, the first pause after a watch that was refused as it opened: discovery has too many
-     * callers then, and those that are still without its list come first.
+     * Where the list is asked for, the first pause after a watch that was refused as it opened:
+     * discovery has too many callers then, and those that are still without its list come first.
      */
     private static final double SATED = 2;
 
@@ -57,23 +74,44 @@
     private Pace pace = new Pace();
     private final boolean pushed;
     private final Map<String, String> dials = new HashMap<>();
-    /** What the last answer told, and the highest of all since the watch is at this address or was last waited on. */
+
+    /**
+     * What the last answer told, and the highest of all since the watch is at this address or was
+     * last waited on.
+     */
     private long version, newest;
+
     /** The last answer that said something. */
     private Fleet last;
+
     private boolean watching, down, idle;
-    /** The last call failed: what has changed since then is asked for first, by a call that does not wait for news. */
+
+    /**
+     * The last call failed: what has changed since then is asked for first, by a call that does not
+     * wait for news.
+     */
     private boolean behind;
+
     private double calledAt;
     private int calls;
-    /** Is told once that the list is as discovery has it now; until then calls do not wait for news. */
+
+    /**
+     * Is told once that the list is as discovery has it now; until then calls do not wait for news.
+     */
     private Runnable whenCurrent;
 
     /**
-     * {@code address}: null where there is no discovery and the list only comes from the configuration; {@code pushed}:
-     * what discovery has counts as told at once, heard or not.
+     * {@code address}: null where there is no discovery and the list only comes from the
+     * configuration; {@code pushed}: what discovery has counts as told at once, heard or not.
      */
-    public Discovery(InetSocketAddress address, boolean pushed, Fleet.Names names, Fleet known, Loop loop, Book book, Route route,
+    public Discovery(
+            InetSocketAddress address,
+            boolean pushed,
+            Fleet.Names names,
+            Fleet known,
+            Loop loop,
+            Book book,
+            Route route,
             TCPNIOTransport transport) {
         this.names = names;
         this.pushed = pushed;
@@ -95,7 +133,10 @@
         return version;
     }
 
-    /** Before the watch begins: catches up first, and tells. The list that a relay is handed at its start may be old. */
+    /**
+     * Before the watch begins: catches up first, and tells. The list that a relay is handed at its
+     * start may be old.
+     */
     public void whenCurrent(Runnable then) {
         whenCurrent = then;
     }
@@ -108,8 +149,9 @@
     }
 
     /**
-     * Moves the watch to another address, at once: news of the old one counts as told soon, heard or not. Versions
-     * there may be others', so the whole list is asked for; until it comes, the fleet stays as it was last told.
+     * Moves the watch to another address, at once: news of the old one counts as told soon, heard
+     * or not. Versions there may be others', so the whole list is asked for; until it comes, the
+     * fleet stays as it was last told.
      */
     public void moveTo(InetSocketAddress to) {
         if (to == null || to.equals(poll.address())) {
@@ -150,12 +192,22 @@
             return;
         }
         boolean says = fleet.whole() || !fleet.servers().isEmpty();
-        boolean again = !says || last != null && fleet.servers().equals(last.servers()) && fleet.dials().equals(last.dials());
-        double pause = behind || whenCurrent != null ? 0
-                : pace.answered(fleet.version() > newest && !again, loop.now() - calledAt, loop.now());
+        boolean again =
+                !says
+                        || last != null
+                                && fleet.servers().equals(last.servers())
+                                && fleet.dials().equals(last.dials());
+        double pause =
+                behind || whenCurrent != null
+                        ? 0
+                        : pace.answered(
+                                fleet.version() > newest && !again,
+                                loop.now() - calledAt,
+                                loop.now());
         behind = false;
         version = fleet.version();
-        // Who counts anew from a lower version is believed once it has waited; until then it goes back and forth.
+        // Who counts anew from a lower version is believed once it has waited; until then it goes
+        // back and forth.
         newest = pause == 0 ? version : Math.max(newest, version);
         last = says ? fleet : last;
         note(fleet);
@@ -173,15 +225,22 @@
         }
     }
 
-    /** The next call: with the last answer, or as much later as keeps the watch up, or when the module says so. */
+    /**
+     * The next call: with the last answer, or as much later as keeps the watch up, or when the
+     * module says so.
+     */
     private void next(double pause) {
         if (pause > 0) {
             book.count("list_idle");
         }
         if (idle != pace.givenUp()) {
             idle = !idle;
-            LOG.info(idle ? "discovery answers at once with nothing new, list " + version + ": no watch, asked now and then"
-                    : "discovery waits for news again, list " + version);
+            LOG.info(
+                    idle
+                            ? "discovery answers at once with nothing new, list "
+                                    + version
+                                    + ": no watch, asked now and then"
+                            : "discovery waits for news again, list " + version);
         }
         if (pause == 0) {
             call();
@@ -190,11 +249,13 @@
             route.listFailed(false);
         } else {
             int n = calls;
-            loop.after(pause, () -> {
-                if (n == calls) {
-                    call();
-                }
-            });
+            loop.after(
+                    pause,
+                    () -> {
+                        if (n == calls) {
+                            call();
+                        }
+                    });
         }
     }
 
@@ -219,7 +280,13 @@
         book.count("list_failures");
         if (!down) {
             down = true;
-            LOG.info("discovery down (" + why + "), list " + version + " kept, backends " + dials.size());
+            LOG.info(
+                    "discovery down ("
+                            + why
+                            + "), list "
+                            + version
+                            + " kept, backends "
+                            + dials.size());
         }
         boolean tookLong = loop.now() - calledAt > LONG;
         if (pushed || behind || tookLong || !poll.refused()) {
@@ -227,11 +294,13 @@
             route.listFailed(silent || behind && tookLong);
         } else {
             int n = calls;
-            loop.after(SATED, () -> {
-                if (n == calls) {
-                    route.listFailed(false);
-                }
-            });
+            loop.after(
+                    SATED,
+                    () -> {
+                        if (n == calls) {
+                            route.listFailed(false);
+                        }
+                    });
         }
         behind = true;
     }
--- a/relay/src/main/java/asterpulley/list/Fleet.java
+++ b/relay/src/main/java/asterpulley/list/Fleet.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 
 /**
- * A list of backends as discovery writes it, whole or its changes since a version, with where this relay reaches each.
- * It owns the words of discovery's entries, and must never judge what they say.
+ * A list of backends as discovery writes it, whole or its changes since a version, with where this
+ * relay reaches each. It owns the words of discovery's entries, and must never judge what they say.
  */
 public record Fleet(long version, boolean whole, List<Listed> servers, Map<String, String> dials) {
     /**
-     * The names that entries use, by their place in the settings; one that these do not know has a place of its own from
-     * its first entry on, so that it never passes for another.
+     * The names that entries use, by their place in the settings; one that these do not know has a
+     * place of its own from its first entry on, so that it never passes for another.
      */
     public static final class Names {
         private final Map<String, Integer> zones;
@@ -42,22 +42,31 @@
         for (Object o : Json.list(in, "hosts")) {
             Map<String, Object> e = Json.object(o, "an entry of hosts");
             String host = Json.text(e, "host");
-            Listed.State state = switch (Json.text(e, "health")) {
-                case "up" -> Listed.State.RUNNING;
-                case "removed" -> Listed.State.GONE;
-                default -> Listed.State.DRAINING;
-            };
+            Listed.State state =
+                    switch (Json.text(e, "health")) {
+                        case "up" -> Listed.State.RUNNING;
+                        case "removed" -> Listed.State.GONE;
+                        default -> Listed.State.DRAINING;
+                    };
             if (Json.textOrNull(e, "dial") != null) {
                 dials.put(host, Json.text(e, "dial"));
             }
             double born = Json.seconds(e, "born_ms");
-            servers.add(new Listed(host, place(names.zones, e.get("site")), place(names.models, e.get("class")),
-                    place(names.cells, e.get("block")), state, born > 0 ? born : Double.NEGATIVE_INFINITY));
+            servers.add(
+                    new Listed(
+                            host,
+                            place(names.zones, e.get("site")),
+                            place(names.models, e.get("class")),
+                            place(names.cells, e.get("block")),
+                            state,
+                            born > 0 ? born : Double.NEGATIVE_INFINITY));
         }
         return new Fleet(Json.whole(in, "seq"), Json.flag(in, "whole"), servers, dials);
     }
 
     private static int place(Map<String, Integer> places, Object named) {
-        return named == null ? 0 : places.computeIfAbsent(String.valueOf(named), name -> places.size());
+        return named == null
+                ? 0
+                : places.computeIfAbsent(String.valueOf(named), name -> places.size());
     }
 }
--- a/relay/src/main/java/asterpulley/net/Accepting.java
+++ b/relay/src/main/java/asterpulley/net/Accepting.java
@@ -11,13 +11,15 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Owns when a connection is accepted: as soon as it comes, or in the queue's turn where idle ones hold all descriptors.
- * Where the machine gives none Grizzly says nothing of it, and the next round of the loop would meet the same connection
- * again, without a pause. All else is done on the loop's one thread as usual. It must never give an address up, nor leave
- * the queue for longer than an idle client has for its line.
+ * Owns when a connection is accepted: as soon as it comes, or in the queue's turn where idle ones
+ * hold all descriptors. Where the machine gives none Grizzly says nothing of it, and the next round
+ * of the loop would meet the same connection again, without a pause. All else is done on the loop's
+ * one thread as usual. It must never give an address up, nor leave the queue for longer than an
+ * idle client has for its line.
  */
 public final class Accepting implements IOStrategy {
     private static final SameThreadIOStrategy USUAL = SameThreadIOStrategy.getInstance();
+
     /** Long enough for what gave way to be closed, short for who waits in the queue. */
     private static final double PAUSE = 0.02;
 
@@ -35,7 +37,8 @@
     }
 
     @Override
-    public boolean executeIoEvent(Connection connection, IOEvent event, boolean enabled) throws IOException {
+    public boolean executeIoEvent(Connection connection, IOEvent event, boolean enabled)
+            throws IOException {
         if (event != IOEvent.SERVER_ACCEPT) {
             return USUAL.executeIoEvent(connection, event, enabled);
         }
--- a/relay/src/main/java/asterpulley/net/Addresses.java
+++ b/relay/src/main/java/asterpulley/net/Addresses.java
@@ -3,10 +3,12 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 
-/** Owns how addresses are read: as numbers and a port, since there are no names to look up. It must never look one up. */
+/**
+ * Owns how addresses are read: as numbers and a port, since there are no names to look up. It must
+ * never look one up.
+ */
 public final class Addresses {
-    private Addresses() {
-    }
+    private Addresses() {}
 
     /** Empty where the text is no address and port. */
     public static Optional<InetSocketAddress> read(String text) {
--- a/relay/src/main/java/asterpulley/net/Asked.java
+++ b/relay/src/main/java/asterpulley/net/Asked.java
@@ -1,8 +1,8 @@
 package asterpulley.net;
 
 /**
- * What a client asks of a relay with its first words, in terms that every protocol has. A front reads it off its own
- * protocol and never changes it; nothing here may name a protocol's words.
+ * What a client asks of a relay with its first words, in terms that every protocol has. A front
+ * reads it off its own protocol and never changes it; nothing here may name a protocol's words.
  */
 public interface Asked {
     /** The client's own id of this tunnel, new with every one. */
@@ -19,7 +19,10 @@
     /** The client, or the group that it belongs to; null where it names none. */
     String group();
 
-    /** Seconds that the client waits for its answer; NaN where it names none, as only a standing tunnel's may. */
+    /**
+     * Seconds that the client waits for its answer; NaN where it names none, as only a standing
+     * tunnel's may.
+     */
     double patience();
 
     /** The server that it stood at before the relay started; null for a new tunnel. */
--- a/relay/src/main/java/asterpulley/net/Book.java
+++ b/relay/src/main/java/asterpulley/net/Book.java
@@ -13,9 +13,9 @@
 import java.util.logging.Logger;
 
 /**
- * The last stage, book: owns the relay's counters and the record of every tunnel that it holds. What the other
- * stages take in, send and answer is counted here, and a tunnel is let go here, once. It must never change what
- * happens to a tunnel.
+ * The last stage, book: owns the relay's counters and the record of every tunnel that it holds.
+ * What the other stages take in, send and answer is counted here, and a tunnel is let go here,
+ * once. It must never change what happens to a tunnel.
  */
 public final class Book {
     private static final Logger LOG = Logger.getLogger(Book.class.getName());
@@ -26,37 +26,56 @@
     private final Map<String, Long> counters = new TreeMap<>();
     private final Map<Long, Passage> passages = new HashMap<>();
     private final Set<String> openIds = new HashSet<>();
-    private final Map<String, Boolean> endedIds = new LinkedHashMap<>() {
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > ENDED_IDS;
-        }
-    };
+    private final Map<String, Boolean> endedIds =
+            new LinkedHashMap<>() {
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
+                    return size() > ENDED_IDS;
+                }
+            };
+
     /** How a tunnel was answered, in the order of the answers' names. */
-    public enum Answer { OPENED, DECLINED, CLOSED_WITH_ERROR }
+    public enum Answer {
+        OPENED,
+        DECLINED,
+        CLOSED_WITH_ERROR
+    }
 
     /** Answers by profile: the one count of them, whoever shows it. */
     private final Map<Answer, long[]> answers = new EnumMap<>(Answer.class);
+
     private List<String> profiles = List.of();
     private long lastId;
-    private Consumer<Passage> left = passage -> { };
+    private Consumer<Passage> left = passage -> {};
     public double lastAcceptedAt;
-    /** Connections that are open, and those of them that only wait for a peer to read the last word. */
+
+    /**
+     * Connections that are open, and those of them that only wait for a peer to read the last word.
+     */
     public int sockets, lingering;
+
     /** Buffers that wait for slow readers, on all connections together. */
     public int waiting;
-    /** So many of them, and every sender is held back at once: slow readers must not fill the memory. */
+
+    /**
+     * So many of them, and every sender is held back at once: slow readers must not fill the
+     * memory.
+     */
     public int mostWaiting = Integer.MAX_VALUE;
 
     public Book(List<String> profiles) {
         profiles(profiles);
     }
 
-    /** Their names from now on, by their place in the settings: new ones come behind, and what was counted stays. */
+    /**
+     * Their names from now on, by their place in the settings: new ones come behind, and what was
+     * counted stays.
+     */
     public void profiles(List<String> names) {
         profiles = names;
         for (Answer answer : Answer.values()) {
-            answers.put(answer, Arrays.copyOf(answers.getOrDefault(answer, new long[0]), names.size()));
+            answers.put(
+                    answer, Arrays.copyOf(answers.getOrDefault(answer, new long[0]), names.size()));
         }
     }
 
@@ -97,8 +116,9 @@
     }
 
     /**
-     * Remembers a client's id; false where it was seen before. Guards against clients that bring another's: ids are
-     * new with every connection, and two tunnels under one id would be one to the backends.
+     * Remembers a client's id; false where it was seen before. Guards against clients that bring
+     * another's: ids are new with every connection, and two tunnels under one id would be one to
+     * the backends.
      */
     public boolean firstSeen(String id) {
         return !endedIds.containsKey(id) && openIds.add(id);
@@ -162,7 +182,9 @@
         }
     }
 
-    /** There is one final answer, so a second is dropped, and so is one to a tunnel that is gone. */
+    /**
+     * There is one final answer, so a second is dropped, and so is one to a tunnel that is gone.
+     */
     private boolean answers(Passage passage, Answer answer) {
         if (passage == null || passage.answered) {
             return false;
@@ -187,13 +209,20 @@
     @Override
     public String toString() {
         StringBuilder line = new StringBuilder("held=" + held() + " sockets=" + sockets);
-        answers.forEach((answer, by) -> {
-            line.append(' ').append(answer.name().toLowerCase()).append('=').append(answers(answer));
-            for (int p = 0; p < by.length; p++) {
-                line.append(p == 0 ? " (" : " ").append(profiles.get(p)).append(' ').append(by[p]);
-            }
-            line.append(')');
-        });
+        answers.forEach(
+                (answer, by) -> {
+                    line.append(' ')
+                            .append(answer.name().toLowerCase())
+                            .append('=')
+                            .append(answers(answer));
+                    for (int p = 0; p < by.length; p++) {
+                        line.append(p == 0 ? " (" : " ")
+                                .append(profiles.get(p))
+                                .append(' ')
+                                .append(by[p]);
+                    }
+                    line.append(')');
+                });
         counters.forEach((k, v) -> line.append(' ').append(k).append('=').append(v));
         return line.toString();
     }
--- a/relay/src/main/java/asterpulley/net/Dialer.java
+++ b/relay/src/main/java/asterpulley/net/Dialer.java
@@ -11,9 +11,9 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Owns connecting: to backends for setups and probes. A connection that does not come up in time is given up, and
- * whoever dialled hears exactly one of connected and failed, the latter never before {@link #dial} has returned.
- * It must never dial twice by itself.
+ * Owns connecting: to backends for setups and probes. A connection that does not come up in time is
+ * given up, and whoever dialled hears exactly one of connected and failed, the latter never before
+ * {@link #dial} has returned. It must never dial twice by itself.
  */
 public final class Dialer {
     private final TCPNIOTransport transport;
@@ -24,7 +24,12 @@
     private final UnaryOperator<String> addresses;
 
     /** {@code addresses}: where a server is reached now, null when that was never told. */
-    public Dialer(double connectTimeout, TCPNIOTransport transport, Loop loop, Book book, Lobby lobby,
+    public Dialer(
+            double connectTimeout,
+            TCPNIOTransport transport,
+            Loop loop,
+            Book book,
+            Lobby lobby,
             UnaryOperator<String> addresses) {
         this.connectTimeout = connectTimeout;
         this.transport = transport;
@@ -45,8 +50,14 @@
     }
 
     /** Starts to connect; null when not even a socket could be had. */
-    public Leg dial(String host, FilterChain chain, double timeout, Consumer<Leg> connected, Runnable failed) {
-        InetSocketAddress address = Optional.ofNullable(address(host)).flatMap(Addresses::read).orElse(null);
+    public Leg dial(
+            String host,
+            FilterChain chain,
+            double timeout,
+            Consumer<Leg> connected,
+            Runnable failed) {
+        InetSocketAddress address =
+                Optional.ofNullable(address(host)).flatMap(Addresses::read).orElse(null);
         if (address == null) {
             loop.after(0, failed);
             return null;
@@ -65,21 +76,22 @@
         private Loop.Due timer;
         private Leg leg;
         private boolean over;
-        private final EmptyCompletionHandler<Connection> result = new EmptyCompletionHandler<>() {
-            @Override
-            public void completed(Connection connection) {
-                if (!over) {
-                    over = true;
-                    timer.cancel();
-                    connected.accept(leg);
-                }
-            }
+        private final EmptyCompletionHandler<Connection> result =
+                new EmptyCompletionHandler<>() {
+                    @Override
+                    public void completed(Connection connection) {
+                        if (!over) {
+                            over = true;
+                            timer.cancel();
+                            connected.accept(leg);
+                        }
+                    }
 
-            @Override
-            public void failed(Throwable why) {
-                giveUp();
-            }
-        };
+                    @Override
+                    public void failed(Throwable why) {
+                        giveUp();
+                    }
+                };
 
         private Dial(TCPNIOTransport over, Consumer<Leg> connected, Runnable failed) {
             super(over);
--- a/relay/src/main/java/asterpulley/net/Leg.java
+++ b/relay/src/main/java/asterpulley/net/Leg.java
@@ -17,37 +17,57 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * Owns one connection, a client's or a backend's: what is still to be written to it, which of its directions have
- * ended, and how it is ended (in order, by a reset, or with a last word that the other side must still be able to
- * read). It must never block, never keep more than a bounded amount for a slow reader, and be closed only once.
+ * Owns one connection, a client's or a backend's: what is still to be written to it, which of its
+ * directions have ended, and how it is ended (in order, by a reset, or with a last word that the
+ * other side must still be able to read). It must never block, never keep more than a bounded
+ * amount for a slow reader, and be closed only once.
  */
 public final class Leg {
-    /** Buffers that wait for a slow reader before its sender is no longer read from, however little each holds. */
+    /**
+     * Buffers that wait for a slow reader before its sender is no longer read from, however little
+     * each holds.
+     */
     private static final int MOST_WAITING = 16;
-    /** What a peer still sends after its last word is read so far and no further: it may be without end. */
+
+    /**
+     * What a peer still sends after its last word is read so far and no further: it may be without
+     * end.
+     */
     private static final int HEEDLESS = 4 * SocketFilter.BUFFER;
-    private static final Attribute<Leg> LEG = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("leg");
+
+    private static final Attribute<Leg> LEG =
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("leg");
 
     public final Connection<SocketAddress> connection;
+
     /** What the front keeps of words that have come in part. */
     public Object partly;
+
     public final double since;
+
     /** The look at the sockets in which it came; what came with it is found in the next one. */
     private final long cameIn;
+
     private final Loop loop;
     private final Book book;
     private final Lobby lobby;
+
     /** When it came, or last asked as the front does. */
     public double spokeAt;
+
     /** Its line, or the rest of one, is still to come, and is owed an answer. */
     public boolean awaited;
+
     /** The tunnel that it belongs to, once there is one. */
     public Passage passage;
+
     private int waiting, heedless;
     private boolean endWhenWritten, ended, closed, lingering, deaf;
     private boolean closeWhenWritten;
+
     /** When something last went out: a slow reader that still reads is not a dead one. */
     public double wroteAt;
+
     public double lingeringSince;
     private Leg feeder;
     private Runnable whenWritten;
@@ -98,7 +118,9 @@
         say(words);
     }
 
-    /** Writes these bytes; when too many wait, their sender is not read from until they are gone. */
+    /**
+     * Writes these bytes; when too many wait, their sender is not read from until they are gone.
+     */
     public void write(Buffer bytes, Leg from) {
         if (closed || ended || endWhenWritten) {
             bytes.tryDispose();
@@ -107,19 +129,21 @@
         waiting++;
         book.waiting++;
         bytes.allowBufferDispose(true);
-        connection.write(bytes, new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
-            @Override
-            public void completed(WriteResult<Buffer, SocketAddress> result) {
-                written();
-            }
+        connection.write(
+                bytes,
+                new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
+                    @Override
+                    public void completed(WriteResult<Buffer, SocketAddress> result) {
+                        written();
+                    }
 
-            @Override
-            public void failed(Throwable why) {
-                waiting--;
-                book.waiting--;
-                hold(null);
-            }
-        });
+                    @Override
+                    public void failed(Throwable why) {
+                        waiting--;
+                        book.waiting--;
+                        hold(null);
+                    }
+                });
         boolean much = waiting > (book.waiting > book.mostWaiting ? 1 : MOST_WAITING);
         if (much && from != null && feeder == null && !closed) {
             book.count("slow_readers");
@@ -175,9 +199,16 @@
     }
 
     /** What a peer that should only wait has done meanwhile. */
-    public enum Meanwhile { WAITED, SPOKE, ENDED }
+    public enum Meanwhile {
+        WAITED,
+        SPOKE,
+        ENDED
+    }
 
-    /** Looks before the loop comes to it; a word that is found is taken, since nobody may say one now. */
+    /**
+     * Looks before the loop comes to it; a word that is found is taken, since nobody may say one
+     * now.
+     */
     public Meanwhile peek() {
         try {
             int got = closed || deaf ? -1 : channel().read(ByteBuffer.allocate(1));
@@ -210,7 +241,10 @@
         }
     }
 
-    /** The last word is said: ends sending, reads on without heeding, and closes when the peer has, or soon. */
+    /**
+     * The last word is said: ends sending, reads on without heeding, and closes when the peer has,
+     * or soon.
+     */
     public void linger() {
         if (closed || lingering) {
             return;
@@ -223,7 +257,10 @@
         endSending();
     }
 
-    /** So much came after the last word. Who sends without end fills its own buffers from here on, not our time. */
+    /**
+     * So much came after the last word. Who sends without end fills its own buffers from here on,
+     * not our time.
+     */
     public void heedless(int bytes) {
         heedless += bytes;
         if (heedless > HEEDLESS) {
--- a/relay/src/main/java/asterpulley/net/Listener.java
+++ b/relay/src/main/java/asterpulley/net/Listener.java
@@ -16,11 +16,13 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Owns the address where clients connect. It may be shared with another process of the same relay, and be given up
- * while that one goes on: a connection that waits in the queue then must be taken, never be closed with the queue.
+ * Owns the address where clients connect. It may be shared with another process of the same relay,
+ * and be given up while that one goes on: a connection that waits in the queue then must be taken,
+ * never be closed with the queue.
  */
 public final class Listener {
-    private static final Attribute<Listener> LISTENER = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("listener");
+    private static final Attribute<Listener> LISTENER =
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("listener");
 
     private final TCPNIOServerConnection listening;
     private boolean tookOne, closed;
@@ -35,8 +37,13 @@
         return LISTENER.isSet(listening);
     }
 
-    /** Listens from now on; {@code shared}: beside other processes of the same user that share it as well. */
-    public static Listener open(InetSocketAddress address, boolean shared, TCPNIOTransport transport) throws IOException {
+    /**
+     * Listens from now on; {@code shared}: beside other processes of the same user that share it as
+     * well.
+     */
+    public static Listener open(
+            InetSocketAddress address, boolean shared, TCPNIOTransport transport)
+            throws IOException {
         ChannelConfigurator usual = transport.getChannelConfigurator();
         if (shared) {
             transport.setChannelConfigurator(new Sharing(usual));
@@ -53,20 +60,24 @@
     }
 
     /**
-     * Takes whoever waits in the queue and gives the address up, on the loop's thread. It is taken off the selector
-     * first, since a registered channel is only closed a round later, and what comes until then would be reset.
+     * Takes whoever waits in the queue and gives the address up, on the loop's thread. It is taken
+     * off the selector first, since a registered channel is only closed a round later, and what
+     * comes until then would be reset.
      */
     public void close() throws IOException {
         if (closed) {
             return;
         }
         closed = true;
-        listening.getMonitoringConfig().addProbes(new ConnectionProbe.Adapter() {
-            @Override
-            public void onAcceptEvent(Connection server, Connection client) {
-                tookOne = true;
-            }
-        });
+        listening
+                .getMonitoringConfig()
+                .addProbes(
+                        new ConnectionProbe.Adapter() {
+                            @Override
+                            public void onAcceptEvent(Connection server, Connection client) {
+                                tookOne = true;
+                            }
+                        });
         SelectionKey key = listening.getSelectionKey();
         key.cancel();
         key.selector().selectNow();
@@ -80,7 +91,8 @@
 
     private record Sharing(ChannelConfigurator usual) implements ChannelConfigurator {
         @Override
-        public void preConfigure(NIOTransport transport, SelectableChannel channel) throws IOException {
+        public void preConfigure(NIOTransport transport, SelectableChannel channel)
+                throws IOException {
             usual.preConfigure(transport, channel);
             if (channel instanceof ServerSocketChannel server) {
                 server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
@@ -88,7 +100,8 @@
         }
 
         @Override
-        public void postConfigure(NIOTransport transport, SelectableChannel channel) throws IOException {
+        public void postConfigure(NIOTransport transport, SelectableChannel channel)
+                throws IOException {
             usual.postConfigure(transport, channel);
         }
     }
