--- a/relay/src/main/java/asterpulley/net/Lobby.java
+++ b/relay/src/main/java/asterpulley/net/Lobby.java
@@ -6,26 +6,35 @@
 import java.util.function.IntPredicate;
 
 /**
- * Owns the connections that hold a socket but no tunnel: newcomers whose line is still to come, and leavers that have
- * heard their last word. It bounds how long each may stay, and lets the oldest go where a socket is needed. It must
- * never end a connection that a tunnel uses, nor one whose line may have come with it and was not read yet, nor close
- * on a newcomer that still waits for a first answer without one, nor let an idle one go where that makes no room.
+ * Owns the connections that hold a socket but no tunnel: newcomers whose line is still to come, and
+ * leavers that have heard their last word. It bounds how long each may stay, and lets the oldest go
+ * where a socket is needed. It must never end a connection that a tunnel uses, nor one whose line
+ * may have come with it and was not read yet, nor close on a newcomer that still waits for a first
+ * answer without one, nor let an idle one go where that makes no room.
  */
 public final class Lobby {
     /**
-     * A client says its line as it connects, and the front asks anew on a connection of its own: who says nothing for
-     * this time, or nothing more, holds a socket that another could use.
+     * A client says its line as it connects, and the front asks anew on a connection of its own:
+     * who says nothing for this time, or nothing more, holds a socket that another could use.
      */
     private static final double WORDLESS = 1.5;
+
     /**
-     * Who says nothing gives way to a newcomer only after this, and who has begun its line after that: the rest may be on
-     * its way. Where all descriptors are idle ones' the queue moves at so many in this time.
+     * Who says nothing gives way to a newcomer only after this, and who has begun its line after
+     * that: the rest may be on its way. Where all descriptors are idle ones' the queue moves at so
+     * many in this time.
      */
     private static final double FIRST_WORDS = 0.02, WHOLE_LINE = 0.1;
+
     /** So many newcomers hold a socket before what this relay keeps for later is kept from them. */
     private static final int NEWCOMERS = 8;
-    /** A peer that was told the last word is waited for this long, so that a reset does not destroy that word. */
+
+    /**
+     * A peer that was told the last word is waited for this long, so that a reset does not destroy
+     * that word.
+     */
     private static final double LINGER = 1;
+
     private static final double SWEEP = 0.1;
 
     private final Loop loop;
@@ -33,8 +42,10 @@
     private final Talk talk;
     private final ArrayDeque<Leg> newcomers = new ArrayDeque<>();
     private final ArrayDeque<Leg> leavers = new ArrayDeque<>();
+
     /** So many sockets, and who has no tunnel makes room for what this relay dials. */
     private int most = Integer.MAX_VALUE;
+
     private IntPredicate unused = count -> false;
 
     public Lobby(Loop loop, Book book, Talk talk) {
@@ -46,10 +57,14 @@
     /** Starts the watch over who stays too long. */
     public void start() {
         double now = loop.now();
-        newcomers.removeIf(leg -> !waits(leg) || now - leg.spokeAt > WORDLESS && turnedAway(leg, "wordless"));
+        newcomers.removeIf(
+                leg -> !waits(leg) || now - leg.spokeAt > WORDLESS && turnedAway(leg, "wordless"));
         // A slow reader that still reads may yet come to its last word.
-        leavers.removeIf(leg -> leg.closed()
-                || now - Math.max(leg.lingeringSince, leg.wroteAt) > LINGER && gone(leg, "lingered"));
+        leavers.removeIf(
+                leg ->
+                        leg.closed()
+                                || now - Math.max(leg.lingeringSince, leg.wroteAt) > LINGER
+                                        && gone(leg, "lingered"));
         loop.after(SWEEP, this::start);
     }
 
@@ -63,8 +78,8 @@
     }
 
     /**
-     * {@code unused}: ends so many connections that this relay keeps for later, and says yes; where there are fewer, it
-     * ends none.
+     * {@code unused}: ends so many connections that this relay keeps for later, and says yes; where
+     * there are fewer, it ends none.
      */
     public void alsoFrees(IntPredicate unused) {
         this.unused = unused;
@@ -83,15 +98,18 @@
     }
 
     /**
-     * True where no more sockets than that are in use, or needed by tunnels that are taken in and have none at a backend
-     * yet. Where there are more, who was answered already gives way, then who has been silent the longest, then who has
-     * said part of its line, then what this relay only keeps for later; but for the first only where there are enough.
+     * True where no more sockets than that are in use, or needed by tunnels that are taken in and
+     * have none at a backend yet. Where there are more, who was answered already gives way, then
+     * who has been silent the longest, then who has said part of its line, then what this relay
+     * only keeps for later; but for the first only where there are enough.
      */
     public boolean makeRoom(int sockets) {
         return makeRoom(sockets, true);
     }
 
-    /** As {@link #makeRoom(int)}, but others that are idle must have had the time for their line. */
+    /**
+     * As {@link #makeRoom(int)}, but others that are idle must have had the time for their line.
+     */
     public boolean makeRoomForNewcomer(int sockets) {
         return makeRoom(sockets, false);
     }
@@ -128,7 +146,8 @@
         List<Leg> idle = new ArrayList<>();
         for (boolean inPart = false; ; inPart = true) {
             for (Leg leg : newcomers) {
-                if (leg.inPart() == inPart && waits(leg)
+                if (leg.inPart() == inPart
+                        && waits(leg)
                         && (atOnce ? leg.lookedAt() : timeFor(leg) <= 0)) {
                     idle.add(leg);
                 }
@@ -147,9 +166,17 @@
         return newcomers.stream().filter(Lobby::waits).count();
     }
 
-    /** When somebody who is idle will have had the time for its line, in seconds from now; 0 where all have, or none is. */
+    /**
+     * When somebody who is idle will have had the time for its line, in seconds from now; 0 where
+     * all have, or none is.
+     */
     public double nextIdle() {
-        return newcomers.stream().filter(Lobby::waits).mapToDouble(this::timeFor).filter(time -> time > 0).min().orElse(0);
+        return newcomers.stream()
+                .filter(Lobby::waits)
+                .mapToDouble(this::timeFor)
+                .filter(time -> time > 0)
+                .min()
+                .orElse(0);
     }
 
     private double timeFor(Leg leg) {
--- a/relay/src/main/java/asterpulley/net/LongPoll.java
+++ b/relay/src/main/java/asterpulley/net/LongPoll.java
@@ -18,29 +18,42 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Owns one long poll over HTTP/1.1: a call that may wait at the other side for news, on a connection kept from call to
- * call. It must never have two calls out, never call by itself, never read what an answer says, and never block.
+ * Owns one long poll over HTTP/1.1: a call that may wait at the other side for news, on a
+ * connection kept from call to call. It must never have two calls out, never call by itself, never
+ * read what an answer says, and never block.
  *
- * <p>Use: one object a path and address, on the loop's thread alone. {@link #call} sends {@code GET PATH}, or {@code GET
- * PATH?index=V&wait=MS} from a version on. Each call ends in exactly one of {@link Caller#answered} and
- * {@link Caller#failed}, never before {@link #call} has returned, unless {@link #hangUp} or {@link #moveTo} ended it
- * first: then in neither. Whoever calls decides when the next one goes out, also at once from within either of the two.
+ * <p>Use: one object a path and address, on the loop's thread alone. {@link #call} sends {@code GET
+ * PATH}, or {@code GET PATH?index=V&wait=MS} from a version on. Each call ends in exactly one of
+ * {@link Caller#answered} and {@link Caller#failed}, never before {@link #call} has returned,
+ * unless {@link #hangUp} or {@link #moveTo} ended it first: then in neither. Whoever calls decides
+ * when the next one goes out, also at once from within either of the two.
  */
 public final class LongPoll extends BaseFilter {
     /** Who calls and is told how each call ended. */
     public interface Caller {
-        /** The whole body of an answer with status 200. The connection stays; the next call goes out on it. */
+        /**
+         * The whole body of an answer with status 200. The connection stays; the next call goes out
+         * on it.
+         */
         void answered(String body);
 
-        /** No such answer came, and the connection is closed. {@code silent}: no whole answer within the patience. */
+        /**
+         * No such answer came, and the connection is closed. {@code silent}: no whole answer within
+         * the patience.
+         */
         void failed(String why, boolean silent);
     }
 
     /** The version of who has none yet: the whole is asked for, and nothing is waited for. */
     public static final long NONE = -1;
+
     /** A connection that is not up by now has none coming. */
     private static final double CONNECT = 1.5;
-    /** A kept connection that ends so soon behind a call was closed as idle: that says nothing of the other side. */
+
+    /**
+     * A kept connection that ends so soon behind a call was closed as idle: that says nothing of
+     * the other side.
+     */
     private static final double CROSSED = 0.2;
 
     private final String path;
@@ -57,14 +70,25 @@
     private int call, status;
     private Loop.Due patience;
 
-    public LongPoll(String path, InetSocketAddress address, Caller caller, Loop loop, Book book, TCPNIOTransport transport) {
+    public LongPoll(
+            String path,
+            InetSocketAddress address,
+            Caller caller,
+            Loop loop,
+            Book book,
+            TCPNIOTransport transport) {
         this.path = path;
         this.address = address;
         this.caller = caller;
         this.loop = loop;
         this.book = book;
         this.transport = transport;
-        chain = FilterChainBuilder.stateless().add(new TransportFilter()).add(new HttpClientFilter()).add(this).build();
+        chain =
+                FilterChainBuilder.stateless()
+                        .add(new TransportFilter())
+                        .add(new HttpClientFilter())
+                        .add(this)
+                        .build();
     }
 
     public InetSocketAddress address() {
@@ -83,8 +107,9 @@
     }
 
     /**
-     * Asks for what is newer than a version, and lets the call wait so long for it; with {@link #NONE} for the whole, at
-     * once. It fails as silent when there is no whole answer {@code patience} seconds from now.
+     * Asks for what is newer than a version, and lets the call wait so long for it; with {@link
+     * #NONE} for the whole, at once. It fails as silent when there is no whole answer {@code
+     * patience} seconds from now.
      */
     public void call(long version, double wait, double patience) {
         int n = ++call;
@@ -94,7 +119,10 @@
             this.patience.cancel();
         }
         this.patience = loop.after(patience, () -> failed(n, "no answer", true));
-        query = version == NONE ? null : "index=" + version + "&wait=" + Math.round(wait * 1000) + with;
+        query =
+                version == NONE
+                        ? null
+                        : "index=" + version + "&wait=" + Math.round(wait * 1000) + with;
         if (connection != null && connection.isOpen()) {
             kept = true;
             ask();
@@ -107,34 +135,40 @@
 
     private void dial(int n) {
         kept = false;
-        loop.after(CONNECT, () -> {
-            if (!up && !kept) {
-                failed(n, "no connection", false);
-            }
-        });
-        TCPNIOConnectorHandler dial = new TCPNIOConnectorHandler(transport) {
-            @Override
-            protected void preConfigure(Connection dialled) {
-                // Held from its first moment on: one that never comes up must not be left behind.
-                connection = dialled;
-                book.sockets++;
-            }
-        };
+        loop.after(
+                CONNECT,
+                () -> {
+                    if (!up && !kept) {
+                        failed(n, "no connection", false);
+                    }
+                });
+        TCPNIOConnectorHandler dial =
+                new TCPNIOConnectorHandler(transport) {
+                    @Override
+                    protected void preConfigure(Connection dialled) {
+                        // Held from its first moment on: one that never comes up must not be left
+                        // behind.
+                        connection = dialled;
+                        book.sockets++;
+                    }
+                };
         dial.setProcessor(chain);
-        dial.connect(address, new EmptyCompletionHandler<Connection>() {
-            @Override
-            public void completed(Connection opened) {
-                if (opened == connection) {
-                    up = true;
-                    ask();
-                }
-            }
-
-            @Override
-            public void failed(Throwable why) {
-                loop.after(0, () -> LongPoll.this.failed(n, "no connection", false));
-            }
-        });
+        dial.connect(
+                address,
+                new EmptyCompletionHandler<Connection>() {
+                    @Override
+                    public void completed(Connection opened) {
+                        if (opened == connection) {
+                            up = true;
+                            ask();
+                        }
+                    }
+
+                    @Override
+                    public void failed(Throwable why) {
+                        loop.after(0, () -> LongPoll.this.failed(n, "no connection", false));
+                    }
+                });
     }
 
     /** The last call was answered, and not with 200. */
@@ -144,8 +178,12 @@
 
     private void ask() {
         askedAt = loop.now();
-        HttpRequestPacket.Builder request = HttpRequestPacket.builder().method("GET").uri(path).protocol("HTTP/1.1")
-                .header("Host", address.getHostString() + ":" + address.getPort());
+        HttpRequestPacket.Builder request =
+                HttpRequestPacket.builder()
+                        .method("GET")
+                        .uri(path)
+                        .protocol("HTTP/1.1")
+                        .header("Host", address.getHostString() + ":" + address.getPort());
         if (query != null) {
             request.query(query);
         }
--- a/relay/src/main/java/asterpulley/net/Loop.java
+++ b/relay/src/main/java/asterpulley/net/Loop.java
@@ -13,9 +13,10 @@
 import org.glassfish.grizzly.nio.SelectorRunner;
 
 /**
- * Owns time: the relay's clock and the timers of its one selector thread. It selects no longer than until the
- * next timer is due and runs what is due between two rounds of sockets, so that sockets, timers and decisions
- * never meet on two threads. It must never block, and a timer that throws must never end the thread.
+ * Owns time: the relay's clock and the timers of its one selector thread. It selects no longer than
+ * until the next timer is due and runs what is due between two rounds of sockets, so that sockets,
+ * timers and decisions never meet on two threads. It must never block, and a timer that throws must
+ * never end the thread.
  */
 public final class Loop extends DefaultSelectorHandler {
     private static final Logger LOG = Logger.getLogger(Loop.class.getName());
@@ -48,11 +49,16 @@
     private final Queue<Runnable> handedIn = new ConcurrentLinkedQueue<>();
     private volatile Selector selector;
     private long order;
+
     /** When the sockets were last looked at, and how often so far. */
     private double looked;
+
     private long looks;
 
-    /** Unix seconds as at the start, moved on by the steady clock: start times of backends compare with it. */
+    /**
+     * Unix seconds as at the start, moved on by the steady clock: start times of backends compare
+     * with it.
+     */
     public double now() {
         return wallAtStart + (System.nanoTime() - nanosAtStart) / 1e9;
     }
@@ -100,7 +106,8 @@
         for (Runnable what = handedIn.poll(); what != null; what = handedIn.poll()) {
             run(what);
         }
-        // What had arrived before a timer was due is read before it runs, however long this process stood still.
+        // What had arrived before a timer was due is read before it runs, however long this process
+        // stood still.
         while (!timers.isEmpty() && timers.peek().at <= looked) {
             Due due = timers.poll();
             if (due.what != null) {
--- a/relay/src/main/java/asterpulley/net/Route.java
+++ b/relay/src/main/java/asterpulley/net/Route.java
@@ -19,9 +19,10 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The third stage, route: owns the decision module and is its front on sockets. Every call into the module goes
- * through {@link #tell}, one after the other: what a decision sets off on a socket may fail at once, and that must
- * never reach the module while it is still deciding. It must decide nothing itself.
+ * The third stage, route: owns the decision module and is its front on sockets. Every call into the
+ * module goes through {@link #tell}, one after the other: what a decision sets off on a socket may
+ * fail at once, and that must never reach the module while it is still deciding. It must decide
+ * nothing itself.
  */
 public final class Route extends BaseFilter implements Front {
     private static final Logger LOG = Logger.getLogger(Balance.class.getName());
@@ -32,12 +33,17 @@
     private final Book book;
     private final ArrayDeque<Runnable> calls = new ArrayDeque<>();
     private boolean deciding;
-    /** Null where nothing narrows the module's choice, as on the platform: its classes are not even loaded then. */
+
+    /**
+     * Null where nothing narrows the module's choice, as on the platform: its classes are not even
+     * loaded then.
+     */
     private Guide guide;
+
     private Balance balance;
     private Consumer<String> probes;
     private Runnable watch;
-    private Runnable whenListed = () -> { };
+    private Runnable whenListed = () -> {};
 
     public Route(Loop loop, Book book) {
         this.loop = loop;
@@ -66,21 +72,33 @@
         return guide;
     }
 
-    /** Starts the module once all that it may call stands: who asks servers for their load, and who watches the list. */
-    public void start(Settings settings, long seed, List<Listed> known, Consumer<String> probes, Runnable watch) {
+    /**
+     * Starts the module once all that it may call stands: who asks servers for their load, and who
+     * watches the list.
+     */
+    public void start(
+            Settings settings,
+            long seed,
+            List<Listed> known,
+            Consumer<String> probes,
+            Runnable watch) {
         this.probes = probes;
         this.watch = watch;
-        tell(() -> {
-            balance = new Balance(settings, seed, this);
-            list(known, true);
-        });
+        tell(
+                () -> {
+                    balance = new Balance(settings, seed, this);
+                    list(known, true);
+                });
         if (!settings.listMustBeAsked) {
             // The module asks only where it must; on sockets news always has to be asked for.
             watch.run();
         }
     }
 
-    /** These count from now on, for the module and, where there are pools, for their rules: none may be half changed. */
+    /**
+     * These count from now on, for the module and, where there are pools, for their rules: none may
+     * be half changed.
+     */
     public void settings(Settings anew, Charter charter) {
         if (guide != null) {
             guide.change(charter, loop.now());
@@ -120,7 +138,10 @@
         return ctx.getStopAction();
     }
 
-    /** A tunnel that a front has taken in and that there is room for; what becomes of it, its {@link Talk} is asked. */
+    /**
+     * A tunnel that a front has taken in and that there is room for; what becomes of it, its {@link
+     * Talk} is asked.
+     */
     public void take(Passage passage) {
         passage.id = book.enter(passage);
         if (passage.asked.at() != null) {
@@ -131,8 +152,17 @@
                 guide.taken(passage.id, o.profile(), o.key(), loop.now());
             }
             double budget = Double.isNaN(o.patience()) ? 0 : Math.max(1e-3, o.patience());
-            tell(() -> passage.handle = balance.take(passage.id, o.profile(), o.customer(), o.group(), o.key(),
-                    budget, false));
+            tell(
+                    () ->
+                            passage.handle =
+                                    balance.take(
+                                            passage.id,
+                                            o.profile(),
+                                            o.customer(),
+                                            o.group(),
+                                            o.key(),
+                                            budget,
+                                            false));
             if (passage.handle == null) {
                 // The module failed on it: its client must still get its one answer.
                 book.closeWithError(passage);
@@ -143,7 +173,10 @@
         }
     }
 
-    /** Guards against a tunnel that nobody answers: at its client's timeout it is given up, at the latest. */
+    /**
+     * Guards against a tunnel that nobody answers: at its client's timeout it is given up, at the
+     * latest.
+     */
     public void overdue(Passage passage) {
         if (!passage.answered) {
             book.count("overdue");
@@ -153,22 +186,29 @@
         }
     }
 
-    /** No further setup, the one that is out is given up, and the client is told that it is closed with error. */
+    /**
+     * No further setup, the one that is out is given up, and the client is told that it is closed
+     * with error.
+     */
     public void drop(Passage passage) {
         withdrawn(passage);
         passage.talk.abandon(passage);
         book.closeWithError(passage);
     }
 
-    /** The final answer to a tunnel with no setup out that gets no further one: which, the module tells. */
+    /**
+     * The final answer to a tunnel with no setup out that gets no further one: which, the module
+     * tells.
+     */
     public void giveUp(Passage passage) {
-        tell(() -> {
-            if (passage.handle != null) {
-                passage.handle.giveUp();
-            }
-            // It never reached the module, or the module failed on it.
-            book.closeWithError(passage);
-        });
+        tell(
+                () -> {
+                    if (passage.handle != null) {
+                        passage.handle.giveUp();
+                    }
+                    // It never reached the module, or the module failed on it.
+                    book.closeWithError(passage);
+                });
     }
 
     public void opened(Passage passage) {
@@ -179,8 +219,16 @@
             guide.opened(passage.id, loop.now());
         }
         if (passage.handle == null) {
-            tell(() -> passage.handle = balance.standing(passage.id, o.profile(), o.customer(), o.group(), o.key(),
-                    passage.host));
+            tell(
+                    () ->
+                            passage.handle =
+                                    balance.standing(
+                                            passage.id,
+                                            o.profile(),
+                                            o.customer(),
+                                            o.group(),
+                                            o.key(),
+                                            passage.host));
         } else {
             int setup = passage.setups - 1;
             double lag = loop.now() - passage.sentAt;
@@ -191,29 +239,38 @@
     /** A setup, or what it opened, has ended. */
     public void ended(Passage passage, Failure failure) {
         if (guide != null) {
-            guide.ended(passage.id, failure.outcome(), failure.cause() != Failure.Cause.CLIENT_LEFT, loop.now());
+            guide.ended(
+                    passage.id,
+                    failure.outcome(),
+                    failure.cause() != Failure.Cause.CLIENT_LEFT,
+                    loop.now());
         }
         int setup = passage.setups - 1;
         double lag = loop.now() - passage.sentAt;
         boolean last = passage.answered;
-        tell(() -> {
-            if (passage.handle != null) {
-                passage.handle.ended(setup, failure.outcome(), lag, last);
-            }
-        });
-    }
-
-    /** Its connection is up: false where what would be written now came too late for its server or its window. */
+        tell(
+                () -> {
+                    if (passage.handle != null) {
+                        passage.handle.ended(setup, failure.outcome(), lag, last);
+                    }
+                });
+    }
+
+    /**
+     * Its connection is up: false where what would be written now came too late for its server or
+     * its window.
+     */
     public boolean mayGo(Passage passage) {
         return passage.handle == null || passage.handle.mayGo();
     }
 
     public void withdrawn(Passage passage) {
-        tell(() -> {
-            if (passage.handle != null) {
-                passage.handle.withdrawn();
-            }
-        });
+        tell(
+                () -> {
+                    if (passage.handle != null) {
+                        passage.handle.withdrawn();
+                    }
+                });
     }
 
     public void load(Passage passage, double cores) {
@@ -239,10 +296,11 @@
     }
 
     public void listed(List<Listed> servers, boolean whole) {
-        tell(() -> {
-            list(servers, whole);
-            whenListed.run();
-        });
+        tell(
+                () -> {
+                    list(servers, whole);
+                    whenListed.run();
+                });
     }
 
     /** Is told whenever news of the list is in force here. */
--- a/relay/src/main/java/asterpulley/net/SocketFilter.java
+++ b/relay/src/main/java/asterpulley/net/SocketFilter.java
@@ -14,17 +14,22 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Owns reading from sockets, at the bottom of every chain of tunnels and probes. It stands where Grizzly's own
- * transport filter would, because that one closes a connection at the end of its incoming direction and cannot
- * tell it from a reset; here both go up the chain as messages of their own. It must never interpret a byte.
+ * Owns reading from sockets, at the bottom of every chain of tunnels and probes. It stands where
+ * Grizzly's own transport filter would, because that one closes a connection at the end of its
+ * incoming direction and cannot tell it from a reset; here both go up the chain as messages of
+ * their own. It must never interpret a byte.
  */
 public final class SocketFilter extends BaseFilter {
     private static final Logger LOG = Logger.getLogger(SocketFilter.class.getName());
+
     /** The one size of all buffers. */
     public static final int BUFFER = 4096;
 
     /** How the incoming direction ended: in order, or by a reset. */
-    public enum End { FIN, RESET }
+    public enum End {
+        FIN,
+        RESET
+    }
 
     private final TCPNIOTransport transport;
     private final Loop loop;
@@ -100,7 +105,10 @@
         return leg != null && leg.lost() ? ctx.getInvokeAction() : ctx.getStopAction();
     }
 
-    /** Whatever a stage throws ends this connection, and its tunnel hears of it as of any broken one. */
+    /**
+     * Whatever a stage throws ends this connection, and its tunnel hears of it as of any broken
+     * one.
+     */
     @Override
     public void exceptionOccurred(FilterChainContext ctx, Throwable error) {
         LOG.log(Level.SEVERE, "a stage failed", error);
--- a/relay/src/main/java/asterpulley/net/Talk.java
+++ b/relay/src/main/java/asterpulley/net/Talk.java
@@ -1,8 +1,9 @@
 package asterpulley.net;
 
 /**
- * What the shared stages ask of a protocol front: its words towards clients, and its side towards servers. A front
- * hands one of these in with every passage. It must never decide anything, and never have two setups of a passage out.
+ * What the shared stages ask of a protocol front: its words towards clients, and its side towards
+ * servers. A front hands one of these in with every passage. It must never decide anything, and
+ * never have two setups of a passage out.
  */
 public interface Talk {
     /** Sends one setup; its end is told to {@link Route}. */
@@ -14,7 +15,10 @@
     /** Gives up the setup that is out, if any. */
     void abandon(Passage passage);
 
-    /** Gives up the setup that is out where nothing of it is written yet: its server is to get nothing new. */
+    /**
+     * Gives up the setup that is out where nothing of it is written yet: its server is to get
+     * nothing new.
+     */
     void recall(Passage passage);
 
     /** Sends a standing client elsewhere, as soon as nothing is under way to it in part. */
--- a/relay/src/main/java/asterpulley/serve/Config.java
+++ b/relay/src/main/java/asterpulley/serve/Config.java
@@ -19,9 +19,9 @@
 import java.util.Objects;
 
 /**
- * Owns what this relay is told: one file, read at its start and anew at every SIGHUP. Each reading is a value of its
- * own that never changes; what is wrong with a file must be said in one plain line, and must never harm a relay that
- * already runs on an earlier reading.
+ * Owns what this relay is told: one file, read at its start and anew at every SIGHUP. Each reading
+ * is a value of its own that never changes; what is wrong with a file must be said in one plain
+ * line, and must never harm a relay that already runs on an earlier reading.
  */
 final class Config {
     /** What an operator's file says of that; the platform's may not. */
@@ -30,10 +30,16 @@
     final String name;
     final InetSocketAddress listen;
     final InetSocketAddress discovery;
+
     /** Where operators call; null where they do not. */
     final InetSocketAddress operator;
-    /** Where settings are told while it runs; null: nowhere, as on the platform, and those of the file count. */
+
+    /**
+     * Where settings are told while it runs; null: nowhere, as on the platform, and those of the
+     * file count.
+     */
     final InetSocketAddress settingsService;
+
     final long seed;
     final int sockets;
     final double memory;
@@ -41,8 +47,10 @@
     final Words words;
     final Fleet.Names names;
     final Fleet known;
+
     /** What is told of pools; null where nothing is, as on the platform. */
     private final Map<String, Object> routes;
+
     private final Map<String, Object> told;
 
     private Config(Map<String, Object> in) {
@@ -51,7 +59,8 @@
         listen = address(Json.text(in, "listen"));
         discovery = in.get("discovery") == null ? null : address(Json.text(in, "discovery"));
         operator = in.get("operator") == null ? null : address(Json.text(in, "operator"));
-        settingsService = in.get(SETTINGS_SERVICE) == null ? null : address(Json.text(in, SETTINGS_SERVICE));
+        settingsService =
+                in.get(SETTINGS_SERVICE) == null ? null : address(Json.text(in, SETTINGS_SERVICE));
         seed = seed(Json.text(in, "seed"));
         sockets = (int) Json.number(Json.part(in, "limits"), "sockets", 1024);
         memory = Json.number(Json.part(in, "limits"), "memory_mb", 192) * (1 << 20);
@@ -84,7 +93,8 @@
             parser.nextToken();
             return Json.object(Json.value(parser), "the configuration");
         } catch (JsonProcessingException e) {
-            throw new Json.Malformed("not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new Json.Malformed(
+                    "not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
     }
 
@@ -106,10 +116,16 @@
         return told;
     }
 
-    /** True where that reading asks for what only a new start can give: the module and the names are set up once. */
+    /**
+     * True where that reading asks for what only a new start can give: the module and the names are
+     * set up once.
+     */
     boolean needsStart(Config anew) {
-        return !told.equals(anew.told) || !name.equals(anew.name) || !listen.equals(anew.listen)
-                || !Objects.equals(operator, anew.operator) || (settingsService == null) != (anew.settingsService == null);
+        return !told.equals(anew.told)
+                || !name.equals(anew.name)
+                || !listen.equals(anew.listen)
+                || !Objects.equals(operator, anew.operator)
+                || (settingsService == null) != (anew.settingsService == null);
     }
 
     private static long seed(String hex) {
@@ -121,6 +137,8 @@
     }
 
     private static InetSocketAddress address(String text) {
-        return Addresses.read(text).orElseThrow(() -> new Json.Malformed("'" + text + "' is not an address and a port"));
+        return Addresses.read(text)
+                .orElseThrow(
+                        () -> new Json.Malformed("'" + text + "' is not an address and a port"));
     }
 }
--- a/relay/src/main/java/asterpulley/serve/Control.java
+++ b/relay/src/main/java/asterpulley/serve/Control.java
@@ -25,9 +25,10 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Owns what one relay needs to decide, whatever clients it has: the watch on the list and, where a service tells them,
- * on the settings, the probes, the module behind its route, and the room. A front (the line protocol in {@link Serve}, or one without sockets) stands on it. It must
- * never know a client's connection.
+ * Owns what one relay needs to decide, whatever clients it has: the watch on the list and, where a
+ * service tells them, on the settings, the probes, the module behind its route, and the room. A
+ * front (the line protocol in {@link Serve}, or one without sockets) stands on it. It must never
+ * know a client's connection.
  */
 public final class Control {
     public final Loop loop;
@@ -39,14 +40,19 @@
     final Dialer dialer;
     final SocketFilter sockets;
     private final Probes probes;
+
     /** The watch on the settings; null where no service tells any. */
     final SettingsWatch settings;
+
     private final InForce told;
+
     /** What reads the names of profiles and customers besides. */
-    private Consumer<Map<String, Object>> front = names -> { };
-    private Runnable settled = () -> { };
+    private Consumer<Map<String, Object>> front = names -> {};
+
+    private Runnable settled = () -> {};
     private Config config;
     private Settings inForce;
+
     /** Of all that is taken and not answered, also by settings that were in force until now. */
     private double longestTimeout;
 
@@ -54,8 +60,10 @@
     Control(Config config, Kept kept, Talk talk, Loop loop, TCPNIOTransport transport) {
         this.config = config;
         this.loop = loop;
-        told = config.settingsService == null ? null
-                : new InForce(config.told(), all -> this.config.charter(all), loop.now());
+        told =
+                config.settingsService == null
+                        ? null
+                        : new InForce(config.told(), all -> this.config.charter(all), loop.now());
         if (told != null) {
             SettingsWatch.restore(told, kept);
         }
@@ -64,43 +72,79 @@
         book = new Book(inForce.profiles.stream().map(p -> p.name).toList());
         lobby = new Lobby(loop, book, talk);
         route = new Route(loop, book);
-        discovery = new Discovery(config.discovery, !config.settings.listMustBeAsked, config.names, config.known, loop, book,
-                route, transport);
-        dialer = new Dialer(Config.connectTimeout(names()), transport, loop, book, lobby, discovery::dial);
+        discovery =
+                new Discovery(
+                        config.discovery,
+                        !config.settings.listMustBeAsked,
+                        config.names,
+                        config.known,
+                        loop,
+                        book,
+                        route,
+                        transport);
+        dialer =
+                new Dialer(
+                        Config.connectTimeout(names()),
+                        transport,
+                        loop,
+                        book,
+                        lobby,
+                        discovery::dial);
         probes = new Probes(inForce, loop, book, dialer, route);
         sockets = new SocketFilter(transport, loop, book, lobby);
         admit = new Admit(loop, inForce, talk, book, lobby, new Random(config.seed));
         admit.room(config.sockets);
         lobby.alsoFrees(probes::hangUp);
         probes.through(FilterChainBuilder.stateless().add(sockets).add(probes).build());
-        settings = told == null ? null : new SettingsWatch(config.settingsService, told, this::settingsChanged, loop, book,
-                new Random(config.seed + 1), transport, kept);
+        settings =
+                told == null
+                        ? null
+                        : new SettingsWatch(
+                                config.settingsService,
+                                told,
+                                this::settingsChanged,
+                                loop,
+                                book,
+                                new Random(config.seed + 1),
+                                transport,
+                                kept);
     }
 
     /** As a configuration of the platform's names tells it. */
-    public static Control of(Map<String, Object> told, Talk talk, Loop loop, TCPNIOTransport transport) {
+    public static Control of(
+            Map<String, Object> told, Talk talk, Loop loop, TCPNIOTransport transport) {
         return new Control(Config.of(told), null, talk, loop, transport);
     }
 
     /** What carries a relay's sockets: one thread, the loop's. */
     public static TCPNIOTransport transport(Loop loop, MemoryManager<?> memory) {
-        return TCPNIOTransportBuilder.newInstance().setName("relay")
-                .setIOStrategy(SameThreadIOStrategy.getInstance()).setSelectorRunnersCount(1)
-                .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig().setPoolName("relay").setCorePoolSize(1)
-                        .setMaxPoolSize(1))
-                .setSelectorHandler(loop).setReuseAddress(true).setTcpNoDelay(true)
-                .setReadBufferSize(SocketFilter.BUFFER).setMemoryManager(memory).build();
+        return TCPNIOTransportBuilder.newInstance()
+                .setName("relay")
+                .setIOStrategy(SameThreadIOStrategy.getInstance())
+                .setSelectorRunnersCount(1)
+                .setSelectorThreadPoolConfig(
+                        ThreadPoolConfig.defaultConfig()
+                                .setPoolName("relay")
+                                .setCorePoolSize(1)
+                                .setMaxPoolSize(1))
+                .setSelectorHandler(loop)
+                .setReuseAddress(true)
+                .setTcpNoDelay(true)
+                .setReadBufferSize(SocketFilter.BUFFER)
+                .setMemoryManager(memory)
+                .build();
     }
 
     /** Starts to decide, to watch and to probe; on the loop's thread. */
     public void start() {
-        start(() -> { });
+        start(() -> {});
     }
 
     /** {@code settingsHeard}: told once, where a service tells settings. */
     void start(Runnable settingsHeard) {
         if (config.tellsOfPools()) {
-            route.narrowedBy(new Guide(config.charter(names()), loop.now(), book::log, book::count));
+            route.narrowedBy(
+                    new Guide(config.charter(names()), loop.now(), book::log, book::count));
         }
         if (settings != null) {
             settings.start(settingsHeard);
@@ -115,7 +159,9 @@
         config = anew;
     }
 
-    /** Is told the settings by their names, as others come in force, before anybody else has them. */
+    /**
+     * Is told the settings by their names, as others come in force, before anybody else has them.
+     */
     void whenNamesChange(Consumer<Map<String, Object>> then) {
         front = then;
     }
--- a/relay/src/main/java/asterpulley/serve/Farewell.java
+++ b/relay/src/main/java/asterpulley/serve/Farewell.java
@@ -9,23 +9,42 @@
 import java.util.logging.Logger;
 
 /**
- * Owns how this relay sends its clients away: for good, or for as long as operators want it quiet. While it does,
- * newcomers are still answered and what is pending is settled. It must never cut off whom it can still move.
+ * Owns how this relay sends its clients away: for good, or for as long as operators want it quiet.
+ * While it does, newcomers are still answered and what is pending is settled. It must never cut off
+ * whom it can still move.
  */
 final class Farewell {
     private static final Logger LOG = Logger.getLogger(Farewell.class.getName());
+
     /** A restart leaves newcomers coming for less than this, and their lines come within it. */
     private static final double NEWCOMERS = 0.6;
-    /** The platform kills no sooner than the longest client timeout, 3 s at most, and this after the signal. */
+
+    /**
+     * The platform kills no sooner than the longest client timeout, 3 s at most, and this after the
+     * signal.
+     */
     private static final double KILL_AFTER = 0.7;
+
     private static final double LONGEST_WAIT = 3;
-    /** The rest before that is for last words to arrive, on a machine that may have part of a core. */
+
+    /**
+     * The rest before that is for last words to arrive, on a machine that may have part of a core.
+     */
     private static final double LAST_WORDS = 0.3;
-    /** Standing clients are moved over this time, so that they do not all come to the siblings at once. */
+
+    /**
+     * Standing clients are moved over this time, so that they do not all come to the siblings at
+     * once.
+     */
     private static final double MOVES_OVER = 1;
+
     /** They are served as long as that leaves room, but moved so much before the last moment. */
     private static final double MOVED_BEFORE = 0.4;
-    /** A quiet relay's clients are moved once the front has noticed, and all before it counts as not done. */
+
+    /**
+     * A quiet relay's clients are moved once the front has noticed, and all before it counts as not
+     * done.
+     */
     private static final double QUIET_FROM = 0.4, QUIET_BY = 2.8;
 
     private final Loop loop;
@@ -33,8 +52,10 @@
     private final Route route;
     private final Lobby lobby;
     private final Runnable shut;
+
     /** Null where nobody is sent away. */
     private Exodus exodus;
+
     private boolean quiet, leaving, isShut;
     private double since, leave;
 
@@ -82,9 +103,10 @@
     }
 
     /**
-     * Told to end: newcomers are still answered, what is pending is settled, whoever stands is moved. Guards against
-     * clients with nowhere to go: the siblings may be full, or restart as well, so none is moved before it must be.
-     * Where another process of this relay has taken over they have, and are moved over all the time that there is.
+     * Told to end: newcomers are still answered, what is pending is settled, whoever stands is
+     * moved. Guards against clients with nowhere to go: the siblings may be full, or restart as
+     * well, so none is moved before it must be. Where another process of this relay has taken over
+     * they have, and are moved over all the time that there is.
      */
     void leave(double longestTimeout, boolean succeeded, Runnable gone) {
         if (!leaving) {
@@ -92,7 +114,11 @@
             quiet = false;
             since = loop.now();
             leave = Math.min(LONGEST_WAIT, longestTimeout) + KILL_AFTER - LAST_WORDS;
-            LOG.info("leaving" + (succeeded ? ", another process serves" : "") + ", held " + book.held());
+            LOG.info(
+                    "leaving"
+                            + (succeeded ? ", another process serves" : "")
+                            + ", held "
+                            + book.held());
             book.count("leaving");
             double moved = since + leave - MOVED_BEFORE;
             exodus = new Exodus(succeeded ? since : moved - MOVES_OVER, moved);
@@ -109,7 +135,8 @@
             lobby.turnAway();
         }
         // A newcomer's line may still be on its way: whoever was accepted of late is waited for.
-        boolean alone = Math.min(now, loop.now() - book.lastAcceptedAt) > NEWCOMERS && !lobby.awaits();
+        boolean alone =
+                Math.min(now, loop.now() - book.lastAcceptedAt) > NEWCOMERS && !lobby.awaits();
         boolean done = book.held() == 0 && book.lingering == 0 && book.waiting == 0 && alone;
         if (done && !isShut) {
             // Whom the system took in its queue is still a client of this relay.
--- a/relay/src/main/java/asterpulley/serve/Kept.java
+++ b/relay/src/main/java/asterpulley/serve/Kept.java
@@ -17,14 +17,15 @@
 import java.util.logging.Logger;
 
 /**
- * Owns the files by which processes of one relay know of each other: who is left out by operators, which process
- * serves, what it has learned, and the settings in force where a service tells them. They are small, and in memory where the platform keeps them. Each is written whole (a new file, then a
- * rename) or not at all; one that cannot be read is told by its name and must never keep a relay from starting.
+ * Owns the files by which processes of one relay know of each other: who is left out by operators,
+ * which process serves, what it has learned, and the settings in force where a service tells them.
+ * They are small, and in memory where the platform keeps them. Each is written whole (a new file,
+ * then a rename) or not at all; one that cannot be read is told by its name and must never keep a
+ * relay from starting.
  */
 final class Kept {
     private static final Logger LOG = Logger.getLogger(Kept.class.getName());
     private static final String HEAD = "left out by operators, one a line", END = "end ";
-
     private final Path cordons, serving, learned, settings;
     private Object seen = "never read";
 
@@ -38,8 +39,8 @@
     }
 
     /**
-     * Who is left out; empty where no file says. Of one that was cut, the whole lines count: a ban that stays by mistake
-     * can be lifted.
+     * Who is left out; empty where no file says. Of one that was cut, the whole lines count: a ban
+     * that stays by mistake can be lifted.
      */
     Optional<Set<String>> cordons() {
         Set<String> servers = new TreeSet<>();
@@ -53,13 +54,23 @@
                     servers.add(lines.get(i));
                 }
             }
-            if (!text.startsWith(HEAD + "\n") || !text.endsWith("\n" + END + servers.size() + "\n")) {
-                LOG.warning("cut or foreign: " + cordons + ", what could be read of it counts: " + servers);
+            if (!text.startsWith(HEAD + "\n")
+                    || !text.endsWith("\n" + END + servers.size() + "\n")) {
+                LOG.warning(
+                        "cut or foreign: "
+                                + cordons
+                                + ", what could be read of it counts: "
+                                + servers);
             }
         } catch (NoSuchFileException e) {
             return Optional.empty();
         } catch (IOException e) {
-            LOG.warning("cannot be read: " + cordons + ", " + e.getClass().getSimpleName() + "; who is left out stays so");
+            LOG.warning(
+                    "cannot be read: "
+                            + cordons
+                            + ", "
+                            + e.getClass().getSimpleName()
+                            + "; who is left out stays so");
             return Optional.empty();
         }
         return Optional.of(servers);
@@ -72,7 +83,9 @@
         seen = stamp();
     }
 
-    /** True where another process has written who is left out since this one last read or wrote it. */
+    /**
+     * True where another process has written who is left out since this one last read or wrote it.
+     */
     boolean changed() {
         return !seen.equals(stamp());
     }
@@ -89,7 +102,10 @@
     /** What another process had learned; empty where nothing is kept or it is no row of numbers. */
     double[] learned() {
         try {
-            return Files.readString(learned, StandardCharsets.ISO_8859_1).lines().mapToDouble(Double::parseDouble).toArray();
+            return Files.readString(learned, StandardCharsets.ISO_8859_1)
+                    .lines()
+                    .mapToDouble(Double::parseDouble)
+                    .toArray();
         } catch (IOException | NumberFormatException e) {
             return new double[0];
         }
@@ -126,7 +142,10 @@
         try {
             write(serving, ProcessHandle.current().pid() + "\n");
         } catch (IOException e) {
-            LOG.warning("cannot be written: " + serving + "; at an upgrade this process is not known to serve");
+            LOG.warning(
+                    "cannot be written: "
+                            + serving
+                            + "; at an upgrade this process is not known to serve");
         }
     }
 
--- a/relay/src/main/java/asterpulley/serve/Main.java
+++ b/relay/src/main/java/asterpulley/serve/Main.java
@@ -1,14 +1,17 @@
 package asterpulley.serve;
 
-/** The platform's command line of one relay: nothing but {@code serve}, so that nothing else is loaded. */
+/**
+ * The platform's command line of one relay: nothing but {@code serve}, so that nothing else is
+ * loaded.
+ */
 public final class Main {
-    private static final String USAGE = """
+    private static final String USAGE =
+            """
             usage: serve     relay tunnels on sockets; LB_CONFIG names the file of what the relay is told
                    --help    print this
             """;
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("--help")) {
--- a/relay/src/main/java/asterpulley/serve/Operators.java
+++ b/relay/src/main/java/asterpulley/serve/Operators.java
@@ -11,13 +11,18 @@
 import java.util.logging.Logger;
 
 /**
- * Owns what operators may ask of this relay while it runs, and says yes only after the thing is so. It must never
- * change anything and then say no.
+ * Owns what operators may ask of this relay while it runs, and says yes only after the thing is so.
+ * It must never change anything and then say no.
  */
 final class Operators implements Desk {
     private static final Logger LOG = Logger.getLogger(Operators.class.getName());
-    /** How often it is seen whether another process was told: well within the second in which it has to hold. */
+
+    /**
+     * How often it is seen whether another process was told: well within the second in which it has
+     * to hold.
+     */
     private static final double LOOK = 0.2;
+
     /** How often what was learned is written down; it changes slowly. */
     private static final double TEACH = 2;
 
@@ -25,13 +30,22 @@
     private final Book book;
     private final Route route;
     private final Loop loop;
+
     /** Null where nothing outlives this process. */
     private final Kept kept;
+
     /** Null where no service tells settings. */
     private final SettingsWatch settings;
+
     private boolean open;
 
-    Operators(Farewell farewell, Book book, Route route, Loop loop, Kept kept, SettingsWatch settings) {
+    Operators(
+            Farewell farewell,
+            Book book,
+            Route route,
+            Loop loop,
+            Kept kept,
+            SettingsWatch settings) {
         this.farewell = farewell;
         this.book = book;
         this.route = route;
@@ -40,14 +54,19 @@
         this.settings = settings;
     }
 
-    /** Takes on who was left out before this process came, and whom another process of this relay leaves out. */
+    /**
+     * Takes on who was left out before this process came, and whom another process of this relay
+     * leaves out.
+     */
     void start() {
         if (kept != null) {
             adopt();
             watch();
             double[] learned = kept.learned();
             if (learned.length > 0) {
-                LOG.info((route.learn(learned) ? "taken over" : "not of this form") + ": what another process had learned");
+                LOG.info(
+                        (route.learn(learned) ? "taken over" : "not of this form")
+                                + ": what another process had learned");
             }
             loop.after(TEACH, this::teach);
         }
@@ -68,7 +87,9 @@
     }
 
     private void adopt() {
-        kept.cordons().filter(servers -> !servers.equals(route.cordoned())).ifPresent(route::cordon);
+        kept.cordons()
+                .filter(servers -> !servers.equals(route.cordoned()))
+                .ifPresent(route::cordon);
     }
 
     /** Clients can be taken from now on. */
@@ -100,7 +121,10 @@
 
     @Override
     public Answer settings() {
-        return settings == null ? new Answer(Kind.UNKNOWN, "no service tells settings here: those of the file count, from a start")
+        return settings == null
+                ? new Answer(
+                        Kind.UNKNOWN,
+                        "no service tells settings here: those of the file count, from a start")
                 : Answer.yes(settings.state());
     }
 
@@ -119,21 +143,31 @@
             return new Answer(Kind.UNKNOWN, "no backend " + server);
         }
         // What another process was told a moment ago counts as well.
-        Set<String> servers = new TreeSet<>(kept == null ? route.cordoned() : kept.cordons().orElse(route.cordoned()));
+        Set<String> servers =
+                new TreeSet<>(
+                        kept == null ? route.cordoned() : kept.cordons().orElse(route.cordoned()));
         if (out ? servers.add(server) : servers.remove(server)) {
             try {
                 if (kept != null) {
                     kept.cordons(servers);
                 }
             } catch (IOException e) {
-                LOG.warning("cannot be kept over an upgrade, so not done: " + (out ? "cordon " : "uncordon ") + server + ", " + e);
-                return new Answer(Kind.FAILED, "not done: it could not be kept over an upgrade, no room for its file");
+                LOG.warning(
+                        "cannot be kept over an upgrade, so not done: "
+                                + (out ? "cordon " : "uncordon ")
+                                + server
+                                + ", "
+                                + e);
+                return new Answer(
+                        Kind.FAILED,
+                        "not done: it could not be kept over an upgrade, no room for its file");
             }
         }
         if (!servers.equals(route.cordoned())) {
             route.cordon(servers);
         }
-        return Answer.yes(server + (out ? " is left out" : " is back") + ", left out now: " + servers.size());
+        return Answer.yes(
+                server + (out ? " is left out" : " is back") + ", left out now: " + servers.size());
     }
 
     @Override
--- a/relay/src/main/java/asterpulley/serve/SettingsWatch.java
+++ b/relay/src/main/java/asterpulley/serve/SettingsWatch.java
@@ -16,22 +16,30 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Owns the watch on the settings: one call waits at their service all the time, what it brings goes to {@link InForce},
- * and what is in force from then on to the relay and to the file that outlives it. It must never ask again at once after a
- * failure or where nothing came, nor keep silent for longer than settings may take to be in force.
+ * Owns the watch on the settings: one call waits at their service all the time, what it brings goes
+ * to {@link InForce}, and what is in force from then on to the relay and to the file that outlives
+ * it. It must never ask again at once after a failure or where nothing came, nor keep silent for
+ * longer than settings may take to be in force.
  */
 final class SettingsWatch implements LongPoll.Caller {
     private static final Logger LOG = Logger.getLogger(SettingsWatch.class.getName());
     private static final String PATH = "/registry/settings";
+
     /**
-     * How long a call may wait for news, when it is given up, and how long after a failure the next one waits at most. A
-     * change has 13 s to be in force, and a call that was lost just before the service could be reached again takes the
-     * last two of these and a connection.
+     * How long a call may wait for news, when it is given up, and how long after a failure the next
+     * one waits at most. A change has 13 s to be in force, and a call that was lost just before the
+     * service could be reached again takes the last two of these and a connection.
      */
     private static final double WAIT = 4, PATIENCE = 5.5, LONGEST_BACK_OFF = 3;
+
     private static final double FIRST_BACK_OFF = 0.2;
-    /** So much after an answer the next call goes out: what comes meanwhile comes in one answer, and is read at once. */
+
+    /**
+     * So much after an answer the next call goes out: what comes meanwhile comes in one answer, and
+     * is read at once.
+     */
     private static final double PACE = 0.05;
+
     /** An answer before this that brings nothing is of a service that does not wait. */
     private static final double AT_ONCE = WAIT / 2;
 
@@ -41,16 +49,25 @@
     private final Book book;
     private final Random random;
     private final LongPoll poll;
+
     /** Null where nothing outlives this process. */
     private final Kept kept;
+
     private double backOff = FIRST_BACK_OFF, calledAt;
     private boolean down, askedWhole, keptToo = true;
     private Loop.Due next;
-    private Runnable current = () -> { };
+    private Runnable current = () -> {};
 
     /** {@code changed}: other settings are in force; it returns when the whole relay has them. */
-    SettingsWatch(InetSocketAddress service, InForce settings, Runnable changed, Loop loop, Book book, Random random,
-            TCPNIOTransport transport, Kept kept) {
+    SettingsWatch(
+            InetSocketAddress service,
+            InForce settings,
+            Runnable changed,
+            Loop loop,
+            Book book,
+            Random random,
+            TCPNIOTransport transport,
+            Kept kept) {
         this.settings = settings;
         this.changed = changed;
         this.loop = loop;
@@ -60,20 +77,33 @@
         poll = new LongPoll(PATH, service, this, loop, book, transport);
     }
 
-    /** Goes on from what a process before had in force; told in the log where that can't be read. Before the start. */
+    /**
+     * Goes on from what a process before had in force; told in the log where that can't be read.
+     * Before the start.
+     */
     static void restore(InForce settings, Kept kept) {
         try {
             Map<String, Object> before = kept == null ? null : kept.settings();
             if (before != null) {
                 settings.restore(before);
-                LOG.info("settings " + settings.version() + " in force, as kept by the process before: " + told(settings));
+                LOG.info(
+                        "settings "
+                                + settings.version()
+                                + " in force, as kept by the process before: "
+                                + told(settings));
             }
         } catch (IOException | RuntimeException e) {
-            LOG.warning("passed over: " + e.getMessage() + "; settings of the relay's own file are in force");
+            LOG.warning(
+                    "passed over: "
+                            + e.getMessage()
+                            + "; settings of the relay's own file are in force");
         }
     }
 
-    /** {@code current}: told once the service was heard, whatever it said, or fails where settings are in force. */
+    /**
+     * {@code current}: told once the service was heard, whatever it said, or fails where settings
+     * are in force.
+     */
     void start(Runnable current) {
         this.current = current;
         call();
@@ -133,21 +163,36 @@
         if (verdict.changed()) {
             changed.run();
             book.count("settings_changes");
-            LOG.info("settings " + settings.version() + " in force, " + before + " before: " + told(settings));
+            LOG.info(
+                    "settings "
+                            + settings.version()
+                            + " in force, "
+                            + before
+                            + " before: "
+                            + told(settings));
             keep();
         }
-        if (verdict.kind() == InForce.Kind.REFUSED || settings.refused() != null && verdict.kind() == InForce.Kind.GAP
-                && settings.refused().version().equals(settings.told())) {
-            LOG.warning("settings " + settings.refused().version() + " refused: " + settings.refused().where() + "; "
-                    + settings.version() + " stays in force");
+        if (verdict.kind() == InForce.Kind.REFUSED
+                || settings.refused() != null
+                        && verdict.kind() == InForce.Kind.GAP
+                        && settings.refused().version().equals(settings.told())) {
+            LOG.warning(
+                    "settings "
+                            + settings.refused().version()
+                            + " refused: "
+                            + settings.refused().where()
+                            + "; "
+                            + settings.version()
+                            + " stays in force");
         }
         heard();
-        boolean news = switch (verdict.kind()) {
-            case IN_FORCE, REFUSED -> true;
-            case GAP -> !askedWhole;
-            case SAME -> loop.now() - calledAt > AT_ONCE;
-            case STALE -> false;
-        };
+        boolean news =
+                switch (verdict.kind()) {
+                    case IN_FORCE, REFUSED -> true;
+                    case GAP -> !askedWhole;
+                    case SAME -> loop.now() - calledAt > AT_ONCE;
+                    case STALE -> false;
+                };
         if (news) {
             backOff = FIRST_BACK_OFF;
             again(PACE);
@@ -161,10 +206,16 @@
         book.count("settings_failures");
         if (!down) {
             down = true;
-            LOG.info("settings service down (" + why + "), settings " + settings.version() + " stay in force");
+            LOG.info(
+                    "settings service down ("
+                            + why
+                            + "), settings "
+                            + settings.version()
+                            + " stay in force");
         }
         if (!settings.version().equals(InForce.Version.NONE)) {
-            // What was kept serves until it is back; without that a start waits a little for its first settings.
+            // What was kept serves until it is back; without that a start waits a little for its
+            // first settings.
             heard();
         }
         backOff();
@@ -172,7 +223,7 @@
 
     private void heard() {
         current.run();
-        current = () -> { };
+        current = () -> {};
     }
 
     private void keep() {
@@ -190,10 +241,15 @@
     }
 
     private static String told(InForce settings) {
-        return "profiles " + settings.settings().profiles.size() + ", customers " + settings.settings().shares.size();
+        return "profiles "
+                + settings.settings().profiles.size()
+                + ", customers "
+                + settings.settings().shares.size();
     }
 
-    /** For operators, one line: what is in force here and since when, and the last that was refused. */
+    /**
+     * For operators, one line: what is in force here and since when, and the last that was refused.
+     */
     String state() {
         Map<String, Object> state = new LinkedHashMap<>();
         InForce.Version version = settings.version();
--- a/relay/src/main/java/asterpulley/settings/InForce.java
+++ b/relay/src/main/java/asterpulley/settings/InForce.java
@@ -14,21 +14,27 @@
 import java.util.function.Consumer;
 
 /**
- * Owns which version of the settings is in force here, without I/O and in the time that it is told. What a service tells
- * is a document that is laid over the relay's own settings: whole, or by changes from version to version (JSON merge
- * patch). Each is tried on a copy and checked whole. It must never have half of a version in force, never go back to an
- * older one, never lose the last good one to a bad one, and never give a profile or customer another place while the
- * process lives.
+ * Owns which version of the settings is in force here, without I/O and in the time that it is told.
+ * What a service tells is a document that is laid over the relay's own settings: whole, or by
+ * changes from version to version (JSON merge patch). Each is tried on a copy and checked whole. It
+ * must never have half of a version in force, never go back to an older one, never lose the last
+ * good one to a bad one, and never give a profile or customer another place while the process
+ * lives.
  */
 public final class InForce {
-    /** The history of a service, which only another, higher number replaces, and the version within it. */
+    /**
+     * The history of a service, which only another, higher number replaces, and the version within
+     * it.
+     */
     public record Version(long epoch, long seq) implements Comparable<Version> {
         /** Before any that a service can tell. */
         public static final Version NONE = new Version(Long.MIN_VALUE, -1);
 
         @Override
         public int compareTo(Version other) {
-            return epoch != other.epoch ? Long.compare(epoch, other.epoch) : Long.compare(seq, other.seq);
+            return epoch != other.epoch
+                    ? Long.compare(epoch, other.epoch)
+                    : Long.compare(seq, other.seq);
         }
 
         @Override
@@ -38,44 +44,57 @@
     }
 
     /** What became of an answer. GAP: what lies between is missing. */
-    public enum Kind { IN_FORCE, REFUSED, SAME, STALE, GAP }
-
-    /** {@code changed}: another version is in force; that may be so also where a later one was refused or is missing. */
-    public record Verdict(Kind kind, boolean changed) {
+    public enum Kind {
+        IN_FORCE,
+        REFUSED,
+        SAME,
+        STALE,
+        GAP
     }
 
+    /**
+     * {@code changed}: another version is in force; that may be so also where a later one was
+     * refused or is missing.
+     */
+    public record Verdict(Kind kind, boolean changed) {}
+
     /** A version that can't be in force: the path of the fault, and what it is. */
-    public record Refusal(Version version, String where, double at) {
-    }
+    public record Refusal(Version version, String where, double at) {}
 
     /** A list as it was told, and each of its entries at its place. */
-    private record Placed(Object told, List<Object> entries) {
-    }
+    private record Placed(Object told, List<Object> entries) {}
 
-    private record Told(Version version, Object settings) {
-    }
+    private record Told(Version version, Object settings) {}
 
     private final Map<String, Object> own;
     private final Consumer<Map<String, Object>> readers;
+
     /** What was told last, good or bad: changes go from there. */
     private Told told = new Told(Version.NONE, null);
+
     private boolean wholeWanted = true;
+
     /** The last good one. */
     private Told good = told;
+
     /** No answer below it counts: what is in force, until another service is asked. */
     private Version floor = Version.NONE;
+
     private double since;
     private Refusal refused;
     private long refusals;
+
     /** By their place, those that were taken away as well. */
     private Set<String> profiles = new LinkedHashSet<>(), customers = new LinkedHashSet<>();
+
     private final Map<String, Placed> placed = new HashMap<>();
     private Map<String, Object> effective;
     private Settings settings;
 
     /**
-     * {@code own}: the settings of the relay's own file, in force until a service tells. {@code readers}: who else reads
-     * settings, on a copy, and throws {@link Json.Malformed} where it can't.
+     * {@code own}: the settings of the relay's own file, in force until a service tells. {@code
+     * readers}: who else reads settings, on a copy, and throws {@link Json.Malformed} where it
+     * can't.
      */
     public InForce(Map<String, Object> own, Consumer<Map<String, Object>> readers, double now) {
         this.own = own;
@@ -84,9 +103,15 @@
         adopt(Map.of());
     }
 
-    /** An answer of the service; {@link Json.Malformed} where it has not the form of one: then nothing is changed. */
+    /**
+     * An answer of the service; {@link Json.Malformed} where it has not the form of one: then
+     * nothing is changed.
+     */
     public Verdict told(Map<String, Object> answer, double now) {
-        Version at = new Version(answer.get("epoch") == null ? 0 : Json.whole(answer, "epoch"), Json.whole(answer, "seq"));
+        Version at =
+                new Version(
+                        answer.get("epoch") == null ? 0 : Json.whole(answer, "epoch"),
+                        Json.whole(answer, "seq"));
         if (at.seq < 0 || at.epoch < 0) {
             throw new Json.Malformed("seq or epoch is below 0");
         }
@@ -95,7 +120,8 @@
             throw new Json.Malformed("field settings is missing");
         }
         Map<Long, Change> changes = whole ? Map.of() : changes(answer);
-        // What was refused bounds nothing: a version that was never anybody's must not shut out those that are.
+        // What was refused bounds nothing: a version that was never anybody's must not shut out
+        // those that are.
         if (at.compareTo(floor) < 0) {
             return new Verdict(Kind.STALE, false);
         }
@@ -105,26 +131,34 @@
                 told = at.equals(floor) ? good : told;
                 return new Verdict(Kind.SAME, false);
             }
-            return tried(List.of(new Told(at, MergePatch.apply(null, answer.get("settings")))), now);
+            return tried(
+                    List.of(new Told(at, MergePatch.apply(null, answer.get("settings")))), now);
         }
         wholeWanted |= at.epoch != told.version.epoch || at.seq < told.version.seq;
         List<Told> steps = new ArrayList<>();
         long last = told.version.seq;
         Object document = told.settings;
-        for (Change next = changes.get(last); next != null && !wholeWanted; next = changes.get(last)) {
+        for (Change next = changes.get(last);
+                next != null && !wholeWanted;
+                next = changes.get(last)) {
             last = next.to;
             document = MergePatch.apply(document, next.patch);
             steps.add(new Told(new Version(at.epoch, last), document));
         }
-        wholeWanted |= last < changes.values().stream().mapToLong(Change::to).reduce(at.seq, Math::max);
-        return steps.isEmpty() ? new Verdict(wholeWanted ? Kind.GAP : Kind.SAME, false) : tried(steps, now);
+        wholeWanted |=
+                last < changes.values().stream().mapToLong(Change::to).reduce(at.seq, Math::max);
+        return steps.isEmpty()
+                ? new Verdict(wholeWanted ? Kind.GAP : Kind.SAME, false)
+                : tried(steps, now);
     }
 
     /** From one version to another. */
-    private record Change(long from, long to, Object patch) {
-    }
+    private record Change(long from, long to, Object patch) {}
 
-    /** By the version from which each goes; of two the shorter step, so that the last good version is met everywhere. */
+    /**
+     * By the version from which each goes; of two the shorter step, so that the last good version
+     * is met everywhere.
+     */
     private static Map<Long, Change> changes(Map<String, Object> answer) {
         Map<Long, Change> changes = new HashMap<>();
         for (Object o : Json.list(answer, "changes")) {
@@ -132,14 +166,21 @@
             long to = Json.whole(change, "seq");
             long from = change.get("from") == null ? to - 1 : Json.whole(change, "from");
             if (from < 0 || from >= to || !change.containsKey("patch")) {
-                throw new Json.Malformed("a change has no patch, or not one from an earlier version to a later");
+                throw new Json.Malformed(
+                        "a change has no patch, or not one from an earlier version to a later");
             }
-            changes.merge(from, new Change(from, to, change.get("patch")), (x, y) -> x.to <= y.to ? x : y);
+            changes.merge(
+                    from,
+                    new Change(from, to, change.get("patch")),
+                    (x, y) -> x.to <= y.to ? x : y);
         }
         return changes;
     }
 
-    /** Versions in their order: the last good one of them is in force from now on, later ones are refused. */
+    /**
+     * Versions in their order: the last good one of them is in force from now on, later ones are
+     * refused.
+     */
     private Verdict tried(List<Told> steps, double now) {
         told = steps.get(steps.size() - 1);
         Kind kind = wholeWanted ? Kind.GAP : Kind.IN_FORCE;
@@ -158,7 +199,9 @@
         return new Verdict(kind, false);
     }
 
-    /** Puts it in force; the path of what is wrong with it, and all as it was, where it can't be. */
+    /**
+     * Puts it in force; the path of what is wrong with it, and all as it was, where it can't be.
+     */
     private String taken(Told step) {
         String wrong = Schema.wrong(step.settings, good.settings, own);
         if (wrong != null) {
@@ -183,15 +226,29 @@
         effective = all;
         profiles = p;
         customers = c;
-        placed.put("profiles", new Placed(document.getOrDefault("profiles", own.get("profiles")), Json.list(all, "profiles")));
-        placed.put("tenants", new Placed(document.getOrDefault("tenants", own.get("tenants")), Json.list(all, "tenants")));
+        placed.put(
+                "profiles",
+                new Placed(
+                        document.getOrDefault("profiles", own.get("profiles")),
+                        Json.list(all, "profiles")));
+        placed.put(
+                "tenants",
+                new Placed(
+                        document.getOrDefault("tenants", own.get("tenants")),
+                        Json.list(all, "tenants")));
     }
 
-    /** All settings with the document laid over the relay's own; each profile and customer at its place. */
-    private Map<String, Object> effective(Map<String, Object> document, Set<String> p, Set<String> c) {
+    /**
+     * All settings with the document laid over the relay's own; each profile and customer at its
+     * place.
+     */
+    private Map<String, Object> effective(
+            Map<String, Object> document, Set<String> p, Set<String> c) {
         Map<String, Object> plain = new LinkedHashMap<>(document);
-        Object profilesTold = plain.containsKey("profiles") ? plain.remove("profiles") : own.get("profiles");
-        Object customersTold = plain.containsKey("tenants") ? plain.remove("tenants") : own.get("tenants");
+        Object profilesTold =
+                plain.containsKey("profiles") ? plain.remove("profiles") : own.get("profiles");
+        Object customersTold =
+                plain.containsKey("tenants") ? plain.remove("tenants") : own.get("tenants");
         Map<String, Object> all = Json.object(MergePatch.apply(own, plain), "settings");
         all.put("profiles", placed("profiles", profilesTold, p, Schema.PROFILES));
         all.put("tenants", placed("tenants", customersTold, c, Schema.CUSTOMERS));
@@ -210,12 +267,18 @@
         }
         places.addAll(now.keySet());
         if (places.size() > most) {
-            throw new Json.Malformed(list + ": more than " + most + " names since the start, those taken away counted");
+            throw new Json.Malformed(
+                    list
+                            + ": more than "
+                            + most
+                            + " names since the start, those taken away counted");
         }
         Map<String, Map<String, Object>> before = Schema.byName(last == null ? null : last.entries);
         List<Object> all = new ArrayList<>();
         for (String name : places) {
-            Map<String, Object> one = new LinkedHashMap<>(now.getOrDefault(name, before.getOrDefault(name, Map.of())));
+            Map<String, Object> one =
+                    new LinkedHashMap<>(
+                            now.getOrDefault(name, before.getOrDefault(name, Map.of())));
             one.put("name", name);
             one.remove(SettingsDecoder.RETIRED);
             if (!now.containsKey(name)) {
@@ -228,7 +291,10 @@
         return all;
     }
 
-    /** Another service is asked from now on: its history is its own, so its whole counts whatever its version. */
+    /**
+     * Another service is asked from now on: its history is its own, so its whole counts whatever
+     * its version.
+     */
     public void moved() {
         told = new Told(Version.NONE, null);
         floor = Version.NONE;
@@ -250,11 +316,15 @@
         return kept;
     }
 
-    /** Goes on from what was kept, before anything was told; {@link Json.Malformed} where it cannot be in force. */
+    /**
+     * Goes on from what was kept, before anything was told; {@link Json.Malformed} where it cannot
+     * be in force.
+     */
     public void restore(Map<String, Object> kept) {
         Version version = new Version(Json.whole(kept, "epoch"), Json.whole(kept, "seq"));
         double from = Json.number(kept, "since", since);
-        Set<String> p = places(kept, "profiles", Schema.PROFILES), c = places(kept, "customers", Schema.CUSTOMERS);
+        Set<String> p = places(kept, "profiles", Schema.PROFILES),
+                c = places(kept, "customers", Schema.CUSTOMERS);
         Set<String> ownProfiles = profiles, ownCustomers = customers;
         Told whole = new Told(version, kept.get("settings"));
         profiles = p;
@@ -271,7 +341,10 @@
         since = from;
     }
 
-    /** The places of the process before, so that what it learned by place is of the same names; too many begin anew. */
+    /**
+     * The places of the process before, so that what it learned by place is of the same names; too
+     * many begin anew.
+     */
     private static Set<String> places(Map<String, Object> kept, String list, int most) {
         Set<String> places = new LinkedHashSet<>();
         Json.list(kept, list).forEach(name -> places.add(String.valueOf(name)));
@@ -311,7 +384,10 @@
         return settings;
     }
 
-    /** The same as names and values, as a relay's file has them; those taken away are marked as retired. */
+    /**
+     * The same as names and values, as a relay's file has them; those taken away are marked as
+     * retired.
+     */
     public Map<String, Object> effective() {
         return effective;
     }
--- a/relay/src/main/java/asterpulley/settings/Schema.java
+++ b/relay/src/main/java/asterpulley/settings/Schema.java
@@ -7,42 +7,97 @@
 import java.util.Set;
 
 /**
- * Owns what a settings service may tell: each key, its type and its range, and which keys are the relay's own file's to
- * tell. It must name the path of what it refuses, and never let a key pass that nothing reads.
+ * Owns what a settings service may tell: each key, its type and its range, and which keys are the
+ * relay's own file's to tell. It must name the path of what it refuses, and never let a key pass
+ * that nothing reads.
  */
 final class Schema {
-    /** So many profiles and customers may be told in a process's life, those that were taken away counted. */
+    /**
+     * So many profiles and customers may be told in a process's life, those that were taken away
+     * counted.
+     */
     static final int PROFILES = 256, CUSTOMERS = 4096;
+
     private static final double LONG = 3.6e6;
-    /** Set up once, by the relay's own file: names and kinds that stand in other things than settings. */
-    private static final Set<String> OWN = Set.of("zones", "models", "myZone", "registryMode", "familyInfo", "tickMs",
-            "scoreParts");
-    private static final Map<String, Check> PLAIN = Map.of("siblings", number(1, 100_000, true), "excessCredit", number(0, 1, false));
-    private static final Map<String, Map<String, Check>> PARTS = Map.of(
-            "limits", Map.of("mostSetups", number(1, 100, true), "retryAfter", Schema::flag, "maxRetryAfterMs", number(0, LONG, false),
-                    "dialTimeoutMs", number(10, 60_000, false)),
-            "rules", Map.of("askEveryMs", number(500, LONG, false), "drainGraceMs", number(0, LONG, false),
-                    "coldFrom", number(0.01, 1, false), "coldMs", number(100, LONG, false),
-                    "fallMultiple", number(1, 100, false), "fallMs", number(100, 60_000, false),
-                    "budgetFree", number(0, 1e6, false), "furtherRatio", number(0, 100, false), "lookBackMs", number(0, LONG, false)),
-            "fees", Map.of("crossZone", number(0, 1, false), "probe", number(0, 1, false)));
-    private static final Map<String, Map<String, Check>> NAMED = Map.of(
-            "profiles", Map.of("effect", oneOf("read_like", "idempotency_key", "non_idempotent"), "group", oneOf("all", "zone", "cell"),
-                    "setupGoalMs", number(10, 60_000, false), "clientTimeoutMs", number(10, LONG, false),
-                    "windowMs", number(0, LONG, false), "credit", number(0, 1e6, false)),
-            "tenants", Map.of("share", number(0, 1, false)));
+
+    /**
+     * Set up once, by the relay's own file: names and kinds that stand in other things than
+     * settings.
+     */
+    private static final Set<String> OWN =
+            Set.of(
+                    "zones",
+                    "models",
+                    "myZone",
+                    "registryMode",
+                    "familyInfo",
+                    "tickMs",
+                    "scoreParts");
+
+    private static final Map<String, Check> PLAIN =
+            Map.of("siblings", number(1, 100_000, true), "excessCredit", number(0, 1, false));
+    private static final Map<String, Map<String, Check>> PARTS =
+            Map.of(
+                    "limits",
+                            Map.of(
+                                    "mostSetups",
+                                    number(1, 100, true),
+                                    "retryAfter",
+                                    Schema::flag,
+                                    "maxRetryAfterMs",
+                                    number(0, LONG, false),
+                                    "dialTimeoutMs",
+                                    number(10, 60_000, false)),
+                    "rules",
+                            Map.of(
+                                    "askEveryMs",
+                                    number(500, LONG, false),
+                                    "drainGraceMs",
+                                    number(0, LONG, false),
+                                    "coldFrom",
+                                    number(0.01, 1, false),
+                                    "coldMs",
+                                    number(100, LONG, false),
+                                    "fallMultiple",
+                                    number(1, 100, false),
+                                    "fallMs",
+                                    number(100, 60_000, false),
+                                    "budgetFree",
+                                    number(0, 1e6, false),
+                                    "furtherRatio",
+                                    number(0, 100, false),
+                                    "lookBackMs",
+                                    number(0, LONG, false)),
+                    "fees", Map.of("crossZone", number(0, 1, false), "probe", number(0, 1, false)));
+    private static final Map<String, Map<String, Check>> NAMED =
+            Map.of(
+                    "profiles",
+                            Map.of(
+                                    "effect",
+                                    oneOf("read_like", "idempotency_key", "non_idempotent"),
+                                    "group",
+                                    oneOf("all", "zone", "cell"),
+                                    "setupGoalMs",
+                                    number(10, 60_000, false),
+                                    "clientTimeoutMs",
+                                    number(10, LONG, false),
+                                    "windowMs",
+                                    number(0, LONG, false),
+                                    "credit",
+                                    number(0, 1e6, false)),
+                    "tenants", Map.of("share", number(0, 1, false)));
 
     /** What is wrong with a value; null where nothing is. */
     private interface Check {
         String wrong(Object value);
     }
 
-    private Schema() {
-    }
+    private Schema() {}
 
     /**
-     * The path and fault of the first key that cannot be in force; null where all can. {@code good}: what was found good
-     * before; what is the same object in it is not looked at again, since a change leaves most as it was.
+     * The path and fault of the first key that cannot be in force; null where all can. {@code
+     * good}: what was found good before; what is the same object in it is not looked at again,
+     * since a change leaves most as it was.
      */
     static String wrong(Object told, Object good, Map<String, Object> own) {
         if (!(told instanceof Map<?, ?> settings)) {
@@ -74,8 +129,11 @@
     }
 
     private static String own(String path, Object value, Object own) {
-        return Json.text(value).equals(Json.text(own)) ? null
-                : path + ": counts from a start, by the relay's own file, which says " + Json.text(own);
+        return Json.text(value).equals(Json.text(own))
+                ? null
+                : path
+                        + ": counts from a start, by the relay's own file, which says "
+                        + Json.text(own);
     }
 
     private static String part(String path, Object value, Map<String, Object> own) {
@@ -105,7 +163,9 @@
     private static String named(String path, Object value, Object good) {
         if (value instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
-                if (!(list.get(i) instanceof Map<?, ?> one) || !(one.get("name") instanceof String name) || name.isEmpty()) {
+                if (!(list.get(i) instanceof Map<?, ?> one)
+                        || !(one.get("name") instanceof String name)
+                        || name.isEmpty()) {
                     return path + "[" + i + "]: not an object with a name";
                 }
                 for (int k = 0; k < i; k++) {
@@ -127,37 +187,62 @@
             }
             for (Map.Entry<String, Object> e : one.getValue().entrySet()) {
                 Check check = NAMED.get(path).get(e.getKey());
-                String wrong = e.getKey().equals("name") ? one.getKey().equals(e.getValue()) ? null : "another name"
-                        : check == null ? "no such key" : check.wrong(e.getValue());
+                String wrong =
+                        e.getKey().equals("name")
+                                ? one.getKey().equals(e.getValue()) ? null : "another name"
+                                : check == null ? "no such key" : check.wrong(e.getValue());
                 if (wrong != null) {
                     return at + "." + e.getKey() + ": " + wrong;
                 }
             }
             double goal = Json.number(one.getValue(), "setupGoalMs", 500);
-            if (path.equals("profiles") && Json.number(one.getValue(), "clientTimeoutMs", 2000) < goal) {
+            if (path.equals("profiles")
+                    && Json.number(one.getValue(), "clientTimeoutMs", 2000) < goal) {
                 return at + ".clientTimeoutMs: below setupGoalMs, which is " + goal;
             }
         }
         return null;
     }
 
-    /** What stands under each name, whether it was told as a list or as an object; null where that is no object. */
+    /**
+     * What stands under each name, whether it was told as a list or as an object; null where that
+     * is no object.
+     */
     @SuppressWarnings("unchecked")
     static Map<String, Map<String, Object>> byName(Object told) {
         Map<String, Map<String, Object>> all = new LinkedHashMap<>();
         if (told instanceof List<?> list) {
-            list.forEach(o -> all.put(o instanceof Map<?, ?> one ? String.valueOf(one.get("name")) : String.valueOf(o),
-                    o instanceof Map ? (Map<String, Object>) o : Map.of()));
+            list.forEach(
+                    o ->
+                            all.put(
+                                    o instanceof Map<?, ?> one
+                                            ? String.valueOf(one.get("name"))
+                                            : String.valueOf(o),
+                                    o instanceof Map ? (Map<String, Object>) o : Map.of()));
         } else if (told instanceof Map<?, ?> map) {
-            map.forEach((name, o) -> all.put((String) name, o instanceof Map ? (Map<String, Object>) o : null));
+            map.forEach(
+                    (name, o) ->
+                            all.put(
+                                    (String) name,
+                                    o instanceof Map ? (Map<String, Object>) o : null));
         }
         return all;
     }
 
     private static Check number(double least, double most, boolean whole) {
-        return value -> !(value instanceof Number n) ? "not a number"
-                : n.doubleValue() >= least && n.doubleValue() <= most && !(whole && n.doubleValue() % 1 != 0) ? null
-                : (whole ? "a whole number from " : "from ") + plain(least) + " to " + plain(most) + ", it is " + plain(n.doubleValue());
+        return value ->
+                !(value instanceof Number n)
+                        ? "not a number"
+                        : n.doubleValue() >= least
+                                        && n.doubleValue() <= most
+                                        && !(whole && n.doubleValue() % 1 != 0)
+                                ? null
+                                : (whole ? "a whole number from " : "from ")
+                                        + plain(least)
+                                        + " to "
+                                        + plain(most)
+                                        + ", it is "
+                                        + plain(n.doubleValue());
     }
 
     private static String plain(double n) {
@@ -169,6 +254,7 @@
     }
 
     private static Check oneOf(String... words) {
-        return value -> List.of(words).contains(value) ? null : "none of " + String.join(", ", words);
+        return value ->
+                List.of(words).contains(value) ? null : "none of " + String.join(", ", words);
     }
 }
--- a/relay/src/test/java/asterpulley/serve/BordersTest.java
+++ b/relay/src/test/java/asterpulley/serve/BordersTest.java
@@ -10,35 +10,73 @@
 
 /** The borders within the relay; those between modules are the build's own. */
 class BordersTest {
-    private final JavaClasses relay = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("asterpulley");
+    private final JavaClasses relay =
+            new ClassFileImporter()
+                    .withImportOption(new ImportOption.DoNotIncludeTests())
+                    .importPackages("asterpulley");
 
     @Test
     void whatEveryFrontSharesKnowsNoProtocol() {
-        classes().that().resideInAPackage("asterpulley.net..").should().onlyDependOnClassesThat()
-                .resideOutsideOfPackages("asterpulley.line..", "asterpulley.list..", "asterpulley.serve..")
+        classes()
+                .that()
+                .resideInAPackage("asterpulley.net..")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideOutsideOfPackages(
+                        "asterpulley.line..", "asterpulley.list..", "asterpulley.serve..")
                 .check(relay);
     }
 
     @Test
     void theLineProtocolAndTheListKnowNothingOfEachOther() {
-        noClasses().that().resideInAPackage("asterpulley.line..").should().dependOnClassesThat()
-                .resideInAnyPackage("asterpulley.list..", "asterpulley.serve..").check(relay);
-        noClasses().that().resideInAPackage("asterpulley.list..").should().dependOnClassesThat()
-                .resideInAnyPackage("asterpulley.line..", "asterpulley.serve..").check(relay);
+        noClasses()
+                .that()
+                .resideInAPackage("asterpulley.line..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("asterpulley.list..", "asterpulley.serve..")
+                .check(relay);
+        noClasses()
+                .that()
+                .resideInAPackage("asterpulley.list..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("asterpulley.line..", "asterpulley.serve..")
+                .check(relay);
     }
 
     @Test
     void whichSettingsAreInForceIsDecidedWithoutInputOrOutput() {
-        noClasses().that().resideInAPackage("asterpulley.settings").should().dependOnClassesThat()
-                .resideInAnyPackage("java.io..", "java.net..", "java.nio..", "org.glassfish..", "asterpulley.net..",
-                        "asterpulley.line..", "asterpulley.list..", "asterpulley.serve..").check(relay);
+        noClasses()
+                .that()
+                .resideInAPackage("asterpulley.settings")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.io..",
+                        "java.net..",
+                        "java.nio..",
+                        "org.glassfish..",
+                        "asterpulley.net..",
+                        "asterpulley.line..",
+                        "asterpulley.list..",
+                        "asterpulley.serve..")
+                .check(relay);
     }
 
     @Test
     void decisionsDoNoInputOrOutput() {
-        noClasses().that().resideInAPackage("asterpulley").should().dependOnClassesThat()
-                .resideInAnyPackage("java.io..", "java.net..", "java.nio..", "org.glassfish..", "asterpulley.net..")
+        noClasses()
+                .that()
+                .resideInAPackage("asterpulley")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.io..",
+                        "java.net..",
+                        "java.nio..",
+                        "org.glassfish..",
+                        "asterpulley.net..")
                 .check(relay);
     }
 }
--- a/relay/src/test/java/asterpulley/serve/CrowdTest.java
+++ b/relay/src/test/java/asterpulley/serve/CrowdTest.java
@@ -23,14 +23,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** More idle clients than the relay has descriptors: the list is still heard, and whoever says its line is served. */
+/**
+ * More idle clients than the relay has descriptors: the list is still heard, and whoever says its
+ * line is served.
+ */
 @Timeout(60)
 class CrowdTest extends RelayStage {
     private static final int IDLE = 200, CLIENTS = 12;
+
     /** A change of the list counts as told by then, from where discovery could be reached again. */
     private static final double TOLD = 6;
 
-    /** Idle clients: each connects, says nothing, and comes again soon after it was shut. One thread plays them all. */
+    /**
+     * Idle clients: each connects, says nothing, and comes again soon after it was shut. One thread
+     * plays them all.
+     */
     private final class Crowd implements AutoCloseable {
         private static final long COMES_AGAIN = 50_000_000;
         private final AtomicInteger shut = new AtomicInteger();
@@ -51,7 +58,9 @@
                 for (; !due.isEmpty() && due.peek() <= System.nanoTime(); due.poll()) {
                     SocketChannel idle = SocketChannel.open();
                     idle.configureBlocking(false);
-                    idle.register(selector, idle.connect(relay) ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT);
+                    idle.register(
+                            selector,
+                            idle.connect(relay) ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT);
                 }
                 selector.select(10);
                 for (SelectionKey key : selector.selectedKeys()) {
@@ -85,7 +94,8 @@
 
         /** There are more than the relay takes: some were shut already. */
         void fills() throws InterruptedException {
-            for (long until = System.nanoTime() + 5_000_000_000L; shut.get() == 0 && System.nanoTime() < until;) {
+            for (long until = System.nanoTime() + 5_000_000_000L;
+                    shut.get() == 0 && System.nanoTime() < until; ) {
                 Thread.sleep(1);
             }
         }
@@ -100,15 +110,17 @@
     /** A backend that opens whatever comes, and ends each tunnel as its client does. */
     private Backend opening() throws IOException {
         Backend b = new Backend();
-        background(() -> {
-            while (true) {
-                End end = b.opens();
-                background(() -> {
-                    end.line();
-                    end.close();
+        background(
+                () -> {
+                    while (true) {
+                        End end = b.opens();
+                        background(
+                                () -> {
+                                    end.line();
+                                    end.close();
+                                });
+                    }
                 });
-            }
-        });
         return b;
     }
 
@@ -126,7 +138,10 @@
         return answers;
     }
 
-    /** Discovery comes back, and has a change to tell: how long that takes to be asked for, in seconds. */
+    /**
+     * Discovery comes back, and has a change to tell: how long that takes to be asked for, in
+     * seconds.
+     */
     private double heard(int port, String... entries) throws Exception {
         long back = System.nanoTime();
         registry = new Registry(port);
@@ -154,12 +169,20 @@
         Crowd crowd = new Crowd(serve.address(), IDLE);
         crowd.fills();
         List<String> all = new ArrayList<>(answers(serve.address(), CLIENTS));
-        assertEquals(CLIENTS, all.stream().filter("UP r1"::equals).count(), "while discovery is down: " + all);
-        double heard = heard(registry.listening.getLocalPort(), one.entry("s1", "draining"), two.entry("s2", "up"));
+        assertEquals(
+                CLIENTS,
+                all.stream().filter("UP r1"::equals).count(),
+                "while discovery is down: " + all);
+        double heard =
+                heard(
+                        registry.listening.getLocalPort(),
+                        one.entry("s1", "draining"),
+                        two.entry("s2", "up"));
         assertTrue(heard < TOLD, "heard after " + heard);
         one.openings.clear();
         all = answers(serve.address(), CLIENTS);
-        assertEquals(CLIENTS, all.stream().filter("UP r1"::equals).count(), "after its return: " + all);
+        assertEquals(
+                CLIENTS, all.stream().filter("UP r1"::equals).count(), "after its return: " + all);
         assertEquals(List.of(), List.copyOf(one.openings), "by the list as it is now");
         assertEquals(0, counted("declined_no_sockets"));
     }
@@ -172,27 +195,39 @@
         registry.down();
         Path log = folder.resolve("log");
         ProcessBuilder run = process(folder.resolve("config.json"), log);
-        List<String> words = new ArrayList<>(List.of("sh", "-c", "ulimit -n 50; exec \"$@\"", "sh"));
+        List<String> words =
+                new ArrayList<>(List.of("sh", "-c", "ulimit -n 50; exec \"$@\"", "sh"));
         words.addAll(run.command());
         Process relay = run.command(words).start();
         open.add(relay::destroyForcibly);
         Matcher serving = told(log, relay, "serving n1 at 127.0.0.1:(\\d+)");
-        InetSocketAddress at = new InetSocketAddress("127.0.0.1", Integer.parseInt(serving.group(1)));
-        // Its classes are files here, which need descriptors as well: all that are needed are loaded before.
+        InetSocketAddress at =
+                new InetSocketAddress("127.0.0.1", Integer.parseInt(serving.group(1)));
+        // Its classes are files here, which need descriptors as well: all that are needed are
+        // loaded before.
         assertEquals(List.of("UP r1"), answers(at, 1));
         Crowd crowd = new Crowd(at, IDLE);
         crowd.fills();
         List<String> all = answers(at, CLIENTS);
-        assertEquals(CLIENTS, all.stream().filter("UP r1"::equals).count(), "while discovery is down: " + all);
-        double heard = heard(registry.listening.getLocalPort(), one.entry("s1", "draining"), two.entry("s2", "up"));
+        assertEquals(
+                CLIENTS,
+                all.stream().filter("UP r1"::equals).count(),
+                "while discovery is down: " + all);
+        double heard =
+                heard(
+                        registry.listening.getLocalPort(),
+                        one.entry("s1", "draining"),
+                        two.entry("s2", "up"));
         assertTrue(heard < TOLD, "heard after " + heard);
         one.openings.clear();
         all = answers(at, CLIENTS);
-        assertEquals(CLIENTS, all.stream().filter("UP r1"::equals).count(), "after its return: " + all);
+        assertEquals(
+                CLIENTS, all.stream().filter("UP r1"::equals).count(), "after its return: " + all);
         assertEquals(List.of(), List.copyOf(one.openings), "by the list as it is now");
         new ProcessBuilder("kill", "-USR1", Long.toString(relay.pid())).start().waitFor();
         int refused = Integer.parseInt(told(log, relay, " accepts_refused=(\\d+)").group(1));
-        assertTrue(refused < 50, "the refusals of the machine are not met in every round: " + refused);
+        assertTrue(
+                refused < 50, "the refusals of the machine are not met in every round: " + refused);
     }
 
     private static Matcher told(Path log, Process relay, String line) throws Exception {
@@ -210,10 +245,19 @@
     void whatIsYetToBeDialledKeepsItsSocketsFromWhoIsIdle() throws Exception {
         Backend b = new Backend();
         Gate gate = new Gate();
-        // Setups that do not come up, and more of them than may be out at once; 24 sockets, and 4 of them never for the idle.
-        start(config(told -> told.replace("\"setupGoalMs\":2000", "\"setupGoalMs\":9000").replace("\"clientTimeoutMs\":3000",
-                "\"clientTimeoutMs\":9000").replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":9000")
-                .replace("\"probes\":true", "\"probes\":false"), 64, gate.in(b, "s1")));
+        // Setups that do not come up, and more of them than may be out at once; 24 sockets, and 4
+        // of them never for the idle.
+        start(
+                config(
+                        told ->
+                                told.replace("\"setupGoalMs\":2000", "\"setupGoalMs\":9000")
+                                        .replace(
+                                                "\"clientTimeoutMs\":3000",
+                                                "\"clientTimeoutMs\":9000")
+                                        .replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":9000")
+                                        .replace("\"probes\":true", "\"probes\":false"),
+                        64,
+                        gate.in(b, "s1")));
         for (int i = 0; i < 6; i++) {
             client("chat", 9000);
         }
@@ -241,8 +285,11 @@
             connect();
         }
         await("accepted", 30);
-        registry.tells(42, IntStream.range(0, others.length).mapToObj(i -> others[i].entry("t" + i, "up"))
-                .toArray(String[]::new));
+        registry.tells(
+                42,
+                IntStream.range(0, others.length)
+                        .mapToObj(i -> others[i].entry("t" + i, "up"))
+                        .toArray(String[]::new));
         await("probes", 1 + others.length);
         int used = sockets();
         assertTrue(used <= 24, "no more than there are: " + used);
--- a/relay/src/test/java/asterpulley/serve/FleetTest.java
+++ b/relay/src/test/java/asterpulley/serve/FleetTest.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Hard cases of a fleet that changes at once, on sockets: what a list replaces, a rush, a list service that refuses. */
+/**
+ * Hard cases of a fleet that changes at once, on sockets: what a list replaces, a rush, a list
+ * service that refuses.
+ */
 class FleetTest extends RelayStage {
     private void opened(int tunnels) throws Exception {
         for (int i = 0; i < tunnels; i++) {
@@ -29,7 +32,11 @@
                 gone.add(b);
                 Backend anew = new Backend();
                 anew.opensAll();
-                after.add(anew.entry("n" + i, "up").replace("\"born_ms\":0", "\"born_ms\":" + System.currentTimeMillis()));
+                after.add(
+                        anew.entry("n" + i, "up")
+                                .replace(
+                                        "\"born_ms\":0",
+                                        "\"born_ms\":" + System.currentTimeMillis()));
             }
         }
         start(before.toArray(String[]::new));
@@ -40,7 +47,8 @@
         int[] had = gone.stream().mapToInt(b -> b.openings.size()).toArray();
         opened(20);
         for (int i = 0; i < had.length; i++) {
-            assertEquals(had[i], gone.get(i).openings.size(), "nothing new to what the list dropped");
+            assertEquals(
+                    had[i], gone.get(i).openings.size(), "nothing new to what the list dropped");
         }
         assertEquals(0, counted("declined"));
     }
@@ -63,7 +71,8 @@
     }
 
     @Test
-    void aStartWithAnEmptyListWhileTheListServiceRefusesDeclinesAtOnceAndServesWithTheFirstList() throws Exception {
+    void aStartWithAnEmptyListWhileTheListServiceRefusesDeclinesAtOnceAndServesWithTheFirstList()
+            throws Exception {
         Backend b = new Backend();
         b.opensAll();
         start();
--- a/relay/src/test/java/asterpulley/serve/FuzzTest.java
+++ b/relay/src/test/java/asterpulley/serve/FuzzTest.java
@@ -34,7 +34,10 @@
 import net.jqwik.api.lifecycle.AfterContainer;
 import net.jqwik.api.lifecycle.BeforeContainer;
 
-/** Generated openings against a relay on a socket: none serves what is not to the letter, keeps a socket or grows memory. */
+/**
+ * Generated openings against a relay on a socket: none serves what is not to the letter, keeps a
+ * socket or grows memory.
+ */
 class FuzzTest {
     private static final Logger QUIET = Logger.getLogger("asterpulley");
     private static final Set<String> REACHED = ConcurrentHashMap.newKeySet();
@@ -48,43 +51,76 @@
     private static long heapAtFirst;
 
     /** What a client sends, and whether it is an opening to the letter; the id stands for %s. */
-    private record Sent(String text, boolean good) {
-    }
+    private record Sent(String text, boolean good) {}
 
     @BeforeContainer
     static void start() throws IOException {
         QUIET.setLevel(Level.WARNING);
-        threads = Executors.newCachedThreadPool(r -> {
-            Thread t = new Thread(r);
-            t.setDaemon(true);
-            return t;
-        });
+        threads =
+                Executors.newCachedThreadPool(
+                        r -> {
+                            Thread t = new Thread(r);
+                            t.setDaemon(true);
+                            return t;
+                        });
         backend = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
-        threads.submit(() -> {
-            while (true) {
-                Socket s = backend.accept();
-                threads.submit(() -> answer(s));
-            }
-        });
-        Map<String, Object> host = Map.of("host", "b", "dial", "127.0.0.1:" + backend.getLocalPort(), "health", "up");
-        serve = new Serve(Config.of(Map.of("name", "fuzz", "listen", "127.0.0.1:0", "seed", "1",
-                "limits", Map.of("sockets", 300, "memory_mb", 64),
-                "known", Map.of("seq", 1, "whole", true, "hosts", List.of(host)),
-                "settings", Map.of("profiles", List.of(Map.of("name", "live", "effect", "read_like",
-                        "clientTimeoutMs", 3000, "setupGoalMs", 2000)), "tenants", List.of(Map.of("name", "acme")),
-                        "limits", Map.of("probes", true, "mostSetups", 2)))), null);
+        threads.submit(
+                () -> {
+                    while (true) {
+                        Socket s = backend.accept();
+                        threads.submit(() -> answer(s));
+                    }
+                });
+        Map<String, Object> host =
+                Map.of("host", "b", "dial", "127.0.0.1:" + backend.getLocalPort(), "health", "up");
+        serve =
+                new Serve(
+                        Config.of(
+                                Map.of(
+                                        "name",
+                                        "fuzz",
+                                        "listen",
+                                        "127.0.0.1:0",
+                                        "seed",
+                                        "1",
+                                        "limits",
+                                        Map.of("sockets", 300, "memory_mb", 64),
+                                        "known",
+                                        Map.of("seq", 1, "whole", true, "hosts", List.of(host)),
+                                        "settings",
+                                        Map.of(
+                                                "profiles",
+                                                List.of(
+                                                        Map.of(
+                                                                "name",
+                                                                "live",
+                                                                "effect",
+                                                                "read_like",
+                                                                "clientTimeoutMs",
+                                                                3000,
+                                                                "setupGoalMs",
+                                                                2000)),
+                                                "tenants",
+                                                List.of(Map.of("name", "acme")),
+                                                "limits",
+                                                Map.of("probes", true, "mostSetups", 2)))),
+                        null);
         serve.open();
     }
 
     private static Void answer(Socket s) throws IOException {
         try (s) {
-            BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.ISO_8859_1));
+            BufferedReader in =
+                    new BufferedReader(
+                            new InputStreamReader(s.getInputStream(), StandardCharsets.ISO_8859_1));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.startsWith("OPEN")) {
                     REACHED.add(line.split(" ", -1)[1]);
                 }
-                s.getOutputStream().write((line.equals("STATS") ? "PONG x0=0.01\r\n" : "UP r1\r\n")
-                        .getBytes(StandardCharsets.ISO_8859_1));
+                s.getOutputStream()
+                        .write(
+                                (line.equals("STATS") ? "PONG x0=0.01\r\n" : "UP r1\r\n")
+                                        .getBytes(StandardCharsets.ISO_8859_1));
             }
         }
         return null;
@@ -92,7 +128,8 @@
 
     @AfterContainer
     static void nothingIsLeft() throws Exception {
-        // Two of the sockets are the questions for load; all tunnels and newcomers must be gone within their times.
+        // Two of the sockets are the questions for load; all tunnels and newcomers must be gone
+        // within their times.
         long left = Long.MAX_VALUE;
         for (int i = 0; i < 100 && left > 2; i++) {
             Thread.sleep(50);
@@ -111,7 +148,8 @@
         QUIET.setLevel(null);
     }
 
-    private static long now(java.util.function.ToLongFunction<asterpulley.net.Book> what) throws Exception {
+    private static long now(java.util.function.ToLongFunction<asterpulley.net.Book> what)
+            throws Exception {
         CompletableFuture<Long> got = new CompletableFuture<>();
         serve.counted(book -> got.complete(what.applyAsLong(book)));
         return got.get(20, TimeUnit.SECONDS);
@@ -124,35 +162,117 @@
 
     @Provide
     Arbitrary<Sent> openings() {
-        Arbitrary<String> key = Arbitraries.strings().withChars("0123456789abcdefABCDEF").ofMinLength(1).ofMaxLength(32);
+        Arbitrary<String> key =
+                Arbitraries.strings()
+                        .withChars("0123456789abcdefABCDEF")
+                        .ofMinLength(1)
+                        .ofMaxLength(32);
         Arbitrary<Integer> wait = Arbitraries.integers().between(500, 3000);
-        Arbitrary<String> extra = Arbitraries.of("", ",g=5c", ",r=1", ",again=1", ",h=0.3,x=y", ",note=a=b");
-        Arbitrary<Sent> good = Combinators.combine(key, wait, extra)
-                .as((k, d, x) -> new Sent("OPEN %s " + k + " c=live,t=acme,d=" + d + x + "\r\n", true));
-        Arbitrary<String> wrongPairs = Arbitraries.of("c=live,t=acme", "c=live,d=0", "c=live,d=-5", "c=live,d=5.5", "c=live,d=",
-                "c=live,d=99999999999", "c=live,d=1e3", "c=,d=500", "c=none,d=500", "d=500", "c=live,t=other,d=500",
-                "c=live,d=500,d=600", "c=live,c=live,d=500", "c=live,,d=500", "=live,d=500", "c=live,d=500,", "c=live d=500",
-                "c=live,at=,d=500", "c=live,d=500,g", "c=live,d=500\t", "c=live,d=\u0000500", "c=live,d=+500", "c=live,d=0500");
-        Arbitrary<Sent> wrong = Combinators.combine(key, wrongPairs)
-                .as((k, p) -> new Sent("OPEN %s " + k + " " + p + "\r\n", false));
-        Arbitrary<Sent> words = Combinators.combine(Arbitraries.of("open", "OPEN ", " OPEN", "OPENED", "GET", "MOVE", "UP", "",
-                "STATS", "PONG", "BUSY", "OPEN\t"), key).as((w, k) -> new Sent(w + " %s " + k + " c=live,d=500\r\n", false));
-        Arbitrary<Sent> marks = Combinators.combine(Arbitraries.strings().ofMinLength(1).ofMaxLength(40)
-                .withChars("ghij-_.:/\u00e9 \t"), Arbitraries.of(true, false)).as((m, first) -> new Sent(first
-                ? "OPEN " + m + "%s a c=live,d=500\r\n" : "OPEN %s " + m + " c=live,d=500\r\n", false));
-        Arbitrary<Sent> ends = Arbitraries.of("OPEN %s a c=live,d=500\n", "OPEN %s a c=live,d=500\r\nOPEN",
-                "OPEN %s a c=live,d=500\r\nm 1\r\n", "OPEN %s a c=live,d=500", "OPEN %s a", "OPEN %s a c=live,d=500\r",
-                "OPEN %s a c=live,d=500\r\r\n").map(t -> new Sent(t, false));
-        Arbitrary<Sent> longs = Arbitraries.integers().between(4097, 20_000)
-                .map(n -> new Sent("OPEN %s a c=live,d=500,g=" + "x".repeat(n) + "\r\n", false));
-        Arbitrary<Sent> noise = Arbitraries.strings().withCharRange('\u0000', '\u00ff').ofMinLength(1).ofMaxLength(300)
-                .filter(s -> !s.startsWith("PING")).map(s -> new Sent(s.replace("%", "") + "\r\n", false));
-        return Arbitraries.frequencyOf(net.jqwik.api.Tuple.of(3, good), net.jqwik.api.Tuple.of(4, wrong),
-                net.jqwik.api.Tuple.of(2, words), net.jqwik.api.Tuple.of(2, marks), net.jqwik.api.Tuple.of(2, ends),
-                net.jqwik.api.Tuple.of(1, longs), net.jqwik.api.Tuple.of(3, noise));
+        Arbitrary<String> extra =
+                Arbitraries.of("", ",g=5c", ",r=1", ",again=1", ",h=0.3,x=y", ",note=a=b");
+        Arbitrary<Sent> good =
+                Combinators.combine(key, wait, extra)
+                        .as(
+                                (k, d, x) ->
+                                        new Sent(
+                                                "OPEN %s "
+                                                        + k
+                                                        + " c=live,t=acme,d="
+                                                        + d
+                                                        + x
+                                                        + "\r\n",
+                                                true));
+        Arbitrary<String> wrongPairs =
+                Arbitraries.of(
+                        "c=live,t=acme",
+                        "c=live,d=0",
+                        "c=live,d=-5",
+                        "c=live,d=5.5",
+                        "c=live,d=",
+                        "c=live,d=99999999999",
+                        "c=live,d=1e3",
+                        "c=,d=500",
+                        "c=none,d=500",
+                        "d=500",
+                        "c=live,t=other,d=500",
+                        "c=live,d=500,d=600",
+                        "c=live,c=live,d=500",
+                        "c=live,,d=500",
+                        "=live,d=500",
+                        "c=live,d=500,",
+                        "c=live d=500",
+                        "c=live,at=,d=500",
+                        "c=live,d=500,g",
+                        "c=live,d=500\t",
+                        "c=live,d=\u0000500",
+                        "c=live,d=+500",
+                        "c=live,d=0500");
+        Arbitrary<Sent> wrong =
+                Combinators.combine(key, wrongPairs)
+                        .as((k, p) -> new Sent("OPEN %s " + k + " " + p + "\r\n", false));
+        Arbitrary<Sent> words =
+                Combinators.combine(
+                                Arbitraries.of(
+                                        "open", "OPEN ", " OPEN", "OPENED", "GET", "MOVE", "UP", "",
+                                        "STATS", "PONG", "BUSY", "OPEN\t"),
+                                key)
+                        .as((w, k) -> new Sent(w + " %s " + k + " c=live,d=500\r\n", false));
+        Arbitrary<Sent> marks =
+                Combinators.combine(
+                                Arbitraries.strings()
+                                        .ofMinLength(1)
+                                        .ofMaxLength(40)
+                                        .withChars("ghij-_.:/\u00e9 \t"),
+                                Arbitraries.of(true, false))
+                        .as(
+                                (m, first) ->
+                                        new Sent(
+                                                first
+                                                        ? "OPEN " + m + "%s a c=live,d=500\r\n"
+                                                        : "OPEN %s " + m + " c=live,d=500\r\n",
+                                                false));
+        Arbitrary<Sent> ends =
+                Arbitraries.of(
+                                "OPEN %s a c=live,d=500\n",
+                                "OPEN %s a c=live,d=500\r\nOPEN",
+                                "OPEN %s a c=live,d=500\r\nm 1\r\n",
+                                "OPEN %s a c=live,d=500",
+                                "OPEN %s a",
+                                "OPEN %s a c=live,d=500\r",
+                                "OPEN %s a c=live,d=500\r\r\n")
+                        .map(t -> new Sent(t, false));
+        Arbitrary<Sent> longs =
+                Arbitraries.integers()
+                        .between(4097, 20_000)
+                        .map(
+                                n ->
+                                        new Sent(
+                                                "OPEN %s a c=live,d=500,g="
+                                                        + "x".repeat(n)
+                                                        + "\r\n",
+                                                false));
+        Arbitrary<Sent> noise =
+                Arbitraries.strings()
+                        .withCharRange('\u0000', '\u00ff')
+                        .ofMinLength(1)
+                        .ofMaxLength(300)
+                        .filter(s -> !s.startsWith("PING"))
+                        .map(s -> new Sent(s.replace("%", "") + "\r\n", false));
+        return Arbitraries.frequencyOf(
+                net.jqwik.api.Tuple.of(3, good),
+                net.jqwik.api.Tuple.of(4, wrong),
+                net.jqwik.api.Tuple.of(2, words),
+                net.jqwik.api.Tuple.of(2, marks),
+                net.jqwik.api.Tuple.of(2, ends),
+                net.jqwik.api.Tuple.of(1, longs),
+                net.jqwik.api.Tuple.of(3, noise));
     }
 
-    @Property(tries = 10_000, seed = "41", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
+    @Property(
+            tries = 10_000,
+            seed = "41",
+            edgeCases = EdgeCasesMode.NONE,
+            shrinking = ShrinkingMode.OFF)
     void onlyOpeningsToTheLetterReachABackend(@ForAll("openings") Sent sent) throws Exception {
         if (++tries == 500) {
             heapAtFirst = heap();
@@ -163,12 +283,20 @@
             s.setSoTimeout(10_000);
             boolean whole = true;
             try {
-                s.getOutputStream().write(sent.text.replace("%s", id).getBytes(StandardCharsets.ISO_8859_1));
+                s.getOutputStream()
+                        .write(sent.text.replace("%s", id).getBytes(StandardCharsets.ISO_8859_1));
                 whole = sent.text.indexOf('\n') >= 0;
-                String answer = whole ? new BufferedReader(new InputStreamReader(s.getInputStream(), Words.BYTES)).readLine()
-                        : null;
+                String answer =
+                        whole
+                                ? new BufferedReader(
+                                                new InputStreamReader(
+                                                        s.getInputStream(), Words.BYTES))
+                                        .readLine()
+                                : null;
                 if (sent.good) {
-                    assertTrue(answer != null && (answer.equals("UP r1") || answer.startsWith("BUSY")), answer);
+                    assertTrue(
+                            answer != null && (answer.equals("UP r1") || answer.startsWith("BUSY")),
+                            answer);
                 } else if (whole) {
                     assertTrue(answer == null || answer.equals(Words.ERR), answer);
                 }
--- a/relay/src/test/java/asterpulley/serve/KeptTest.java
+++ b/relay/src/test/java/asterpulley/serve/KeptTest.java
@@ -18,8 +18,7 @@
 
 /** The files by which processes of one relay know of each other, whole, cut, foreign and gone. */
 class KeptTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private Path file(String kind) {
         return folder.resolve("asterpulley-n1." + kind);
--- a/relay/src/test/java/asterpulley/serve/LeavingTest.java
+++ b/relay/src/test/java/asterpulley/serve/LeavingTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A relay that is told to end, and what meets that: lines in part, connections not yet accepted, backends that hang. */
+/**
+ * A relay that is told to end, and what meets that: lines in part, connections not yet accepted,
+ * backends that hang.
+ */
 @Timeout(60)
 class LeavingTest extends RelayStage {
 
@@ -24,10 +27,11 @@
         CompletableFuture<Void> left = new CompletableFuture<>();
         serve.end();
         await("leaving", 1);
-        background(() -> {
-            serve.await();
-            left.complete(null);
-        });
+        background(
+                () -> {
+                    serve.await();
+                    left.complete(null);
+                });
         return left;
     }
 
@@ -41,7 +45,10 @@
         CompletableFuture<Void> left = leaves();
         for (String part : "d,=,2,0,0".split(",")) {
             client.say(part);
-            assertThrows(TimeoutException.class, () -> left.get(250, TimeUnit.MILLISECONDS), "half a line is still here");
+            assertThrows(
+                    TimeoutException.class,
+                    () -> left.get(250, TimeUnit.MILLISECONDS),
+                    "half a line is still here");
         }
         client.say("0\r\n");
         b.opens();
@@ -59,7 +66,8 @@
         start(b.entry("s1", "up"));
         CompletableFuture<Void> left = leaves();
         Runnable on = pause();
-        // The relay is alone for long enough to go, and in that very turn somebody waits in the system's queue.
+        // The relay is alone for long enough to go, and in that very turn somebody waits in the
+        // system's queue.
         Thread.sleep(800);
         End client = client("chat", 2000);
         on.run();
@@ -67,12 +75,18 @@
         assertTrue(client.in.available() > 0, "answered before it has left");
         assertEquals("UP r1", client.line());
         assertEquals("MOVE", client.line());
-        assertThrows(java.net.ConnectException.class, this::connect, "refused, not taken and dropped");
+        assertThrows(
+                java.net.ConnectException.class, this::connect, "refused, not taken and dropped");
     }
 
     @Test
     void whoNeverFinishesItsLineIsToldToComeBack() throws Exception {
-        start(config(told -> told.replace("\"clientTimeoutMs\":3000", "\"clientTimeoutMs\":1000"), 1000));
+        start(
+                config(
+                        told ->
+                                told.replace(
+                                        "\"clientTimeoutMs\":3000", "\"clientTimeoutMs\":1000"),
+                        1000));
         End silent = connect();
         End asked = connect();
         asked.say("PING\r\n");
@@ -84,12 +98,13 @@
         half.say("OPEN 1 7f3a c=chat");
         await("accepted", 3);
         CompletableFuture<Void> left = leaves();
-        background(() -> {
-            while (true) {
-                Thread.sleep(100);
-                half.say("t");
-            }
-        });
+        background(
+                () -> {
+                    while (true) {
+                        Thread.sleep(100);
+                        half.say("t");
+                    }
+                });
         assertEquals("BUSY", half.line());
         left.get(20, TimeUnit.SECONDS);
         assertEquals(1, counted("turned_away"));
@@ -98,9 +113,14 @@
     @Test
     void whileAllBackendsHangEachIsAnsweredOnceBeforeTheEnd() throws Exception {
         Backend hangs = new Backend();
-        start(config(told -> told.replace("\"clientTimeoutMs\":3000", "\"clientTimeoutMs\":9000")
-                .replace("\"setupGoalMs\":2000", "\"setupGoalMs\":9000").replace("\"mostSetups\":4", "\"mostSetups\":1"), 1000,
-                hangs.entry("s1", "up")));
+        start(
+                config(
+                        told ->
+                                told.replace("\"clientTimeoutMs\":3000", "\"clientTimeoutMs\":9000")
+                                        .replace("\"setupGoalMs\":2000", "\"setupGoalMs\":9000")
+                                        .replace("\"mostSetups\":4", "\"mostSetups\":1"),
+                        1000,
+                        hangs.entry("s1", "up")));
         End repeatable = client("chat", 9000);
         hangs.taken();
         End once = client("pay", 9000);
@@ -130,10 +150,13 @@
         Process process = process(pipe, log).start();
         open.add(process::destroyForcibly);
         String told = Files.readString(folder.resolve("config.json"));
-        // Whoever writes to the pipe is held until the relay reads its configuration, and the relay until all is written.
+        // Whoever writes to the pipe is held until the relay reads its configuration, and the relay
+        // until all is written.
         try (var out = Files.newOutputStream(pipe)) {
             new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
-            assertFalse(process.waitFor(300, TimeUnit.MILLISECONDS), "a signal in the middle of the start ends nothing");
+            assertFalse(
+                    process.waitFor(300, TimeUnit.MILLISECONDS),
+                    "a signal in the middle of the start ends nothing");
             // What it reads anew is a file.
             Files.move(folder.resolve("config.json"), pipe, StandardCopyOption.REPLACE_EXISTING);
             out.write(told.getBytes());
--- a/relay/src/test/java/asterpulley/serve/LeftTest.java
+++ b/relay/src/test/java/asterpulley/serve/LeftTest.java
@@ -12,14 +12,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A client that leaves while it waits: nothing is sent on for it from then on, by whichever way it waited. */
+/**
+ * A client that leaves while it waits: nothing is sent on for it from then on, by whichever way it
+ * waited.
+ */
 @Timeout(60)
 class LeftTest extends RelayStage {
     /** Long enough for a connection that comes up with the kernel's second try. */
     private Config slow(String... entries) throws Exception {
-        return config(told -> told.replace("\"setupGoalMs\":2000", "\"setupGoalMs\":3600")
-                .replace("\"clientTimeoutMs\":3000", "\"clientTimeoutMs\":9000")
-                .replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":5000"), 1000, entries);
+        return config(
+                told ->
+                        told.replace("\"setupGoalMs\":2000", "\"setupGoalMs\":3600")
+                                .replace("\"clientTimeoutMs\":3000", "\"clientTimeoutMs\":9000")
+                                .replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":5000"),
+                1000,
+                entries);
     }
 
     @Test
@@ -34,7 +41,8 @@
         await("list_calls", 2);
         int shares = 12;
         List<End> leavers = new ArrayList<>();
-        // Window on setups: so many are out at once at the most, the others wait in the module's queue.
+        // Window on setups: so many are out at once at the most, the others wait in the module's
+        // queue.
         for (int i = 0; i < shares; i++) {
             leavers.add(client(i % 2 == 0 ? "chat" : "pay", 9000));
         }
@@ -52,13 +60,17 @@
             }
         }
         await("left_before_answer", shares);
-        assertEquals(List.of(), gate.said().stream().filter(line -> line.startsWith("OPEN")).toList());
+        assertEquals(
+                List.of(), gate.said().stream().filter(line -> line.startsWith("OPEN")).toList());
         assertEquals(1, counted("setups_written"), "sent on after their client left, of " + shares);
         for (int i = 0; i < shares; i += 3) {
             String answer = leavers.get(i).line();
-            assertTrue(answer.startsWith("BUSY"), "nothing was sent on, so trying again is harmless: " + answer);
+            assertTrue(
+                    answer.startsWith("BUSY"),
+                    "nothing was sent on, so trying again is harmless: " + answer);
         }
-        assertEquals(0, counted("setup_no_connection"), "no backend is blamed for a client that left");
+        assertEquals(
+                0, counted("setup_no_connection"), "no backend is blamed for a client that left");
     }
 
     @Test
@@ -66,9 +78,19 @@
         Backend b = new Backend();
         for (int i = 0; i < 6; i++) {
             Gate gate = new Gate();
-            start(config(told -> told.replace("\"setupGoalMs\":2000", "\"setupGoalMs\":3600").replace("\"probes\":true",
-                    "\"probes\":false").replace("\"clientTimeoutMs\":3000", "\"clientTimeoutMs\":9000")
-                    .replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":5000"), 1000, gate.in(b, "s1")));
+            start(
+                    config(
+                            told ->
+                                    told.replace("\"setupGoalMs\":2000", "\"setupGoalMs\":3600")
+                                            .replace("\"probes\":true", "\"probes\":false")
+                                            .replace(
+                                                    "\"clientTimeoutMs\":3000",
+                                                    "\"clientTimeoutMs\":9000")
+                                            .replace(
+                                                    "\"dialTimeoutMs\":1000",
+                                                    "\"dialTimeoutMs\":5000"),
+                            1000,
+                            gate.in(b, "s1")));
             End client = client("chat", 9000);
             await("setups", 1);
             Runnable on = pause();
@@ -194,13 +216,15 @@
     }
 
     private String noProbes(String told) {
-        return told.replace("\"probes\":true", "\"probes\":false").replace("\"setupGoalMs\":2000", "\"setupGoalMs\":3600")
+        return told.replace("\"probes\":true", "\"probes\":false")
+                .replace("\"setupGoalMs\":2000", "\"setupGoalMs\":3600")
                 .replace("\"clientTimeoutMs\":3000", "\"clientTimeoutMs\":9000")
                 .replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":5000");
     }
 
     @Test
-    void afterAnyEndOfItsFirstSetupNoFurtherOneIsWrittenForWhoLeftAsItsConnectionCameUp() throws Exception {
+    void afterAnyEndOfItsFirstSetupNoFurtherOneIsWrittenForWhoLeftAsItsConnectionCameUp()
+            throws Exception {
         Backend b = new Backend();
         Gate gate = new Gate(8);
         start(config(this::noProbes, 1000, b.entry("s1", "up"), b.entry("s2", "up")));
@@ -238,7 +262,13 @@
     void anEndOfASetupThatMeetsItsClientsEndInOneTurnIsTheLast() throws Exception {
         for (String word : List.of("BUSY\r\n", "ERR\r\n", "")) {
             Backend b = new Backend();
-            start(config(this::noProbes, 1000, b.entry("s1", "up"), b.entry("s2", "up"), b.entry("s3", "up")));
+            start(
+                    config(
+                            this::noProbes,
+                            1000,
+                            b.entry("s1", "up"),
+                            b.entry("s2", "up"),
+                            b.entry("s3", "up")));
             List<End> clients = new ArrayList<>();
             List<End> setups = new ArrayList<>();
             for (Leaves way : Leaves.values()) {
@@ -255,7 +285,10 @@
             }
             on.run();
             awaitHeld(0);
-            assertEquals(4, counted("setups_written"), "the first ones, ended by '" + word.strip() + "'");
+            assertEquals(
+                    4,
+                    counted("setups_written"),
+                    "the first ones, ended by '" + word.strip() + "'");
             assertTrue(b.tunnels.isEmpty());
         }
     }
@@ -321,8 +354,14 @@
     @Test
     void aSetupWhosePatienceEndsInTheTurnInWhichItsClientLeftIsTheLast() throws Exception {
         Backend b = new Backend();
-        start(config(told -> told.replace("\"probes\":true", "\"probes\":false").replace("\"setupGoalMs\":2000",
-                "\"setupGoalMs\":800"), 1000, b.entry("s1", "up"), b.entry("s2", "up")));
+        start(
+                config(
+                        told ->
+                                told.replace("\"probes\":true", "\"probes\":false")
+                                        .replace("\"setupGoalMs\":2000", "\"setupGoalMs\":800"),
+                        1000,
+                        b.entry("s1", "up"),
+                        b.entry("s2", "up")));
         List<End> clients = new ArrayList<>();
         for (Leaves way : Leaves.values()) {
             clients.add(client("chat", 3000));
--- a/relay/src/test/java/asterpulley/serve/ListTest.java
+++ b/relay/src/test/java/asterpulley/serve/ListTest.java
@@ -8,10 +8,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The watch on the list, and what meets it: silence, refusals, a move while a call is under way, a start. */
+/**
+ * The watch on the list, and what meets it: silence, refusals, a move while a call is under way, a
+ * start.
+ */
 @Timeout(60)
 class ListTest extends RelayStage {
-    private static final String REFUSED = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+    private static final String REFUSED =
+            "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
     @Test
     void aWatchThatFellSilentIsOpenedAnewBeforeWhatItMissedCountsAsTold() throws Exception {
@@ -24,13 +28,19 @@
         registry.answers.add("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n");
         String again = registry.calls.poll(20, TimeUnit.SECONDS);
         double silent = (System.nanoTime() - since) / 1e9;
-        assertEquals("/registry/instances?index=41&wait=1", again, "it goes on from what it was told, and asks at once");
-        assertTrue(silent > 10 && silent < 11.4, "the wait is 10 s, and what was missed counts from 12 s on: " + silent);
+        assertEquals(
+                "/registry/instances?index=41&wait=1",
+                again,
+                "it goes on from what it was told, and asks at once");
+        assertTrue(
+                silent > 10 && silent < 11.4,
+                "the wait is 10 s, and what was missed counts from 12 s on: " + silent);
         assertEquals(1, counted("list_failures"));
     }
 
     @Test
-    void aSilentAnswerAfterAMoveIsAskedForAgainWithinTheFourSecondsInWhichItCounts() throws Exception {
+    void aSilentAnswerAfterAMoveIsAskedForAgainWithinTheFourSecondsInWhichItCounts()
+            throws Exception {
         Backend one = new Backend();
         start(one.entry("s1", "up"));
         registry.calls.take();
@@ -53,7 +63,10 @@
         assertEquals("/registry/instances?index=42&wait=10000", registry.calls.take());
         // An empty answer, and the end.
         registry.answers.add("");
-        assertEquals("/registry/instances?index=42&wait=10000", registry.calls.take(), "it goes on as it was");
+        assertEquals(
+                "/registry/instances?index=42&wait=10000",
+                registry.calls.take(),
+                "it goes on as it was");
         assertEquals(0, counted("list_failures"));
         // On a new connection that says something of the service.
         registry.answers.add("");
@@ -76,7 +89,8 @@
         serve.changeTo(old);
         on.run();
         assertEquals("/registry/instances", first.calls.take());
-        // The call that was given up has an answer coming too, and which of the two takes which is the stage's chance.
+        // The call that was given up has an answer coming too, and which of the two takes which is
+        // the stage's chance.
         first.tells(7, true, two.entry("s2", "up"));
         first.tells(7, true, two.entry("s2", "up"));
         assertEquals("/registry/instances?index=7&wait=10000", first.calls.take());
@@ -92,16 +106,21 @@
     void whereTheListIsPushedAStartWaitsForWhatCountsAsToldFromItsFirstMoment() throws Exception {
         Backend one = new Backend();
         Backend two = new Backend();
-        Config config = config(told -> told.replace("\"subscribe\"", "\"automatic\""), 1000, one.entry("s1", "up"));
+        Config config =
+                config(
+                        told -> told.replace("\"subscribe\"", "\"automatic\""),
+                        1000,
+                        one.entry("s1", "up"));
         CompletableFuture<Void> started = new CompletableFuture<>();
-        background(() -> {
-            try {
-                start(config);
-                started.complete(null);
-            } catch (Exception e) {
-                started.completeExceptionally(e);
-            }
-        });
+        background(
+                () -> {
+                    try {
+                        start(config);
+                        started.complete(null);
+                    } catch (Exception e) {
+                        started.completeExceptionally(e);
+                    }
+                });
         assertEquals("/registry/instances?index=41&wait=1", registry.calls.take());
         assertTrue(!started.isDone(), "nobody is taken in by the old list");
         registry.tells(42, one.entry("s1", "draining"), two.entry("s2", "up"));
@@ -110,7 +129,8 @@
         two.opens();
         assertEquals("UP r1", client.line());
         assertTrue(one.tunnels.isEmpty());
-        // Refused again and again, it asks often enough to hear within the grace of what is pushed at the return.
+        // Refused again and again, it asks often enough to hear within the grace of what is pushed
+        // at the return.
         registry.calls.clear();
         for (int i = 0; i < 6; i++) {
             registry.answers.add(REFUSED);
--- a/relay/src/test/java/asterpulley/serve/OperatorsTest.java
+++ b/relay/src/test/java/asterpulley/serve/OperatorsTest.java
@@ -7,11 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
-import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -39,12 +36,20 @@
         }
 
         long figure(String name) {
-            return text.lines().filter(line -> line.startsWith(name + " ")).findFirst()
-                    .map(line -> Long.parseLong(line.substring(name.length() + 1))).orElseThrow(() -> new AssertionError(name));
+            return text.lines()
+                    .filter(line -> line.startsWith(name + " "))
+                    .findFirst()
+                    .map(line -> Long.parseLong(line.substring(name.length() + 1)))
+                    .orElseThrow(() -> new AssertionError(name));
         }
 
         long answers(String lane, String result) {
-            return figure("relay_downstream_requests_total{lane=\"" + lane + "\",result=\"" + result + "\"}");
+            return figure(
+                    "relay_downstream_requests_total{lane=\""
+                            + lane
+                            + "\",result=\""
+                            + result
+                            + "\"}");
         }
     }
 
@@ -60,7 +65,10 @@
     private void startWithDoor(Path kept, String... entries) throws IOException {
         config(1000, entries);
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Files.readString(file).replace("\"seed\"", "\"operator\":\"127.0.0.1:0\",\"seed\""));
+        Files.writeString(
+                file,
+                Files.readString(file)
+                        .replace("\"seed\"", "\"operator\":\"127.0.0.1:0\",\"seed\""));
         serve = new Serve(Config.read(file), kept);
         open.add(serve::kill);
         registry.tells(41);
@@ -75,7 +83,11 @@
 
     private Said call(String method, String path) throws IOException {
         End end = door();
-        end.say(method + " /admin/" + path + " HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n");
+        end.say(
+                method
+                        + " /admin/"
+                        + path
+                        + " HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n");
         return Said.read(end);
     }
 
@@ -111,24 +123,51 @@
         Backend b = new Backend();
         startWithDoor(b.entry("s1", "up"));
         until("health", 200);
-        for (String yes : List.of("cordon/s1", "cordon/s1", "uncordon/s1", "uncordon/s1", "cordon/s%31", "uncordon/s1", "resume",
-                "quiesce", "quiesce", "resume")) {
+        for (String yes :
+                List.of(
+                        "cordon/s1",
+                        "cordon/s1",
+                        "uncordon/s1",
+                        "uncordon/s1",
+                        "cordon/s%31",
+                        "uncordon/s1",
+                        "resume",
+                        "quiesce",
+                        "quiesce",
+                        "resume")) {
             assertEquals(200, call("POST", yes).status, yes);
         }
         assertEquals(200, stats().status);
-        for (String no : List.of("GET nothing 404", "GET health/ 404", "POST cordon/nobody 404", "POST cordon/ 404",
-                "POST cordon/s%3 400", "POST uncordon/nobody 404", "GET quiesce 405", "GET cordon/s1 405", "POST stats 405",
-                "DELETE health 405", "HEAD health 405")) {
+        for (String no :
+                List.of(
+                        "GET nothing 404",
+                        "GET health/ 404",
+                        "POST cordon/nobody 404",
+                        "POST cordon/ 404",
+                        "POST cordon/s%3 400",
+                        "POST uncordon/nobody 404",
+                        "GET quiesce 405",
+                        "GET cordon/s1 405",
+                        "POST stats 405",
+                        "DELETE health 405",
+                        "HEAD health 405")) {
             String[] w = no.split(" ");
             Said said = call(w[0], w[1]);
             assertEquals(Integer.parseInt(w[2]), said.status, no);
-            assertTrue(said.text.endsWith("\n") && said.text.lines().count() == 1 || w[0].equals("HEAD"), no + ": " + said.text);
+            assertTrue(
+                    said.text.endsWith("\n") && said.text.lines().count() == 1
+                            || w[0].equals("HEAD"),
+                    no + ": " + said.text);
         }
-        for (String unreadable : List.of("GET /admin/health HTTP/1.1\r\n\r\n",
-                "GET /admin/health HTTP/1.1\r\nHost: d\r\nX: " + "y".repeat(9000) + "\r\n\r\n",
-                "POST /admin/quiesce HTTP/1.1\r\nHost: d\r\nContent-Length: 60000000\r\n\r\nx",
-                "POST /admin/quiesce HTTP/1.1\r\nHost: d\r\nContent-Length: -5\r\n\r\n",
-                "POST /admin/quiesce HTTP/1.1\r\nHost: d\r\nContent-Length: many\r\n\r\n")) {
+        for (String unreadable :
+                List.of(
+                        "GET /admin/health HTTP/1.1\r\n\r\n",
+                        "GET /admin/health HTTP/1.1\r\nHost: d\r\nX: "
+                                + "y".repeat(9000)
+                                + "\r\n\r\n",
+                        "POST /admin/quiesce HTTP/1.1\r\nHost: d\r\nContent-Length: 60000000\r\n\r\nx",
+                        "POST /admin/quiesce HTTP/1.1\r\nHost: d\r\nContent-Length: -5\r\n\r\n",
+                        "POST /admin/quiesce HTTP/1.1\r\nHost: d\r\nContent-Length: many\r\n\r\n")) {
             End end = door();
             end.say(unreadable);
             Said said = Said.read(end);
@@ -142,16 +181,22 @@
     void aCallByteByByteIsOneCallAndOfTwoOnAConnectionOneIsAnswered() throws Exception {
         startWithDoor(new Backend().entry("s1", "up"));
         End slow = door();
-        for (char c : "POST /admin/cordon/s1 HTTP/1.1\r\nHost: door\r\nContent-Length: 2\r\n\r\n!".toCharArray()) {
+        for (char c :
+                "POST /admin/cordon/s1 HTTP/1.1\r\nHost: door\r\nContent-Length: 2\r\n\r\n!"
+                        .toCharArray()) {
             slow.say(String.valueOf(c));
             Thread.sleep(2);
         }
-        assertEquals(0, stats().figure("relay_members_unavailable"), "a call that is not whole is not acted on");
+        assertEquals(
+                0,
+                stats().figure("relay_members_unavailable"),
+                "a call that is not whole is not acted on");
         slow.say("!");
         assertEquals(200, Said.read(slow).status);
         assertEquals(1, stats().figure("relay_members_unavailable"));
         End twice = door();
-        twice.say("POST /admin/uncordon/s1 HTTP/1.1\r\nHost: d\r\n\r\nPOST /admin/quiesce HTTP/1.1\r\nHost: d\r\n\r\n");
+        twice.say(
+                "POST /admin/uncordon/s1 HTTP/1.1\r\nHost: d\r\n\r\nPOST /admin/quiesce HTTP/1.1\r\nHost: d\r\n\r\n");
         Said one = Said.read(twice);
         assertEquals(200, one.status);
         assertFalse(one.text.contains("HTTP/1.1"), one.text);
@@ -184,31 +229,42 @@
     @Test
     void theDoorAnswersWellWithinASecondAtFullLoad() throws Exception {
         Backend b = new Backend();
-        background(() -> {
-            while (true) {
-                End end = b.opens();
-                background(() -> {
-                    end.line();
-                    end.close();
+        background(
+                () -> {
+                    while (true) {
+                        End end = b.opens();
+                        background(
+                                () -> {
+                                    end.line();
+                                    end.close();
+                                });
+                    }
                 });
-            }
-        });
         startWithDoor(b.entry("s1", "up"));
         AtomicBoolean over = new AtomicBoolean();
         AtomicInteger ids = new AtomicInteger(), answered = new AtomicInteger();
         List<Thread> load = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            load.add(new Thread(() -> {
-                while (!over.get()) {
-                    try (End end = new End(new Socket(serve.address().getAddress(), serve.address().getPort()))) {
-                        end.say("OPEN " + Integer.toHexString(ids.incrementAndGet()) + " 7f3a c=chat,t=acme,d=2000\r\n");
-                        end.line();
-                        answered.incrementAndGet();
-                    } catch (IOException e) {
-                        over.set(true);
-                    }
-                }
-            }));
+            load.add(
+                    new Thread(
+                            () -> {
+                                while (!over.get()) {
+                                    try (End end =
+                                            new End(
+                                                    new Socket(
+                                                            serve.address().getAddress(),
+                                                            serve.address().getPort()))) {
+                                        end.say(
+                                                "OPEN "
+                                                        + Integer.toHexString(ids.incrementAndGet())
+                                                        + " 7f3a c=chat,t=acme,d=2000\r\n");
+                                        end.line();
+                                        answered.incrementAndGet();
+                                    } catch (IOException e) {
+                                        over.set(true);
+                                    }
+                                }
+                            }));
         }
         load.forEach(Thread::start);
         double[] took = new double[300];
@@ -225,8 +281,11 @@
             one.join();
         }
         Arrays.sort(took);
-        Logger.getLogger("test").info(String.format("door beside %d tunnels: p50 %.1f ms, p99 %.1f ms, largest %.1f ms",
-                answered.get(), took[150] * 1e3, took[296] * 1e3, took[299] * 1e3));
+        Logger.getLogger("test")
+                .info(
+                        String.format(
+                                "door beside %d tunnels: p50 %.1f ms, p99 %.1f ms, largest %.1f ms",
+                                answered.get(), took[150] * 1e3, took[296] * 1e3, took[299] * 1e3));
         assertTrue(answered.get() > 300 && took[299] < 1, "largest " + took[299]);
     }
 
@@ -239,7 +298,8 @@
         for (int i = 0; i < 12; i++) {
             opened(b);
         }
-        // It may have run, and must not twice: closed with error. Refused by its backend, the only one: declined.
+        // It may have run, and must not twice: closed with error. Refused by its backend, the only
+        // one: declined.
         End failed = client("pay", 2000);
         b.taken().say("ERR\r\n");
         assertEquals("ERR", failed.line());
@@ -247,7 +307,8 @@
         End halfway = b.taken();
         abandoned.reset();
         assertNull(halfway.line());
-        // A repeat after a connection that is refused, and one that broke after it was sent, which is safe for this profile.
+        // A repeat after a connection that is refused, and one that broke after it was sent, which
+        // is safe for this profile.
         End again = client("chat", 2000);
         b.taken().reset();
         assertTrue(again.line().startsWith("BUSY"), "nobody else is there to try");
@@ -267,7 +328,10 @@
         assertEquals(0, said.figure("relay_config_reloads_total"));
         serve.reload(() -> Config.json(folder.resolve("config.json")));
         await("configurations", 1);
-        assertEquals(12, stats().answers("chat", "completed"), "counts go on through a new configuration");
+        assertEquals(
+                12,
+                stats().answers("chat", "completed"),
+                "counts go on through a new configuration");
         assertEquals(1, stats().figure("relay_config_reloads_total"));
     }
 
@@ -285,7 +349,11 @@
         int probes = one.probes;
         assertEquals(1, opened(one, two));
         registry.tells(42, true, two.entry("s2", "up"));
-        registry.tells(43, false, one.entry("s1", "up").replace("\"born_ms\":0", "\"born_ms\":" + System.currentTimeMillis()));
+        registry.tells(
+                43,
+                false,
+                one.entry("s1", "up")
+                        .replace("\"born_ms\":0", "\"born_ms\":" + System.currentTimeMillis()));
         while (counted("list_calls") < 4) {
             Thread.yield();
         }
@@ -341,7 +409,8 @@
     }
 
     @Test
-    void aSetupThatIsOutWhenItsBackendIsLeftOutKeepsItsAnswerAndAFullFolderIsANo() throws Exception {
+    void aSetupThatIsOutWhenItsBackendIsLeftOutKeepsItsAnswerAndAFullFolderIsANo()
+            throws Exception {
         Backend one = new Backend();
         Path kept = kept();
         startWithDoor(kept, one.entry("s1", "up"));
@@ -350,13 +419,17 @@
         assertEquals(200, call("POST", "cordon/s1").status);
         backend.say("UP r1\r\n");
         assertEquals("UP r1", client.line());
-        // Nothing can be written any more: what is so stays so, and a call that would change it is told.
+        // Nothing can be written any more: what is so stays so, and a call that would change it is
+        // told.
         Files.move(kept, folder.resolve("elsewhere"));
         assertEquals(200, call("POST", "cordon/s1").status, "it is so already");
         Said no = call("POST", "uncordon/s1");
         assertEquals(500, no.status, no.text);
         Thread.sleep(500);
-        assertEquals(1, stats().figure("relay_members_unavailable"), "a no changes nothing, nor does a file that is gone");
+        assertEquals(
+                1,
+                stats().figure("relay_members_unavailable"),
+                "a no changes nothing, nor does a file that is gone");
     }
 
     // ---- Sending clients away
@@ -382,7 +455,8 @@
         assertEquals(503, call("GET", "health").status);
         End late = client("chat", 2000);
         b.opens();
-        assertEquals("UP r1", late.line(), "who comes before the front has noticed is still served");
+        assertEquals(
+                "UP r1", late.line(), "who comes before the front has noticed is still served");
         await("moved", 1);
         backends.get(0).say("ne\r\n");
         assertEquals("half a line", clients.get(0).line());
@@ -426,7 +500,10 @@
                 assertTrue(line.equals("MOVE") || line.equals("still here"), line);
                 stay += line.equals("still here") ? 1 : 0;
             } catch (IOException e) {
-                assertEquals("MOVE", clients.get(i).line(), "its backend's connection ended with the move");
+                assertEquals(
+                        "MOVE",
+                        clients.get(i).line(),
+                        "its backend's connection ended with the move");
             }
         }
         assertEquals(12 - moved, stay);
@@ -457,13 +534,14 @@
         Files.writeString(kept().resolve("asterpulley-n1.serving"), other.pid() + "\n");
         CountDownLatch connected = new CountDownLatch(1);
         // The loop is held, so that nobody is accepted between the clients' connects and the end.
-        serve.counted(book -> {
-            try {
-                connected.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        serve.counted(
+                book -> {
+                    try {
+                        connected.await();
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
         List<End> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             clients.add(client("chat", 2000));
@@ -477,7 +555,9 @@
             assertEquals("UP r1", client.line());
         }
         InetSocketAddress gone = serve.address();
-        assertThrows(IOException.class, () -> new Socket(gone.getAddress(), gone.getPort()).close(),
+        assertThrows(
+                IOException.class,
+                () -> new Socket(gone.getAddress(), gone.getPort()).close(),
                 "and nobody new comes here");
     }
 
@@ -489,7 +569,9 @@
         assertEquals("PONG", front.line());
         assertEquals(0, counted("operator_calls"));
         try (var files = Files.list(folder)) {
-            assertEquals(List.of("config.json"), files.map(file -> file.getFileName().toString()).toList());
+            assertEquals(
+                    List.of("config.json"),
+                    files.map(file -> file.getFileName().toString()).toList());
         }
     }
 }
--- a/relay/src/test/java/asterpulley/serve/RelayStage.java
+++ b/relay/src/test/java/asterpulley/serve/RelayStage.java
@@ -31,12 +31,14 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The stage of tests on loopback sockets: a relay between clients, backends and a discovery that are played here. */
+/**
+ * The stage of tests on loopback sockets: a relay between clients, backends and a discovery that
+ * are played here.
+ */
 abstract class RelayStage {
     static final String OPEN = "OPEN %x 7f3a c=%s,t=acme,d=%d,g=5c0f";
     final List<AutoCloseable> open = Collections.synchronizedList(new ArrayList<>());
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     // ---- The stage
 
@@ -80,17 +82,23 @@
         }
     }
 
-    /** A backend: answers probes by itself, and hands over every connection that brings an opening. */
+    /**
+     * A backend: answers probes by itself, and hands over every connection that brings an opening.
+     */
     final class Backend {
         final ServerSocket listening;
         final BlockingQueue<End> tunnels = new LinkedBlockingQueue<>();
         final BlockingQueue<String> openings = new LinkedBlockingQueue<>();
         volatile String load = "x0=0.1,rif=1,busy=0.1";
+
         /** Ends a probe's connection at the second question on it, unanswered. */
         volatile boolean hangsUp;
+
         private final Set<End> probers = ConcurrentHashMap.newKeySet();
+
         /** Answers to probes that may go out. */
         final Semaphore asked = new Semaphore(Integer.MAX_VALUE / 2);
+
         volatile int probes;
 
         Backend() throws IOException {
@@ -130,7 +138,8 @@
 
         String entry(String host, String health) {
             return ("{\"host\":\"%s\",\"dial\":\"%s\",\"site\":\"a\",\"class\":\"m\",\"block\":0,"
-                    + "\"health\":\"%s\",\"born_ms\":0}").formatted(host, address(), health);
+                            + "\"health\":\"%s\",\"born_ms\":0}")
+                    .formatted(host, address(), health);
         }
 
         End taken() throws InterruptedException {
@@ -139,11 +148,12 @@
 
         /** Opens whatever comes, without end. */
         void opensAll() {
-            background(() -> {
-                while (true) {
-                    opens();
-                }
-            });
+            background(
+                    () -> {
+                        while (true) {
+                            opens();
+                        }
+                    });
         }
 
         /** Takes the next tunnel and opens it. */
@@ -200,16 +210,19 @@
         }
 
         void tells(int version, boolean whole, String... entries) {
-            String body = "{\"seq\":%d,\"whole\":%s,\"hosts\":[%s]}"
-                    .formatted(version, whole, String.join(",", entries));
-            answers.add("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
-                    .formatted(body.length(), body));
+            String body =
+                    "{\"seq\":%d,\"whole\":%s,\"hosts\":[%s]}"
+                            .formatted(version, whole, String.join(",", entries));
+            answers.add(
+                    "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
+                            .formatted(body.length(), body));
         }
     }
 
     /**
-     * An address whose queue is full: a connection to it neither comes up nor fails. Once it is let in, it comes up with
-     * the kernel's next try, a second after the first, as a late connection does.
+     * An address whose queue is full: a connection to it neither comes up nor fails. Once it is let
+     * in, it comes up with the kernel's next try, a second after the first, as a late connection
+     * does.
      */
     final class Gate {
         final ServerSocket listening;
@@ -224,7 +237,7 @@
             listening = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
             listening.setSoTimeout(20_000);
             open.add(listening);
-            for (boolean room = true; room;) {
+            for (boolean room = true; room; ) {
                 Socket filler = new Socket();
                 open.add(filler);
                 try {
@@ -256,7 +269,10 @@
             }
         }
 
-        /** Lets in all that knocked until now and still want to come; what each said first, before it was ended. */
+        /**
+         * Lets in all that knocked until now and still want to come; what each said first, before
+         * it was ended.
+         */
         List<String> said() throws IOException {
             // It knocks behind them, and is let in behind them.
             SocketChannel last = SocketChannel.open();
@@ -298,25 +314,29 @@
     ServerSocket listen(int port, Host host) throws IOException {
         ServerSocket listening = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
         open.add(listening);
-        background(() -> {
-            while (true) {
-                End end = new End(listening.accept());
-                open.add(end);
-                background(() -> host.serve(end));
-            }
-        });
+        background(
+                () -> {
+                    while (true) {
+                        End end = new End(listening.accept());
+                        open.add(end);
+                        background(() -> host.serve(end));
+                    }
+                });
         return listening;
     }
 
     static void background(Work work) {
-        Thread thread = new Thread(() -> {
-            try {
-                work.run();
-            } catch (Exception e) {
-                // The stage ends its connections at the end of a test; what was expected of them is asserted there.
-                return;
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                work.run();
+                            } catch (Exception e) {
+                                // The stage ends its connections at the end of a test; what was
+                                // expected of them is asserted there.
+                                return;
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
@@ -333,7 +353,10 @@
     Config config(UnaryOperator<String> edit, int sockets, String... entries) throws IOException {
         registry = new Registry();
         Path file = folder.resolve("config.json");
-        Files.writeString(file, edit.apply("""
+        Files.writeString(
+                file,
+                edit.apply(
+                        """
                 {"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"8c1f30d27a5be964",
                  "limits":{"sockets":%d},"known":{"seq":41,"whole":true,"hosts":[%s]},
                  "settings":{"zones":["a"],"models":["m"],"tenants":[{"name":"acme","share":1}],"siblings":1,
@@ -342,7 +365,11 @@
                  {"name":"pay","effect":"non_idempotent","clientTimeoutMs":3000,"setupGoalMs":2000}],
                  "limits":{"probes":true,"retryAfter":true,"maxRetryAfterMs":1000,"mostSetups":4,"dialTimeoutMs":1000},
                  "rules":{"askEveryMs":10000}}}
-                """.formatted(registry.listening.getLocalPort(), sockets, String.join(",", entries))));
+                """
+                                .formatted(
+                                        registry.listening.getLocalPort(),
+                                        sockets,
+                                        String.join(",", entries))));
         return Config.read(file);
     }
 
@@ -358,8 +385,15 @@
 
     /** A relay as a process of its own, yet to be started. */
     static ProcessBuilder process(Path config, Path log) {
-        ProcessBuilder run = new ProcessBuilder(ProcessHandle.current().info().command().orElse("java"), "-XX:+UseSerialGC",
-                "-Xmx64m", "-cp", System.getProperty("java.class.path"), "asterpulley.serve.Main", "serve");
+        ProcessBuilder run =
+                new ProcessBuilder(
+                        ProcessHandle.current().info().command().orElse("java"),
+                        "-XX:+UseSerialGC",
+                        "-Xmx64m",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "asterpulley.serve.Main",
+                        "serve");
         run.environment().put("LB_CONFIG", config.toString());
         return run.redirectErrorStream(true).redirectOutput(log.toFile());
     }
@@ -382,20 +416,21 @@
     }
 
     /**
-     * Stops the relay's one thread until this is run: what happens meanwhile meets in one turn of it. Returns once it
-     * stands still.
+     * Stops the relay's one thread until this is run: what happens meanwhile meets in one turn of
+     * it. Returns once it stands still.
      */
     Runnable pause() throws InterruptedException {
         CountDownLatch stopped = new CountDownLatch(1);
         CountDownLatch on = new CountDownLatch(1);
-        serve.counted(book -> {
-            stopped.countDown();
-            try {
-                on.await(20, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        serve.counted(
+                book -> {
+                    stopped.countDown();
+                    try {
+                        on.await(20, TimeUnit.SECONDS);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
         stopped.await();
         return on::countDown;
     }
--- a/relay/src/test/java/asterpulley/serve/RetryTest.java
+++ b/relay/src/test/java/asterpulley/serve/RetryTest.java
@@ -9,13 +9,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A setup and what meets its end: the window of a referenced tunnel, its own patience, a second word, its list. */
+/**
+ * A setup and what meets its end: the window of a referenced tunnel, its own patience, a second
+ * word, its list.
+ */
 @Timeout(60)
 class RetryTest extends RelayStage {
-    /** Long enough for a connection that comes up with the kernel's second try; "pay" is referenced, everywhere. */
-    private static final UnaryOperator<String> SLOW = told -> told.replace("\"clientTimeoutMs\":3000", "\"clientTimeoutMs\":9000")
-            .replace("\"setupGoalMs\":2000", "\"setupGoalMs\":4000").replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":5000")
-            .replace("\"effect\":\"non_idempotent\"", "\"effect\":\"idempotency_key\",\"group\":\"all\",\"windowMs\":2400");
+    /**
+     * Long enough for a connection that comes up with the kernel's second try; "pay" is referenced,
+     * everywhere.
+     */
+    private static final UnaryOperator<String> SLOW =
+            told ->
+                    told.replace("\"clientTimeoutMs\":3000", "\"clientTimeoutMs\":9000")
+                            .replace("\"setupGoalMs\":2000", "\"setupGoalMs\":4000")
+                            .replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":5000")
+                            .replace(
+                                    "\"effect\":\"non_idempotent\"",
+                                    "\"effect\":\"idempotency_key\",\"group\":\"all\",\"windowMs\":2400");
 
     @Test
     void aReferencedTunnelWhoseConnectionComesUpPastItsWindowIsNotSentOn() throws Exception {
@@ -28,8 +39,11 @@
         await("list_calls", 2);
         first.reset();
         await("setups", 2);
-        assertEquals(List.of(), gate.said().stream().filter(line -> line.startsWith("OPEN")).toList());
-        assertTrue(client.line().startsWith("BUSY"), "its mark is known everywhere, so coming again is harmless");
+        assertEquals(
+                List.of(), gate.said().stream().filter(line -> line.startsWith("OPEN")).toList());
+        assertTrue(
+                client.line().startsWith("BUSY"),
+                "its mark is known everywhere, so coming again is harmless");
         assertNull(client.line());
         assertEquals(1, counted("setups_written"));
     }
@@ -37,7 +51,11 @@
     @Test
     void anAnswerThatIsThereWhenPatienceEndsCounts() throws Exception {
         Backend b = new Backend();
-        start(config(told -> told.replace("\"setupGoalMs\":2000", "\"setupGoalMs\":600"), 1000, b.entry("s1", "up")));
+        start(
+                config(
+                        told -> told.replace("\"setupGoalMs\":2000", "\"setupGoalMs\":600"),
+                        1000,
+                        b.entry("s1", "up")));
         for (String profile : List.of("chat", "pay")) {
             End client = client(profile, 900);
             End backend = b.taken();
@@ -54,7 +72,13 @@
 
     @Test
     void aRefusalAndASecondWordInOneTurnAreOneAnswer() throws Exception {
-        for (String words : List.of("BUSY\r\nUP r9\r\n", "ERR\r\nUP r9\r\n", "UP", "UP\r\n", "x".repeat(6000))) {
+        for (String words :
+                List.of(
+                        "BUSY\r\nUP r9\r\n",
+                        "ERR\r\nUP r9\r\n",
+                        "UP",
+                        "UP\r\n",
+                        "x".repeat(6000))) {
             Backend one = new Backend();
             Backend two = new Backend();
             start(one.entry("s1", "up"), two.entry("s2", "up"));
@@ -81,12 +105,17 @@
     }
 
     @Test
-    void aConnectionThatComesUpInTheTurnOfAListThatDrainsItsServerOpensOneTunnelOnce() throws Exception {
+    void aConnectionThatComesUpInTheTurnOfAListThatDrainsItsServerOpensOneTunnelOnce()
+            throws Exception {
         Backend one = new Backend();
         Backend two = new Backend();
         Gate gate = new Gate();
         // Without probes, so that whoever knocks is the setup.
-        start(config(told -> SLOW.apply(told).replace("\"probes\":true", "\"probes\":false"), 1000, one.entry("s1", "up")));
+        start(
+                config(
+                        told -> SLOW.apply(told).replace("\"probes\":true", "\"probes\":false"),
+                        1000,
+                        one.entry("s1", "up")));
         End before = client("chat", 9000);
         one.opens();
         assertEquals("UP r1", before.line());
@@ -95,11 +124,13 @@
         End client = client("chat", 9000);
         await("setups", 2);
         Runnable on = pause();
-        registry.tells(43, gate.in(one, "s1").replace("\"up\"", "\"draining\""), two.entry("s2", "up"));
+        registry.tells(
+                43, gate.in(one, "s1").replace("\"up\"", "\"draining\""), two.entry("s2", "up"));
         End up = gate.letIn();
         on.run();
         two.opensAll();
-        // Whichever the loop met first: written to the one, which was still allowed then, or known not sent and elsewhere.
+        // Whichever the loop met first: written to the one, which was still allowed then, or known
+        // not sent and elsewhere.
         String word = up.line();
         boolean sent = word != null && word.startsWith("OPEN");
         if (sent) {
--- a/relay/src/test/java/asterpulley/serve/ReturnTest.java
+++ b/relay/src/test/java/asterpulley/serve/ReturnTest.java
@@ -28,16 +28,34 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Discovery fails and comes back: whatever a call failed on, its list is heard again before it counts as told. */
+/**
+ * Discovery fails and comes back: whatever a call failed on, its list is heard again before it
+ * counts as told.
+ */
 @Timeout(90)
 class ReturnTest extends RelayStage {
-    /** A change counts as told so long after discovery could be reached again, and the clock here reads a little late. */
+    /**
+     * A change counts as told so long after discovery could be reached again, and the clock here
+     * reads a little late.
+     */
     private static final double TOLD = 6, MARGIN = 0.1;
 
-    private static final String REFUSED = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+    private static final String REFUSED =
+            "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
     /** What becomes of a call. */
-    private enum Trouble { NONE, DOWN, REFUSES, RESETS, SILENT, CUT, FULL, MALFORMED, LATE, OVERBOOKED }
+    private enum Trouble {
+        NONE,
+        DOWN,
+        REFUSES,
+        RESETS,
+        SILENT,
+        CUT,
+        FULL,
+        MALFORMED,
+        LATE,
+        OVERBOOKED
+    }
 
     /** Who works through the calls of all that share it, one after the other. */
     private static final class Worker {
@@ -73,6 +91,7 @@
         private volatile ServerSocket listening;
         private int version = 41;
         private String entries = "";
+
         /** When a call came that names the version of the return: that list has been heard. */
         private final CompletableFuture<Long> heard = new CompletableFuture<>();
 
@@ -90,15 +109,16 @@
 
         private void accept(ServerSocket at) {
             open.add(at);
-            background(() -> {
-                while (true) {
-                    End end = new End(at.accept());
-                    end.socket.setSoTimeout(60_000);
-                    open.add(end);
-                    ends.add(end);
-                    background(() -> serve(end));
-                }
-            });
+            background(
+                    () -> {
+                        while (true) {
+                            End end = new End(at.accept());
+                            end.socket.setSoTimeout(60_000);
+                            open.add(end);
+                            ends.add(end);
+                            background(() -> serve(end));
+                        }
+                    });
         }
 
         private void serve(End end) throws Exception {
@@ -116,8 +136,10 @@
                     case REFUSES -> end.say(REFUSED);
                     // Down also for who was let in just as it went down.
                     case RESETS, DOWN, FULL -> end.reset();
-                    case CUT -> end.say("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\":42,");
-                    case MALFORMED -> end.say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"seq\":{}");
+                    case CUT ->
+                            end.say("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\":42,");
+                    case MALFORMED ->
+                            end.say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"seq\":{}");
                     case SILENT -> end.line();
                     default -> answer(end, call, met);
                 }
@@ -129,7 +151,8 @@
         }
 
         private void answer(End end, String call, Trouble met) throws Exception {
-            if ((met == Trouble.LATE || met == Trouble.OVERBOOKED) && !worker.worksThrough(met == Trouble.OVERBOOKED)) {
+            if ((met == Trouble.LATE || met == Trouble.OVERBOOKED)
+                    && !worker.worksThrough(met == Trouble.OVERBOOKED)) {
                 end.say(REFUSED);
                 return;
             }
@@ -138,13 +161,17 @@
             synchronized (this) {
                 if (changes && Integer.parseInt(index.group(1)) == version) {
                     long until = System.nanoTime() + Long.parseLong(index.group(2)) * 1_000_000;
-                    for (int was = version; version == was && System.nanoTime() < until;) {
+                    for (int was = version; version == was && System.nanoTime() < until; ) {
                         wait(1 + (until - System.nanoTime()) / 1_000_000);
                     }
                 }
                 boolean newer = !changes || Integer.parseInt(index.group(1)) < version;
-                String body = "{\"seq\":%d,\"whole\":%s,\"hosts\":[%s]}".formatted(version, !changes, newer ? entries : "");
-                end.say("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s".formatted(body.length(), body));
+                String body =
+                        "{\"seq\":%d,\"whole\":%s,\"hosts\":[%s]}"
+                                .formatted(version, !changes, newer ? entries : "");
+                end.say(
+                        "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
+                                .formatted(body.length(), body));
             }
         }
 
@@ -193,8 +220,15 @@
         private long pending() throws IOException {
             long pending = 0;
             for (String table : List.of("/proc/self/net/tcp", "/proc/self/net/tcp6")) {
-                pending += Files.readString(java.nio.file.Path.of(table)).lines()
-                        .filter(l -> l.matches(" *\\d+: \\S+ \\S+:%04X 02 .*".formatted(port))).count();
+                pending +=
+                        Files.readString(java.nio.file.Path.of(table))
+                                .lines()
+                                .filter(
+                                        l ->
+                                                l.matches(
+                                                        " *\\d+: \\S+ \\S+:%04X 02 .*"
+                                                                .formatted(port)))
+                                .count();
             }
             return pending;
         }
@@ -237,7 +271,7 @@
         /** Waits until one more call has met the trouble, and returns just behind it. */
         void meets(Service at) throws Exception {
             if (at.trouble == Trouble.DOWN || at.trouble == Trouble.FULL) {
-                for (long before = counted("list_failures"); counted("list_failures") == before;) {
+                for (long before = counted("list_failures"); counted("list_failures") == before; ) {
                     TimeUnit.MILLISECONDS.sleep(2);
                 }
             } else {
@@ -253,11 +287,17 @@
     }
 
     private static String told(String usual, Service service, boolean pushed) {
-        String told = usual.replaceFirst("\"discovery\":\"[^\"]*\"", "\"discovery\":\"127.0.0.1:" + service.port + "\"");
+        String told =
+                usual.replaceFirst(
+                        "\"discovery\":\"[^\"]*\"",
+                        "\"discovery\":\"127.0.0.1:" + service.port + "\"");
         return pushed ? told.replace("\"subscribe\"", "\"automatic\"") : told;
     }
 
-    /** Seconds from the service's return until the relay asks for what is newer than what it then had. */
+    /**
+     * Seconds from the service's return until the relay asks for what is newer than what it then
+     * had.
+     */
     private static double until(Service service, long since) throws Exception {
         return (service.heard.get(30, TimeUnit.SECONDS) - since) / 1e9;
     }
@@ -268,17 +308,19 @@
 
     private static void inTime(Map<String, Measure> paths) throws Exception {
         Map<String, CompletableFuture<Double>> running = new TreeMap<>();
-        paths.forEach((name, path) -> {
-            CompletableFuture<Double> took = new CompletableFuture<>();
-            running.put(name, took);
-            background(() -> {
-                try {
-                    took.complete(path.run());
-                } catch (Throwable e) {
-                    took.completeExceptionally(e);
-                }
-            });
-        });
+        paths.forEach(
+                (name, path) -> {
+                    CompletableFuture<Double> took = new CompletableFuture<>();
+                    running.put(name, took);
+                    background(
+                            () -> {
+                                try {
+                                    took.complete(path.run());
+                                } catch (Throwable e) {
+                                    took.completeExceptionally(e);
+                                }
+                            });
+                });
         List<String> late = new ArrayList<>();
         for (String name : running.keySet()) {
             double took = running.get(name).get(60, TimeUnit.SECONDS);
@@ -297,42 +339,58 @@
         String[] anew = {one.entry("s1", "draining"), two.entry("s2", "up")};
         Map<String, Measure> paths = new TreeMap<>();
         for (boolean pushed : new boolean[] {false, true}) {
-            for (Trouble trouble : List.of(Trouble.DOWN, Trouble.REFUSES, Trouble.RESETS, Trouble.SILENT, Trouble.CUT,
-                    Trouble.FULL, Trouble.MALFORMED)) {
+            for (Trouble trouble :
+                    List.of(
+                            Trouble.DOWN,
+                            Trouble.REFUSES,
+                            Trouble.RESETS,
+                            Trouble.SILENT,
+                            Trouble.CUT,
+                            Trouble.FULL,
+                            Trouble.MALFORMED)) {
                 for (int seconds : new int[] {1, 4}) {
                     Path path = new Path(null, pushed, known);
-                    paths.put(trouble + ", " + seconds + " s" + (pushed ? ", pushed" : ""), () -> {
-                        path.service.falls(trouble);
-                        // The length of the trouble is what is played here; it then ends just behind a call that it met.
-                        TimeUnit.SECONDS.sleep(seconds);
-                        path.meets(path.service);
-                        if (trouble == Trouble.FULL) {
-                            // The filler that told that the queue is full was closed; the relay has one dial at most.
-                            assertTrue(path.service.pending() <= 1, "given up, but not ended: " + path.service.pending());
-                        }
-                        return until(path.service, path.service.returns(Trouble.NONE, anew));
-                    });
+                    paths.put(
+                            trouble + ", " + seconds + " s" + (pushed ? ", pushed" : ""),
+                            () -> {
+                                path.service.falls(trouble);
+                                // The length of the trouble is what is played here; it then ends
+                                // just behind a call that it met.
+                                TimeUnit.SECONDS.sleep(seconds);
+                                path.meets(path.service);
+                                if (trouble == Trouble.FULL) {
+                                    // The filler that told that the queue is full was closed; the
+                                    // relay has one dial at most.
+                                    assertTrue(
+                                            path.service.pending() <= 1,
+                                            "given up, but not ended: " + path.service.pending());
+                                }
+                                return until(
+                                        path.service, path.service.returns(Trouble.NONE, anew));
+                            });
                 }
             }
             for (Trouble trouble : List.of(Trouble.NONE, Trouble.DOWN, Trouble.SILENT)) {
                 Path path = new Path(null, pushed, known);
                 Service other = new Service(null);
                 Config to = config(told -> told(told, other, pushed), 1000, known);
-                paths.put("moved to " + trouble + (pushed ? ", pushed" : ""), () -> {
-                    path.service.falls(Trouble.DOWN);
-                    TimeUnit.SECONDS.sleep(4);
-                    other.falls(trouble);
-                    if (trouble == Trouble.NONE) {
-                        other.returns(Trouble.NONE, anew);
-                    }
-                    long moved = System.nanoTime();
-                    path.relay.changeTo(to);
-                    if (trouble != Trouble.NONE) {
-                        path.meets(other);
-                        moved = other.returns(Trouble.NONE, anew);
-                    }
-                    return until(other, moved);
-                });
+                paths.put(
+                        "moved to " + trouble + (pushed ? ", pushed" : ""),
+                        () -> {
+                            path.service.falls(Trouble.DOWN);
+                            TimeUnit.SECONDS.sleep(4);
+                            other.falls(trouble);
+                            if (trouble == Trouble.NONE) {
+                                other.returns(Trouble.NONE, anew);
+                            }
+                            long moved = System.nanoTime();
+                            path.relay.changeTo(to);
+                            if (trouble != Trouble.NONE) {
+                                path.meets(other);
+                                moved = other.returns(Trouble.NONE, anew);
+                            }
+                            return until(other, moved);
+                        });
             }
         }
         inTime(paths);
@@ -347,12 +405,18 @@
             Worker worker = new Worker();
             for (int i = 0; i < 20; i++) {
                 Path path = new Path(worker, false, one.entry("s1", "up"));
-                paths.put(trouble + ", relay " + i, () -> {
-                    path.service.falls(Trouble.DOWN);
-                    TimeUnit.SECONDS.sleep(2);
-                    return until(path.service,
-                            path.service.returns(trouble, one.entry("s1", "draining"), two.entry("s2", "up")));
-                });
+                paths.put(
+                        trouble + ", relay " + i,
+                        () -> {
+                            path.service.falls(Trouble.DOWN);
+                            TimeUnit.SECONDS.sleep(2);
+                            return until(
+                                    path.service,
+                                    path.service.returns(
+                                            trouble,
+                                            one.entry("s1", "draining"),
+                                            two.entry("s2", "up")));
+                        });
             }
         }
         inTime(paths);
