--- a/relay/src/test/java/asterpulley/serve/ServeTest.java
+++ b/relay/src/test/java/asterpulley/serve/ServeTest.java
@@ -63,14 +63,34 @@
         Backend b = new Backend();
         start(b.entry("s1", "up"));
         String good = "OPEN 1 2 c=chat,t=acme,d=100";
-        List<String> wrong = List.of("GET / HTTP/1.1\r\n", "OPEN 1 2\r\n", "OPEN  2 c=chat,d=100\r\n",
-                "OPEN x 2 c=chat,d=100\r\n", "OPEN 1 key c=chat,d=100\r\n", "OPEN 1 2 d=100\r\n",
-                "OPEN 1 2 c=novel,d=100\r\n", "OPEN 1 2 c=chat,t=nobody,d=100\r\n", "OPEN 1 2 c=chat\r\n",
-                "OPEN 1 2 c=chat,d=soon\r\n", "OPEN 1 2 c=chat,d=\r\n", "OPEN 1 2 c=chat,d=-5\r\n",
-                "OPEN 1 2 c=chat,d=99999999999999999999999\r\n", "OPEN 1 2 c=chat,d=100,d=200\r\n",
-                good + ", g=1\r\n", good + ",\r\n", good + ",=1\r\n", good + ",g=\u0001\r\n", good + "\n",
-                good + ",at=\r\n", good + "\r\n" + good + "\r\n", good + "\r\nword", "PING\r\nPING\r\n",
-                "\u0000\u0001\r\n", "x".repeat(5000), good + ",g=" + "x".repeat(4096) + "\r\n");
+        List<String> wrong =
+                List.of(
+                        "GET / HTTP/1.1\r\n",
+                        "OPEN 1 2\r\n",
+                        "OPEN  2 c=chat,d=100\r\n",
+                        "OPEN x 2 c=chat,d=100\r\n",
+                        "OPEN 1 key c=chat,d=100\r\n",
+                        "OPEN 1 2 d=100\r\n",
+                        "OPEN 1 2 c=novel,d=100\r\n",
+                        "OPEN 1 2 c=chat,t=nobody,d=100\r\n",
+                        "OPEN 1 2 c=chat\r\n",
+                        "OPEN 1 2 c=chat,d=soon\r\n",
+                        "OPEN 1 2 c=chat,d=\r\n",
+                        "OPEN 1 2 c=chat,d=-5\r\n",
+                        "OPEN 1 2 c=chat,d=99999999999999999999999\r\n",
+                        "OPEN 1 2 c=chat,d=100,d=200\r\n",
+                        good + ", g=1\r\n",
+                        good + ",\r\n",
+                        good + ",=1\r\n",
+                        good + ",g=\u0001\r\n",
+                        good + "\n",
+                        good + ",at=\r\n",
+                        good + "\r\n" + good + "\r\n",
+                        good + "\r\nword",
+                        "PING\r\nPING\r\n",
+                        "\u0000\u0001\r\n",
+                        "x".repeat(5000),
+                        good + ",g=" + "x".repeat(4096) + "\r\n");
         for (String garbage : wrong) {
             End client = connect();
             client.say(garbage);
@@ -124,8 +144,9 @@
         }
         await("accepted", 30);
         b.opensAll();
-        for (int served = 0; served < 6;) {
-            // Some of the crowd may have come too late to give way at once: then the client comes again.
+        for (int served = 0; served < 6; ) {
+            // Some of the crowd may have come too late to give way at once: then the client comes
+            // again.
             String answer = client("chat", 2000).line();
             assertTrue(answer.equals("UP r1") || answer.startsWith("BUSY"), answer);
             served += answer.equals("UP r1") ? 1 : 0;
@@ -145,16 +166,17 @@
         End flood = connect();
         byte[] chunk = new byte[1 << 16];
         CompletableFuture<Boolean> cutOff = new CompletableFuture<>();
-        background(() -> {
-            try {
-                for (int sent = 0; sent < 256 << 20; sent += chunk.length) {
-                    flood.socket.getOutputStream().write(chunk);
-                }
-                cutOff.complete(false);
-            } catch (IOException e) {
-                cutOff.complete(true);
-            }
-        });
+        background(
+                () -> {
+                    try {
+                        for (int sent = 0; sent < 256 << 20; sent += chunk.length) {
+                            flood.socket.getOutputStream().write(chunk);
+                        }
+                        cutOff.complete(false);
+                    } catch (IOException e) {
+                        cutOff.complete(true);
+                    }
+                });
         assertEquals("ERR", flood.line());
         assertTrue(cutOff.get(20, TimeUnit.SECONDS));
     }
@@ -174,7 +196,9 @@
         assertTrue(answer.matches("BUSY \\d+"), answer);
         assertTrue(standing.size() > 3, "opened " + (standing.size() - 1));
         standing.get(0).reset();
-        for (answer = ""; !answer.equals("UP r1"); answer = standing.get(standing.size() - 1).line()) {
+        for (answer = "";
+                !answer.equals("UP r1");
+                answer = standing.get(standing.size() - 1).line()) {
             standing.get(standing.size() - 1).close();
             standing.add(client("chat", 2000));
             background(b::opens);
@@ -209,8 +233,11 @@
 
     @Test
     void aOnceOnlyTunnelThatMayHaveRunIsClosedWithErrorAndNotSentAgain() throws Exception {
-        for (Consumer<End> fails : List.<Consumer<End>>of(end -> quietly(() -> end.say("ERR\r\n")),
-                end -> quietly(end::close), end -> quietly(end::reset))) {
+        for (Consumer<End> fails :
+                List.<Consumer<End>>of(
+                        end -> quietly(() -> end.say("ERR\r\n")),
+                        end -> quietly(end::close),
+                        end -> quietly(end::reset))) {
             Backend one = new Backend();
             Backend two = new Backend();
             start(one.entry("s1", "up"), two.entry("s2", "up"));
@@ -245,7 +272,8 @@
     }
 
     @Test
-    void aClientThatLeavesEarlyEndsNoOthersAndOneThatOnlyEndedItsSendingIsServed() throws Exception {
+    void aClientThatLeavesEarlyEndsNoOthersAndOneThatOnlyEndedItsSendingIsServed()
+            throws Exception {
         Backend b = new Backend();
         start(b.entry("s1", "up"));
         End leaver = client("chat", 2000);
@@ -331,12 +359,13 @@
             }
             long before = counted("bytes_to_clients");
             long slow = counted("slow_readers");
-            background(() -> {
-                for (int sent = 0; sent < total; sent += chunk.length) {
-                    backend.socket.getOutputStream().write(chunk);
-                }
-                backend.close();
-            });
+            background(
+                    () -> {
+                        for (int sent = 0; sent < total; sent += chunk.length) {
+                            backend.socket.getOutputStream().write(chunk);
+                        }
+                        backend.close();
+                    });
             await("slow_readers", slow + 1);
             assertTrue(counted("bytes_to_clients") - before < total * 3 / 4, "held back");
             long got = 0;
@@ -359,7 +388,7 @@
         assertNull(backend.line());
         byte[] chunk = new byte[4 * Words.LONGEST];
         long sent = 0;
-        for (boolean waits = false; !waits;) {
+        for (boolean waits = false; !waits; ) {
             backend.socket.getOutputStream().write(chunk);
             sent += chunk.length;
             await("bytes_to_clients", sent);
@@ -426,7 +455,8 @@
         End sentAway = client("chat", 2000);
         End draining = b.opens();
         sentAway.line();
-        // The relay looks every 0.25 s: another silence tells when, so that a look falls between 3.3 and 3.5 s of this one.
+        // The relay looks every 0.25 s: another silence tells when, so that a look falls between
+        // 3.3 and 3.5 s of this one.
         End gauge = client("chat", 2000);
         End dumb = b.opens();
         gauge.line();
@@ -449,7 +479,8 @@
         assertEquals(1, counted("ended_move"));
         assertEquals(1, counted("moved_silent"));
         assertTrue(System.nanoTime() - since < 4.9e9, "the silence may be 2 s older than the line");
-        assertEquals(3, counted("lines_unanswered") - before, "the module heard of it from 1.1 s on");
+        assertEquals(
+                3, counted("lines_unanswered") - before, "the module heard of it from 1.1 s on");
     }
 
     @Test
@@ -518,12 +549,16 @@
         for (int version = 7; version < 9; version++) {
             config(1000);
             serve.reload(() -> Config.json(folder.resolve("config.json")));
-            assertEquals("/registry/instances", registry.calls.take(), "the whole list, of the new address");
+            assertEquals(
+                    "/registry/instances",
+                    registry.calls.take(),
+                    "the whole list, of the new address");
             End client = client("chat", 2000);
             one.opens();
             assertEquals("UP r1", client.line(), "the fleet is not forgotten meanwhile");
             registry.tells(version, true, one.entry("s1", "up"));
-            assertTrue(registry.calls.take().startsWith("/registry/instances?index=" + version + "&"));
+            assertTrue(
+                    registry.calls.take().startsWith("/registry/instances?index=" + version + "&"));
         }
         for (String unreadable : List.of("", "{", "[]", "{\"settings\":{}}")) {
             Files.writeString(folder.resolve("config.json"), unreadable);
@@ -544,9 +579,16 @@
     @Test
     void aWrongConfigurationIsToldPlainly() throws Exception {
         Path file = folder.resolve("wrong.json");
-        for (String[] c : new String[][] {{"{", "not JSON"}, {"[]", "the configuration is not an object"},
-                {"{\"settings\":{}}", "field name is not a text"},
-                {"{\"settings\":{},\"name\":\"n\",\"listen\":\"here\"}", "'here' is not an address and a port"}}) {
+        for (String[] c :
+                new String[][] {
+                    {"{", "not JSON"},
+                    {"[]", "the configuration is not an object"},
+                    {"{\"settings\":{}}", "field name is not a text"},
+                    {
+                        "{\"settings\":{},\"name\":\"n\",\"listen\":\"here\"}",
+                        "'here' is not an address and a port"
+                    }
+                }) {
             Files.writeString(file, c[0]);
             String told = assertThrows(Json.Malformed.class, () -> Config.read(file)).getMessage();
             assertTrue(told.startsWith(c[1]), told);
@@ -564,14 +606,22 @@
     void howFarASetupHadComeTellsWhetherItMayHaveRun() {
         for (Failure.Reach reach : Failure.Reach.values()) {
             boolean sent = reach == Failure.Reach.SENT || reach == Failure.Reach.OPENED;
-            for (Failure.Cause cause : List.of(Failure.Cause.BROKEN, Failure.Cause.GIVEN_UP,
-                    Failure.Cause.CLIENT_LEFT)) {
-                assertEquals(!sent, new Failure(reach, cause).outcome().provesNotRun, reach + " " + cause);
+            for (Failure.Cause cause :
+                    List.of(
+                            Failure.Cause.BROKEN,
+                            Failure.Cause.GIVEN_UP,
+                            Failure.Cause.CLIENT_LEFT)) {
+                assertEquals(
+                        !sent,
+                        new Failure(reach, cause).outcome().provesNotRun,
+                        reach + " " + cause);
             }
         }
         assertTrue(new Failure(Failure.Reach.SENT, Failure.Cause.BUSY).outcome().provesNotRun);
-        for (Failure.Cause cause : List.of(Failure.Cause.BYE, Failure.Cause.MOVE, Failure.Cause.ERR)) {
-            assertTrue(!new Failure(Failure.Reach.SENT, cause).outcome().provesNotRun, cause.name());
+        for (Failure.Cause cause :
+                List.of(Failure.Cause.BYE, Failure.Cause.MOVE, Failure.Cause.ERR)) {
+            assertTrue(
+                    !new Failure(Failure.Reach.SENT, cause).outcome().provesNotRun, cause.name());
         }
     }
 }
--- a/relay/src/test/java/asterpulley/serve/SettingsFleetTest.java
+++ b/relay/src/test/java/asterpulley/serve/SettingsFleetTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Several relays as processes, each with its own way to one settings service, and faults between them. */
+/**
+ * Several relays as processes, each with its own way to one settings service, and faults between
+ * them.
+ */
 @Timeout(60)
 class SettingsFleetTest extends RelayStage {
     private static final int RELAYS = 4, CHANGES = 15;
@@ -35,9 +38,21 @@
 
         private Member(int number, SettingsService service, String entry) throws IOException {
             way = service.way();
-            config(told -> told.replace("\"n1\"", "\"n" + number + "\"").replace("\"seed\"", "\"operator\":\"127.0.0.1:0\","
-                    + "\"settings_service\":\"" + way.address() + "\",\"seed\"").replaceFirst("\"discovery\":\"[^\"]*\",", ""), 500, entry);
-            file = Files.move(folder.resolve("config.json"), folder.resolve("n" + number + ".json"));
+            config(
+                    told ->
+                            told.replace("\"n1\"", "\"n" + number + "\"")
+                                    .replace(
+                                            "\"seed\"",
+                                            "\"operator\":\"127.0.0.1:0\","
+                                                    + "\"settings_service\":\""
+                                                    + way.address()
+                                                    + "\",\"seed\"")
+                                    .replaceFirst("\"discovery\":\"[^\"]*\",", ""),
+                    500,
+                    entry);
+            file =
+                    Files.move(
+                            folder.resolve("config.json"), folder.resolve("n" + number + ".json"));
             log = folder.resolve("n" + number + ".log");
         }
 
@@ -88,7 +103,7 @@
     private static double[] inForce(long version, List<Member> members) throws IOException {
         double[] after = new double[members.size()];
         long since = System.nanoTime();
-        for (int left = members.size(); left > 0;) {
+        for (int left = members.size(); left > 0; ) {
             for (int i = 0; i < after.length; i++) {
                 if (after[i] == 0 && members.get(i).version() == version) {
                     after[i] = (System.nanoTime() - since) / 1e9;
@@ -118,7 +133,11 @@
         all.get(0).way.cut();
         all.get(1).process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
         // Nobody's version, and a bad one: of a machine of the service that is wrong.
-        all.get(2).way.instead.add("{\"epoch\":1,\"seq\":999,\"whole\":true,\"settings\":{\"profiles\":{\"bulk\":{\"credit\":-1}}}}");
+        all.get(2)
+                .way
+                .instead
+                .add(
+                        "{\"epoch\":1,\"seq\":999,\"whole\":true,\"settings\":{\"profiles\":{\"bulk\":{\"credit\":-1}}}}");
         service.change(map("limits", map("mostSetups", 2)));
         service.change(map("limits", map("mostSetups", 0)));
         inForce(3, List.of(all.get(3)));
@@ -128,26 +147,42 @@
         }
         assertEquals(3, all.get(3).version(), "the bad one is told by its place and not taken");
         all.get(1).start("asterpulley.serve.ToldRelay");
-        service.change(map("limits", map("mostSetups", 3), "profiles", map("pay", profile("non_idempotent"))));
+        service.change(
+                map(
+                        "limits",
+                        map("mostSetups", 3),
+                        "profiles",
+                        map("pay", profile("non_idempotent"))));
         double[] reachable = inForce(5, all.subList(1, RELAYS));
         assertEquals(2, all.get(0).version(), "cut off, and serving by what it has");
         assertEquals("UP r1", all.get(0).opened("bulk"));
         all.get(0).way.mend();
         double[] back = inForce(5, all.subList(0, 1));
-        System.out.println("in force after faults, s: restarted, told bad, usual " + Arrays.toString(reachable)
-                + ", after its cut " + Arrays.toString(back));
-        assertTrue(Arrays.stream(reachable).max().orElse(99) < 13 && back[0] < 13, "a change has 13 s");
+        System.out.println(
+                "in force after faults, s: restarted, told bad, usual "
+                        + Arrays.toString(reachable)
+                        + ", after its cut "
+                        + Arrays.toString(back));
+        assertTrue(
+                Arrays.stream(reachable).max().orElse(99) < 13 && back[0] < 13,
+                "a change has 13 s");
         for (Member m : all) {
             assertEquals("UP r1", m.opened("pay"));
             assertEquals("UP r1", m.opened("bulk"));
         }
-        assertEquals(List.of(started.get(0), started.get(2), started.get(3)),
-                List.of(all.get(0).process.pid(), all.get(2).process.pid(), all.get(3).process.pid()), "without a restart");
+        assertEquals(
+                List.of(started.get(0), started.get(2), started.get(3)),
+                List.of(
+                        all.get(0).process.pid(),
+                        all.get(2).process.pid(),
+                        all.get(3).process.pid()),
+                "without a restart");
     }
 
     /**
-     * Of 29,000 changes a day one comes every 3 s; 15 KB/s and 1.2% of a core are for control. Here they come at once, one
-     * after the other: fifty classes and five hundred customers, one class changed each time.
+     * Of 29,000 changes a day one comes every 3 s; 15 KB/s and 1.2% of a core are for control. Here
+     * they come at once, one after the other: fifty classes and five hundred customers, one class
+     * changed each time.
      */
     @Test
     void aChangeCostsAPartOfWhatControlMayTake() throws Exception {
@@ -184,7 +219,8 @@
         }
         double each = (cpu(relay) - cpu) / CHANGES;
         bytes = (relay.way.bytesIn + relay.way.bytesOut - bytes) / CHANGES;
-        System.out.printf("a change costs %.1f ms of a core (%.1f in a new process) and %d bytes both ways, a whole copy is %d%n",
+        System.out.printf(
+                "a change costs %.1f ms of a core (%.1f in a new process) and %d bytes both ways, a whole copy is %d%n",
                 1e3 * each, 1e3 * first, bytes, whole);
         assertEquals(1 + 2 * CHANGES, relay.version());
         assertTrue(bytes < 15_000 * 2.98 / 20, "bytes a change: " + bytes);
@@ -195,7 +231,10 @@
         return relay.process.info().totalCpuDuration().orElseThrow().toNanos() / 1e9;
     }
 
-    /** The platform has no such service, and its file must not start one: with an address in it nothing is asked there. */
+    /**
+     * The platform has no such service, and its file must not start one: with an address in it
+     * nothing is asked there.
+     */
     @Test
     void theFileOfThePlatformStartsNoSuchWatch() throws Exception {
         Backend b = new Backend();
@@ -205,7 +244,9 @@
         Member relay = new Member(0, service, b.entry("s1", "up"));
         relay.start(null);
         assertEquals("UP r1", relay.opened("chat"));
-        assertTrue(relay.call("settings").startsWith("HTTP/1.1 404"), "no service tells settings here");
+        assertTrue(
+                relay.call("settings").startsWith("HTTP/1.1 404"),
+                "no service tells settings here");
         assertFalse(relay.call("stats").contains("settings"));
         assertTrue(relay.way.calls.isEmpty());
     }
--- a/relay/src/test/java/asterpulley/serve/SettingsService.java
+++ b/relay/src/test/java/asterpulley/serve/SettingsService.java
@@ -23,15 +23,15 @@
 import java.util.regex.Pattern;
 
 /**
- * A settings service as the tests play it: one document with its history, and a way in for each relay that can be cut by
- * itself. It waits with its answer until there is news, as a service does.
+ * A settings service as the tests play it: one document with its history, and a way in for each
+ * relay that can be cut by itself. It waits with its answer until there is news, as a service does.
  */
 final class SettingsService implements AutoCloseable {
     private static final Pattern CALL =
-            Pattern.compile("GET /registry/settings(?:\\?index=([0-9]+)&wait=([0-9]+)&epoch=(-?[0-9]+))? HTTP/1.1");
+            Pattern.compile(
+                    "GET /registry/settings(?:\\?index=([0-9]+)&wait=([0-9]+)&epoch=(-?[0-9]+))? HTTP/1.1");
 
-    private record Change(long seq, Object patch) {
-    }
+    private record Change(long seq, Object patch) {}
 
     private final List<Change> history = new ArrayList<>();
     private Object document;
@@ -70,22 +70,31 @@
     }
 
     /** The answer to who has this version, or to who has none; waits for news so long. */
-    private synchronized String answer(String index, String wait, String of) throws InterruptedException {
+    private synchronized String answer(String index, String wait, String of)
+            throws InterruptedException {
         long until = System.nanoTime() + (wait == null ? 0 : Long.parseLong(wait)) * 1_000_000;
-        while (index != null && Long.parseLong(of) == epoch && Long.parseLong(index) >= seq && System.nanoTime() < until) {
+        while (index != null
+                && Long.parseLong(of) == epoch
+                && Long.parseLong(index) >= seq
+                && System.nanoTime() < until) {
             wait(Math.max(1, (until - System.nanoTime()) / 1_000_000));
         }
         Map<String, Object> answer = new LinkedHashMap<>();
         answer.put("epoch", epoch);
         answer.put("seq", seq);
-        boolean whole = index == null || Long.parseLong(of) != epoch || Long.parseLong(index) < oldest;
+        boolean whole =
+                index == null || Long.parseLong(of) != epoch || Long.parseLong(index) < oldest;
         answer.put("whole", whole);
         if (whole) {
             answer.put("settings", document);
         } else {
             long from = Long.parseLong(index);
-            answer.put("changes", history.stream().filter(c -> c.seq > from)
-                    .map(c -> Map.of("seq", c.seq, "patch", c.patch)).toList());
+            answer.put(
+                    "changes",
+                    history.stream()
+                            .filter(c -> c.seq > from)
+                            .map(c -> Map.of("seq", c.seq, "patch", c.patch))
+                            .toList());
         }
         return Json.text(answer);
     }
@@ -108,37 +117,47 @@
     final class Way {
         private final ServerSocket listening;
         private volatile boolean cut;
+
         /** How many came while it was cut. */
         volatile int refused;
+
         private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+
         /** The queries as they came, and the bodies as they went out. */
         final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
+
         final List<String> bodies = new CopyOnWriteArrayList<>();
+
         /** Instead of the service's answer, in their order: whole answers, "" for silence. */
         final BlockingQueue<String> instead = new LinkedBlockingQueue<>();
+
         volatile long bytesIn, bytesOut;
 
         private Way() throws IOException {
             listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-            RelayStage.background(() -> {
-                while (true) {
-                    Socket socket = listening.accept();
-                    open.add(socket);
-                    if (cut) {
-                        refused++;
-                        reset(socket);
-                    } else {
-                        RelayStage.background(() -> serve(socket));
-                    }
-                }
-            });
+            RelayStage.background(
+                    () -> {
+                        while (true) {
+                            Socket socket = listening.accept();
+                            open.add(socket);
+                            if (cut) {
+                                refused++;
+                                reset(socket);
+                            } else {
+                                RelayStage.background(() -> serve(socket));
+                            }
+                        }
+                    });
         }
 
         String address() {
             return "127.0.0.1:" + listening.getLocalPort();
         }
 
-        /** What is open is reset, and so is whoever comes. The port stays taken: it must be nobody else's meanwhile. */
+        /**
+         * What is open is reset, and so is whoever comes. The port stays taken: it must be nobody
+         * else's meanwhile.
+         */
         void cut() throws IOException {
             cut = true;
             for (Socket socket : open) {
@@ -163,7 +182,10 @@
 
         private void serve(Socket socket) throws IOException, InterruptedException {
             try (socket) {
-                BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
+                BufferedReader in =
+                        new BufferedReader(
+                                new InputStreamReader(
+                                        socket.getInputStream(), StandardCharsets.UTF_8));
                 String call = null;
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     bytesIn += line.length() + 2;
@@ -172,14 +194,26 @@
                         Matcher m = CALL.matcher(call);
                         calls.add(call.split(" ")[1]);
                         String told = instead.poll();
-                        String body = told != null ? told : m.matches() ? answer(m.group(1), m.group(2), m.group(3)) : "{}";
+                        String body =
+                                told != null
+                                        ? told
+                                        : m.matches()
+                                                ? answer(m.group(1), m.group(2), m.group(3))
+                                                : "{}";
                         if (body.isEmpty()) {
                             continue;
                         }
                         bodies.add(body);
-                        byte[] bytes = (body.startsWith("HTTP/") ? body : "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
-                                + "Content-Length: " + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body)
-                                .getBytes(StandardCharsets.UTF_8);
+                        byte[] bytes =
+                                (body.startsWith("HTTP/")
+                                                ? body
+                                                : "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
+                                                        + "Content-Length: "
+                                                        + body.getBytes(StandardCharsets.UTF_8)
+                                                                .length
+                                                        + "\r\n\r\n"
+                                                        + body)
+                                        .getBytes(StandardCharsets.UTF_8);
                         bytesOut += bytes.length;
                         socket.getOutputStream().write(bytes);
                     }
--- a/relay/src/test/java/asterpulley/serve/SettingsTest.java
+++ b/relay/src/test/java/asterpulley/serve/SettingsTest.java
@@ -54,9 +54,19 @@
         start(told -> told, kept, sockets, entries);
     }
 
-    private void start(UnaryOperator<String> edit, Path kept, int sockets, String... entries) throws IOException {
-        Config config = config(told -> edit.apply(told).replace("\"seed\"", "\"operator\":\"127.0.0.1:0\",\"settings_service\":\""
-                + way.address() + "\",\"seed\""), sockets, entries);
+    private void start(UnaryOperator<String> edit, Path kept, int sockets, String... entries)
+            throws IOException {
+        Config config =
+                config(
+                        told ->
+                                edit.apply(told)
+                                        .replace(
+                                                "\"seed\"",
+                                                "\"operator\":\"127.0.0.1:0\",\"settings_service\":\""
+                                                        + way.address()
+                                                        + "\",\"seed\""),
+                        sockets,
+                        entries);
         serve = new Serve(config, kept);
         open.add(serve::kill);
         registry.tells(41);
@@ -64,7 +74,8 @@
     }
 
     private String call(String path) throws IOException {
-        try (End end = new End(new Socket(serve.operator().getAddress(), serve.operator().getPort()))) {
+        try (End end =
+                new End(new Socket(serve.operator().getAddress(), serve.operator().getPort()))) {
             end.say("GET /admin/" + path + " HTTP/1.1\r\nHost: door\r\n\r\n");
             String all = new String(end.in.readAllBytes(), StandardCharsets.UTF_8);
             return all.substring(all.indexOf("\r\n\r\n") + 4);
@@ -78,8 +89,12 @@
     }
 
     private long figure(String name) throws IOException {
-        return call("stats").lines().filter(line -> line.startsWith("relay_" + name + " ")).findFirst()
-                .map(line -> Long.parseLong(line.split(" ")[1])).orElseThrow(() -> new AssertionError(name));
+        return call("stats")
+                .lines()
+                .filter(line -> line.startsWith("relay_" + name + " "))
+                .findFirst()
+                .map(line -> Long.parseLong(line.split(" ")[1]))
+                .orElseThrow(() -> new AssertionError(name));
     }
 
     /** Waits until that version is in force; the seconds that it took. */
@@ -95,7 +110,10 @@
         return client(profile, 2000).line();
     }
 
-    /** Why there is such a service: a reread of the file alone leaves classes and limits as they were. */
+    /**
+     * Why there is such a service: a reread of the file alone leaves classes and limits as they
+     * were.
+     */
     @Test
     void withoutAServiceAChangedClassOrLimitWaitsForARestart() throws Exception {
         Backend b = new Backend();
@@ -103,7 +121,8 @@
         start(b.entry("s1", "up"));
         assertEquals("UP r1", opened("pay"));
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Files.readString(file).replace("\"name\":\"pay\"", "\"name\":\"bulk\""));
+        Files.writeString(
+                file, Files.readString(file).replace("\"name\":\"pay\"", "\"name\":\"bulk\""));
         serve.reload(() -> Config.json(file));
         await("configurations", 1);
         assertEquals("ERR", opened("bulk"), "the new class is not there");
@@ -113,7 +132,12 @@
     @Test
     void aChangeIsInForceBetweenTwoEventsWhileTunnelsStandAndSetupsAreOut() throws Exception {
         Backend b = new Backend();
-        service(1, 10, map("profiles", map("chat", profile("read_like"), "pay", profile("non_idempotent"))));
+        service(
+                1,
+                10,
+                map(
+                        "profiles",
+                        map("chat", profile("read_like"), "pay", profile("non_idempotent"))));
         start(null, 1000, b.entry("s1", "up"));
         assertEquals(10, figure("settings_version"), "heard before it serves");
         End standing = client("chat", 2000);
@@ -128,7 +152,8 @@
         while (way.bodies.size() == told) {
             Thread.onSpinWait();
         }
-        // Both cross it in one turn: the setup's answer, and a client of a class that is there by the new version only.
+        // Both cross it in one turn: the setup's answer, and a client of a class that is there by
+        // the new version only.
         setup.say("UP r1\r\n");
         End crossing = client("bulk", 2000);
         b.opensAll();
@@ -144,26 +169,34 @@
         atBackend.say("fro\r\n");
         assertEquals("fro", standing.line(), "what stands is as it was");
         String stats = call("stats");
-        assertTrue(stats.contains("{lane=\"pay\",result=\"completed\"} 1"), "what was counted stays: " + stats);
-        assertTrue(stats.contains("{lane=\"bulk\",result=\"completed\"} " + (line.equals("ERR") ? 1 : 2)), stats);
+        assertTrue(
+                stats.contains("{lane=\"pay\",result=\"completed\"} 1"),
+                "what was counted stays: " + stats);
+        assertTrue(
+                stats.contains(
+                        "{lane=\"bulk\",result=\"completed\"} " + (line.equals("ERR") ? 1 : 2)),
+                stats);
     }
 
     @Test
     void aFirstStartWaitsALittleForItsSettingsAndSoDoesOneWithADamagedFile() throws Exception {
         service(1, 1, document("chat"));
         Path kept = Files.createDirectories(folder.resolve("kept"));
-        for (String damaged : List.of("{\"epoch\":9,\"seq\":9,\"since\":1.0,\"settings\":{\"siblings\":",
-                "{\"epoch\":9,\"seq\":9,\"settings\":{\"siblings\":3}}")) {
+        for (String damaged :
+                List.of(
+                        "{\"epoch\":9,\"seq\":9,\"since\":1.0,\"settings\":{\"siblings\":",
+                        "{\"epoch\":9,\"seq\":9,\"settings\":{\"siblings\":3}}")) {
             Files.writeString(kept.resolve("asterpulley-n1.settings"), damaged);
             way.refused = 0;
             way.cut();
-            background(() -> {
-                // It fails a first time.
-                while (way.refused == 0) {
-                    Thread.onSpinWait();
-                }
-                way.mend();
-            });
+            background(
+                    () -> {
+                        // It fails a first time.
+                        while (way.refused == 0) {
+                            Thread.onSpinWait();
+                        }
+                        way.mend();
+                    });
             start(kept, 1000, new Backend().entry("s1", "up"));
             assertEquals(1, figure("settings_version"));
             assertEquals(1, figure("settings_epoch"));
@@ -176,7 +209,11 @@
     void aConnectionThatDoesNotComeUpIsGivenUpByTheNewTime() throws Exception {
         Gate gate = new Gate();
         service(1, 1, document("chat"));
-        start(told -> told.replace("\"probes\":true", "\"probes\":false"), null, 1000, gate.in(new Backend(), "s1"));
+        start(
+                told -> told.replace("\"probes\":true", "\"probes\":false"),
+                null,
+                1000,
+                gate.in(new Backend(), "s1"));
         service.change(map("limits", map("dialTimeoutMs", 60, "mostSetups", 1)));
         inForce(2);
         long since = System.nanoTime();
@@ -196,8 +233,11 @@
         long given = counted("probes_given_up");
         long asked = System.nanoTime();
         await("probes_given_up", given + 2);
-        assertTrue((System.nanoTime() - asked) / 1e9 < 3, "an answer is waited for as long as the shortest goal, 2 s before");
-        // Of the bound of sockets nothing is left: how long clients are sent away is told by settings.
+        assertTrue(
+                (System.nanoTime() - asked) / 1e9 < 3,
+                "an answer is waited for as long as the shortest goal, 2 s before");
+        // Of the bound of sockets nothing is left: how long clients are sent away is told by
+        // settings.
         config(65);
         Config tight = Config.of(withService(folder.resolve("config.json")));
         serve.changeTo(tight);
@@ -238,8 +278,12 @@
         way.mend();
         double took = inForce(6);
         int bytes = way.bodies.stream().skip(before).mapToInt(String::length).sum();
-        System.out.printf("caught up 5 changes in %.2f s with %d bytes, a whole copy is %d%n", took, bytes, whole);
-        assertTrue(way.bodies.stream().skip(before).noneMatch(body -> body.contains("\"whole\":true")), "no whole copy");
+        System.out.printf(
+                "caught up 5 changes in %.2f s with %d bytes, a whole copy is %d%n",
+                took, bytes, whole);
+        assertTrue(
+                way.bodies.stream().skip(before).noneMatch(body -> body.contains("\"whole\":true")),
+                "no whole copy");
         assertTrue(bytes < whole / 5, bytes + " of " + whole);
         // A history that was compacted meanwhile: the whole is all that is left.
         way.cut();
@@ -247,7 +291,8 @@
         service.compact();
         way.mend();
         inForce(7);
-        assertTrue(way.bodies.stream().skip(before).anyMatch(body -> body.contains("\"whole\":true")));
+        assertTrue(
+                way.bodies.stream().skip(before).anyMatch(body -> body.contains("\"whole\":true")));
     }
 
     @Test
@@ -260,19 +305,25 @@
         service.change(map("profiles", map("bulk", null), "limits", map("mostSetups", 0)));
         await("settings_refused", 1);
         Map<String, Object> refused = Json.part(state(), "refused");
-        assertEquals("limits.mostSetups: a whole number from 1 to 100, it is 0", refused.get("where"));
+        assertEquals(
+                "limits.mostSetups: a whole number from 1 to 100, it is 0", refused.get("where"));
         assertEquals(11, ((Number) refused.get("version")).longValue());
         assertEquals(10, figure("settings_version"));
         assertEquals(since, ((Number) state().get("since")).doubleValue());
         assertEquals("UP r1", opened("bulk"), "never half of it");
         service.change(map("limits", map("mostSetups", 2)));
         inForce(12);
-        assertEquals("ERR", opened("bulk"), "what the bad one took away is away with the good one behind it");
+        assertEquals(
+                "ERR",
+                opened("bulk"),
+                "what the bad one took away is away with the good one behind it");
         assertEquals(1, figure("settings_refused_total"));
         assertEquals(1, counted("settings_refused"));
         service.change(map("zones", List.of("elsewhere")));
         await("settings_refused", 2);
-        assertTrue(String.valueOf(Json.part(state(), "refused").get("where")).startsWith("zones: counts from a start"));
+        assertTrue(
+                String.valueOf(Json.part(state(), "refused").get("where"))
+                        .startsWith("zones: counts from a start"));
     }
 
     @Test
@@ -287,8 +338,10 @@
         inForce(3);
         assertEquals(2, figure("settings_epoch"));
         assertEquals("UP r1", opened("bulk"));
-        way.instead.add("{\"epoch\":1,\"seq\":12,\"whole\":true,\"settings\":{\"profiles\":{\"old\":{}}}}");
-        way.instead.add("{\"epoch\":1,\"seq\":12,\"whole\":false,\"changes\":[{\"seq\":12,\"patch\":{\"siblings\":9}}]}");
+        way.instead.add(
+                "{\"epoch\":1,\"seq\":12,\"whole\":true,\"settings\":{\"profiles\":{\"old\":{}}}}");
+        way.instead.add(
+                "{\"epoch\":1,\"seq\":12,\"whole\":false,\"changes\":[{\"seq\":12,\"patch\":{\"siblings\":9}}]}");
         service.change(map("siblings", 3));
         inForce(4);
         service.change(map("siblings", 4));
@@ -300,12 +353,18 @@
         assertEquals("ERR", opened("old"));
     }
 
-    /** Refused, malformed, mute and hasty services: asked again by a pace, and heard within the time that a change has. */
+    /**
+     * Refused, malformed, mute and hasty services: asked again by a pace, and heard within the time
+     * that a change has.
+     */
     @Test
     void aServiceThatFailsIsAskedAgainByAPaceAndHeardInTime() throws Exception {
         service(1, 1, document("chat"));
-        for (String bad : List.of("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "{\"seq\":",
-                "{\"seq\":5,\"whole\":false,\"changes\":[{\"seq\":5,\"patch\":{}}]}")) {
+        for (String bad :
+                List.of(
+                        "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+                        "{\"seq\":",
+                        "{\"seq\":5,\"whole\":false,\"changes\":[{\"seq\":5,\"patch\":{}}]}")) {
             way.instead.add(bad);
         }
         long since = System.nanoTime();
@@ -314,7 +373,8 @@
         double took = (System.nanoTime() - since) / 1e9;
         assertTrue(took > 0.8 && took < 13, "three failures, later each time: " + took);
         assertEquals(2, figure("settings_failures_total"));
-        // One that answers at once, and with nothing: it does not wait, so it is not asked at once again.
+        // One that answers at once, and with nothing: it does not wait, so it is not asked at once
+        // again.
         called("index=1&");
         for (int i = 0; i < 50; i++) {
             way.instead.add("{\"epoch\":1,\"seq\":2,\"whole\":false,\"changes\":[]}");
@@ -327,7 +387,9 @@
         while (System.nanoTime() - from < 1_000_000_000L) {
             Thread.onSpinWait();
         }
-        assertTrue(counted("settings_calls") - calls <= 2, "a second later: " + (counted("settings_calls") - calls));
+        assertTrue(
+                counted("settings_calls") - calls <= 2,
+                "a second later: " + (counted("settings_calls") - calls));
         way.instead.clear();
         service.change(map("siblings", 3));
         assertTrue(inForce(3) < 4.5, "the longest pause is 3.75 s");
@@ -369,9 +431,13 @@
         way.mend();
         inForce(22);
         assertEquals("ERR", opened("bulk"));
-        assertTrue(way.bodies.stream().skip(before).noneMatch(body -> body.contains("\"whole\":true")), "from there on by changes");
+        assertTrue(
+                way.bodies.stream().skip(before).noneMatch(body -> body.contains("\"whole\":true")),
+                "from there on by changes");
         try (var files = Files.list(kept)) {
-            assertFalse(files.anyMatch(f -> f.getFileName().toString().matches(".*settings\\.[0-9]+")), "nothing half written is left");
+            assertFalse(
+                    files.anyMatch(f -> f.getFileName().toString().matches(".*settings\\.[0-9]+")),
+                    "nothing half written is left");
         }
     }
 
--- a/relay/src/test/java/asterpulley/serve/StartTest.java
+++ b/relay/src/test/java/asterpulley/serve/StartTest.java
@@ -22,6 +22,7 @@
 class StartTest extends RelayStage {
     private static final Pattern SERVING = Pattern.compile("serving n1 at 127\\.0\\.0\\.1:(\\d+)");
     private static final int PROCESSES = 20;
+
     /** Nine in ten of them are to be ready by then. */
     private static final double READY = 10;
 
@@ -34,23 +35,32 @@
             nobody.bind(new InetSocketAddress("127.0.0.1", 0));
             return "127.0.0.1:" + nobody.getLocalPort();
         }
-        return "127.0.0.1:" + listen(end -> {
-            for (String line = end.line(); line != null; line = end.line()) {
-                if (line.isEmpty() && trouble == 1) {
-                    end.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-                }
-                // Else it takes the call and says nothing.
-            }
-        }).getLocalPort();
+        return "127.0.0.1:"
+                + listen(
+                                end -> {
+                                    for (String line = end.line();
+                                            line != null;
+                                            line = end.line()) {
+                                        if (line.isEmpty() && trouble == 1) {
+                                            end.say(
+                                                    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+                                        }
+                                        // Else it takes the call and says nothing.
+                                    }
+                                })
+                        .getLocalPort();
     }
 
     private Path told(int n, String entry) throws IOException {
         String discovery = discovery(n % 3);
         config(1000, entry);
         Path file = folder.resolve("config-" + n + ".json");
-        return Files.writeString(file, Files.readString(folder.resolve("config.json"))
-                .replaceFirst("\"discovery\":\"[^\"]*\"", "\"discovery\":\"" + discovery + "\"")
-                .replace("\"subscribe\"", "\"automatic\""));
+        return Files.writeString(
+                file,
+                Files.readString(folder.resolve("config.json"))
+                        .replaceFirst(
+                                "\"discovery\":\"[^\"]*\"", "\"discovery\":\"" + discovery + "\"")
+                        .replace("\"subscribe\"", "\"automatic\""));
     }
 
     /** Seconds from the start of the process to its first yes to a check of the front. */
@@ -61,7 +71,8 @@
         while (true) {
             Matcher serving = SERVING.matcher(Files.exists(log) ? Files.readString(log) : "");
             if (serving.find()) {
-                try (End end = new End(new Socket("127.0.0.1", Integer.parseInt(serving.group(1))))) {
+                try (End end =
+                        new End(new Socket("127.0.0.1", Integer.parseInt(serving.group(1))))) {
                     end.say("PING\r\n");
                     assertEquals("PONG", end.line());
                     return (System.nanoTime() - since) / 1e9;
@@ -73,17 +84,19 @@
     }
 
     @Test
-    void nineInTenOfTwentyProcessesThatStartAtOnceAreReadyInTimeWithoutTheirDiscovery() throws Exception {
+    void nineInTenOfTwentyProcessesThatStartAtOnceAreReadyInTimeWithoutTheirDiscovery()
+            throws Exception {
         Backend one = new Backend();
         Config slow = Config.read(told(2, one.entry("s1", "up")));
         CompletableFuture<Double> slowStart = new CompletableFuture<>();
-        background(() -> {
-            try {
-                slowStart.complete(slowStart(slow));
-            } catch (Throwable e) {
-                slowStart.completeExceptionally(e);
-            }
-        });
+        background(
+                () -> {
+                    try {
+                        slowStart.complete(slowStart(slow));
+                    } catch (Throwable e) {
+                        slowStart.completeExceptionally(e);
+                    }
+                });
         List<CompletableFuture<Double>> starts = new ArrayList<>();
         List<Path> configs = new ArrayList<>();
         for (int i = 0; i < PROCESSES; i++) {
@@ -93,16 +106,18 @@
             Path log = folder.resolve("log-" + i);
             ProcessBuilder run = process(configs.get(i), log);
             // As deploy/run starts it.
-            run.command().addAll(1, List.of("-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xss512k"));
+            run.command()
+                    .addAll(1, List.of("-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xss512k"));
             CompletableFuture<Double> start = new CompletableFuture<>();
             starts.add(start);
-            background(() -> {
-                try {
-                    start.complete(ready(run, log));
-                } catch (Throwable e) {
-                    start.completeExceptionally(e);
-                }
-            });
+            background(
+                    () -> {
+                        try {
+                            start.complete(ready(run, log));
+                        } catch (Throwable e) {
+                            start.completeExceptionally(e);
+                        }
+                    });
         }
         List<Double> took = new ArrayList<>();
         for (CompletableFuture<Double> start : starts) {
@@ -111,7 +126,9 @@
         took.sort(null);
         assertTrue(took.get(PROCESSES * 9 / 10 - 1) < READY, "ready after " + took);
         double waited = slowStart.get(20, TimeUnit.SECONDS);
-        assertTrue(waited < 1.5, "a start of 4.6 s waits no 2.5 s more for a silent discovery: " + waited);
+        assertTrue(
+                waited < 1.5,
+                "a start of 4.6 s waits no 2.5 s more for a silent discovery: " + waited);
     }
 
     /** Seconds that a start waits for the list which has taken 4.6 s until then. */
--- a/relay/src/test/java/asterpulley/serve/ToldTest.java
+++ b/relay/src/test/java/asterpulley/serve/ToldTest.java
@@ -16,7 +16,10 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** What a relay is told: any part of it may be missing, null or of the wrong kind, and no name passes for another. */
+/**
+ * What a relay is told: any part of it may be missing, null or of the wrong kind, and no name
+ * passes for another.
+ */
 class ToldTest {
     private static Map<String, Object> map(Object... namesAndValues) {
         Map<String, Object> map = new LinkedHashMap<>();
@@ -27,26 +30,140 @@
     }
 
     private static Map<String, Object> told() {
-        return map("name", "n1", "listen", "127.0.0.1:0", "discovery", "127.0.0.1:1", "seed", "1f",
-                "limits", map("sockets", 600L, "memory_mb", 96L),
-                "known", map("seq", 4L, "whole", true, "hosts", new ArrayList<>(List.of(map("host", "s1", "dial", "127.0.0.1:2",
-                        "site", "a", "class", "m", "block", 0L, "health", "up", "born_ms", 0L)))),
-                "settings", map("zones", List.of("a", "b"), "models", List.of("m"), "siblings", 3L, "myZone", 1L, "tickMs", 4.0,
-                        "registryMode", "subscribe", "excessCredit", 0.2,
-                        "tenants", new ArrayList<>(List.of(map("name", "acme", "share", 0.5), map("name", "umbra", "share", 0.5))),
-                        "profiles", new ArrayList<>(List.of(map("name", "chat", "effect", "idempotency_key", "group", "zone",
-                                "clientTimeoutMs", 3000.0, "setupGoalMs", 300.0, "credit", 2.0, "windowMs", 500.0))),
-                        "limits", map("probes", true, "retryAfter", true, "maxRetryAfterMs", 1000.0, "mostSetups", 4L,
-                                "dialTimeoutMs", 250.0),
-                        "rules", map("askEveryMs", 10000.0, "drainGraceMs", 500.0, "coldFrom", 0.1, "coldMs", 9000.0,
-                                "fallMultiple", 4.0, "fallMs", 1000.0, "budgetFree", 1.0, "furtherRatio", 0.1, "lookBackMs", 500.0),
-                        "fees", map("crossZone", 0.02, "probe", 0.005), "scoreParts", map("logLossPart", 0.1, "topNines", 3.0),
-                        "familyInfo", map("mode", "proxy", "groups", true)));
+        return map(
+                "name",
+                "n1",
+                "listen",
+                "127.0.0.1:0",
+                "discovery",
+                "127.0.0.1:1",
+                "seed",
+                "1f",
+                "limits",
+                map("sockets", 600L, "memory_mb", 96L),
+                "known",
+                map(
+                        "seq",
+                        4L,
+                        "whole",
+                        true,
+                        "hosts",
+                        new ArrayList<>(
+                                List.of(
+                                        map(
+                                                "host",
+                                                "s1",
+                                                "dial",
+                                                "127.0.0.1:2",
+                                                "site",
+                                                "a",
+                                                "class",
+                                                "m",
+                                                "block",
+                                                0L,
+                                                "health",
+                                                "up",
+                                                "born_ms",
+                                                0L)))),
+                "settings",
+                map(
+                        "zones",
+                        List.of("a", "b"),
+                        "models",
+                        List.of("m"),
+                        "siblings",
+                        3L,
+                        "myZone",
+                        1L,
+                        "tickMs",
+                        4.0,
+                        "registryMode",
+                        "subscribe",
+                        "excessCredit",
+                        0.2,
+                        "tenants",
+                        new ArrayList<>(
+                                List.of(
+                                        map("name", "acme", "share", 0.5),
+                                        map("name", "umbra", "share", 0.5))),
+                        "profiles",
+                        new ArrayList<>(
+                                List.of(
+                                        map(
+                                                "name",
+                                                "chat",
+                                                "effect",
+                                                "idempotency_key",
+                                                "group",
+                                                "zone",
+                                                "clientTimeoutMs",
+                                                3000.0,
+                                                "setupGoalMs",
+                                                300.0,
+                                                "credit",
+                                                2.0,
+                                                "windowMs",
+                                                500.0))),
+                        "limits",
+                        map(
+                                "probes",
+                                true,
+                                "retryAfter",
+                                true,
+                                "maxRetryAfterMs",
+                                1000.0,
+                                "mostSetups",
+                                4L,
+                                "dialTimeoutMs",
+                                250.0),
+                        "rules",
+                        map(
+                                "askEveryMs",
+                                10000.0,
+                                "drainGraceMs",
+                                500.0,
+                                "coldFrom",
+                                0.1,
+                                "coldMs",
+                                9000.0,
+                                "fallMultiple",
+                                4.0,
+                                "fallMs",
+                                1000.0,
+                                "budgetFree",
+                                1.0,
+                                "furtherRatio",
+                                0.1,
+                                "lookBackMs",
+                                500.0),
+                        "fees",
+                        map("crossZone", 0.02, "probe", 0.005),
+                        "scoreParts",
+                        map("logLossPart", 0.1, "topNines", 3.0),
+                        "familyInfo",
+                        map("mode", "proxy", "groups", true)));
     }
 
-    /** Where a message names the place by other words than the field itself, or a field within it that is missing then. */
-    private static final Map<String, String> PLACES = Map.of("tenants", "a tenant", "profiles", "profile", "known", "hosts",
-            "settings", "profiles", "seed", "hexadecimal", "listen", "address", "discovery", "address");
+    /**
+     * Where a message names the place by other words than the field itself, or a field within it
+     * that is missing then.
+     */
+    private static final Map<String, String> PLACES =
+            Map.of(
+                    "tenants",
+                    "a tenant",
+                    "profiles",
+                    "profile",
+                    "known",
+                    "hosts",
+                    "settings",
+                    "profiles",
+                    "seed",
+                    "hexadecimal",
+                    "listen",
+                    "address",
+                    "discovery",
+                    "address");
 
     private interface Edit {
         void at(Map<String, Object> in, String name);
@@ -72,23 +189,30 @@
 
     @Test
     void whatIsMissingNullOrOfTheWrongKindIsReadAsUsualOrToldByItsPlace() {
-        List<Object> wrong = Arrays.asList(null, "words", -1L, new ArrayList<>(List.of(7L)), new HashMap<>(), true);
+        List<Object> wrong =
+                Arrays.asList(
+                        null, "words", -1L, new ArrayList<>(List.of(7L)), new HashMap<>(), true);
         List<String> unplaced = new ArrayList<>();
         Map<String, Object> told = told();
         List<Edit> edits = new ArrayList<>(List.of((in, name) -> in.remove(name)));
         wrong.forEach(value -> edits.add((in, name) -> in.put(name, value)));
         for (Edit edit : edits) {
-            each(told, "the configuration", edit, name -> {
-                try {
-                    Config.of(told);
-                } catch (Json.Malformed e) {
-                    if (!e.getMessage().contains(name) && !e.getMessage().contains(PLACES.getOrDefault(name, name))) {
-                        unplaced.add(name + ": " + e.getMessage());
-                    }
-                } catch (RuntimeException e) {
-                    unplaced.add(name + ": " + e);
-                }
-            });
+            each(
+                    told,
+                    "the configuration",
+                    edit,
+                    name -> {
+                        try {
+                            Config.of(told);
+                        } catch (Json.Malformed e) {
+                            if (!e.getMessage().contains(name)
+                                    && !e.getMessage().contains(PLACES.getOrDefault(name, name))) {
+                                unplaced.add(name + ": " + e.getMessage());
+                            }
+                        } catch (RuntimeException e) {
+                            unplaced.add(name + ": " + e);
+                        }
+                    });
         }
         assertEquals(List.of(), unplaced);
         assertEquals(4, Config.of(told).known.version(), "as it was");
@@ -108,17 +232,43 @@
         Config config = Config.of(told());
         List<Object> hosts = new ArrayList<>();
         for (String site : List.of("a", "b", "c", "d", "c")) {
-            hosts.add(map("host", "s" + hosts.size(), "site", site, "class", "x" + site, "block", "k" + site, "health", "up"));
+            hosts.add(
+                    map(
+                            "host",
+                            "s" + hosts.size(),
+                            "site",
+                            site,
+                            "class",
+                            "x" + site,
+                            "block",
+                            "k" + site,
+                            "health",
+                            "up"));
         }
-        var servers = Fleet.read(map("seq", 9L, "whole", true, "hosts", hosts), config.names).servers();
+        var servers =
+                Fleet.read(map("seq", 9L, "whole", true, "hosts", hosts), config.names).servers();
         assertEquals(List.of(0, 1), servers.stream().map(s -> s.zone()).limit(2).toList());
         assertEquals(4, servers.stream().map(s -> s.zone()).distinct().count());
         assertEquals(servers.get(2).zone(), servers.get(4).zone());
-        assertEquals(1, Fleet.read(map("seq", 9L, "whole", true, "hosts", List.of(map("host", "n", "site", 1L, "health", "up"))),
-                config.names).servers().get(0).zone());
+        assertEquals(
+                1,
+                Fleet.read(
+                                map(
+                                        "seq",
+                                        9L,
+                                        "whole",
+                                        true,
+                                        "hosts",
+                                        List.of(map("host", "n", "site", 1L, "health", "up"))),
+                                config.names)
+                        .servers()
+                        .get(0)
+                        .zone());
         assertEquals(servers.get(2).cell(), servers.get(4).cell());
         assertNotEquals(servers.get(2).cell(), servers.get(3).cell());
         assertNotEquals(servers.get(0).model(), servers.get(1).model());
-        assertTrue(Config.of(told()).names != config.names, "two relays of one process share nothing of it");
+        assertTrue(
+                Config.of(told()).names != config.names,
+                "two relays of one process share nothing of it");
     }
 }
--- a/relay/src/test/java/asterpulley/serve/UpgradeTest.java
+++ b/relay/src/test/java/asterpulley/serve/UpgradeTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A relay that is replaced while it serves, as operators do it: two processes of their own, one address for clients. */
+/**
+ * A relay that is replaced while it serves, as operators do it: two processes of their own, one
+ * address for clients.
+ */
 @Timeout(120)
 class UpgradeTest extends RelayStage {
     private int listen;
@@ -39,8 +42,16 @@
                 entries.add(backends[b].entry("s" + (b + 1), "up"));
             }
             config(1000, entries.toArray(String[]::new));
-            Files.writeString(config, Files.readString(folder.resolve("config.json"))
-                    .replace("127.0.0.1:0\"", "127.0.0.1:" + listen + "\",\"operator\":\"127.0.0.1:" + door + "\""));
+            Files.writeString(
+                    config,
+                    Files.readString(folder.resolve("config.json"))
+                            .replace(
+                                    "127.0.0.1:0\"",
+                                    "127.0.0.1:"
+                                            + listen
+                                            + "\",\"operator\":\"127.0.0.1:"
+                                            + door
+                                            + "\""));
             registry.tells(41);
             log = folder.resolve("log-" + door);
             ProcessBuilder run = process(config, log);
@@ -61,7 +72,11 @@
         /** The status; 0 where nobody answers. */
         int call(String method, String path) {
             try (End end = new End(new Socket("127.0.0.1", door))) {
-                end.say(method + " /admin/" + path + " HTTP/1.1\r\nHost: d\r\nContent-Length: 0\r\n\r\n");
+                end.say(
+                        method
+                                + " /admin/"
+                                + path
+                                + " HTTP/1.1\r\nHost: d\r\nContent-Length: 0\r\n\r\n");
                 return Integer.parseInt(end.line().split(" ")[1]);
             } catch (IOException e) {
                 return 0;
@@ -71,9 +86,12 @@
         long figure(String name) throws IOException {
             try (End end = new End(new Socket("127.0.0.1", door))) {
                 end.say("GET /admin/stats HTTP/1.1\r\nHost: d\r\n\r\n");
-                return new String(end.in.readAllBytes(), StandardCharsets.UTF_8).lines()
-                        .filter(l -> l.startsWith("relay_" + name + " ")).map(l -> Long.parseLong(l.split(" ")[1]))
-                        .findFirst().orElseThrow();
+                return new String(end.in.readAllBytes(), StandardCharsets.UTF_8)
+                        .lines()
+                        .filter(l -> l.startsWith("relay_" + name + " "))
+                        .map(l -> Long.parseLong(l.split(" ")[1]))
+                        .findFirst()
+                        .orElseThrow();
             }
         }
 
@@ -98,17 +116,21 @@
 
     private Backend openingBackend() throws IOException {
         Backend b = new Backend();
-        background(() -> {
-            while (true) {
-                End end = b.opens();
-                background(() -> {
-                    for (String line = end.line(); line != null; line = end.line()) {
-                        end.say(line + "\r\n");
+        background(
+                () -> {
+                    while (true) {
+                        End end = b.opens();
+                        background(
+                                () -> {
+                                    for (String line = end.line();
+                                            line != null;
+                                            line = end.line()) {
+                                        end.say(line + "\r\n");
+                                    }
+                                    end.close();
+                                });
                     }
-                    end.close();
                 });
-            }
-        });
         return b;
     }
 
@@ -116,7 +138,10 @@
     private String tries(String id) {
         try (Socket socket = new Socket("127.0.0.1", listen)) {
             socket.setSoTimeout(5000);
-            socket.getOutputStream().write(("OPEN " + id + " 7f3a c=chat,t=acme,d=2000\r\n").getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(
+                            ("OPEN " + id + " 7f3a c=chat,t=acme,d=2000\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
             InputStream in = socket.getInputStream();
             int first = in.read();
             return first == 'U' || first == 'B' ? null : "ended with " + first;
@@ -136,23 +161,27 @@
         List<Thread> load = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
             // So many at once that some always wait in the queue.
-            load.add(new Thread(() -> {
-                while (!over.get()) {
-                    String what = tries(Integer.toHexString(ids.incrementAndGet()));
-                    if (what == null) {
-                        served.incrementAndGet();
-                    } else {
-                        lost.add(what);
-                    }
-                }
-            }));
+            load.add(
+                    new Thread(
+                            () -> {
+                                while (!over.get()) {
+                                    String what = tries(Integer.toHexString(ids.incrementAndGet()));
+                                    if (what == null) {
+                                        served.incrementAndGet();
+                                    } else {
+                                        lost.add(what);
+                                    }
+                                }
+                            }));
         }
         load.forEach(Thread::start);
         int upgrades = 3;
         for (int i = 0; i < upgrades; i++) {
             Relay next = new Relay(b).ready();
             now.leave();
-            assertTrue(Files.readString(now.log).contains("another process serves"), Files.readString(now.log));
+            assertTrue(
+                    Files.readString(now.log).contains("another process serves"),
+                    Files.readString(now.log));
             now = next;
         }
         over.set(true);
@@ -160,7 +189,8 @@
             one.join();
         }
         assertTrue(served.get() > 500, "served " + served);
-        assertTrue(lost.size() <= 2 * upgrades, "of " + served + " lost " + lost.size() + ": " + lost);
+        assertTrue(
+                lost.size() <= 2 * upgrades, "of " + served + " lost " + lost.size() + ": " + lost);
     }
 
     @Test
@@ -218,7 +248,9 @@
             Thread.sleep(5);
         }
         Relay next = new Relay(b).ready();
-        assertTrue(Files.readString(next.log).contains("taken over: what another process had learned"));
+        assertTrue(
+                Files.readString(next.log)
+                        .contains("taken over: what another process had learned"));
         old.leave();
         assertEquals("MOVE", standing.line());
         assertEquals(null, tries("c2"));
--- a/relay/src/test/java/asterpulley/settings/InForceTest.java
+++ b/relay/src/test/java/asterpulley/settings/InForceTest.java
@@ -35,14 +35,29 @@
     }
 
     private static Map<String, Object> own() {
-        return map("zones", List.of("a", "b"), "models", List.of("m"), "myZone", 1, "siblings", 2, "registryMode", "subscribe",
-                "profiles", List.of(map("name", "chat", "effect", "read_like", "setupGoalMs", 300)),
-                "tenants", List.of(map("name", "acme", "share", 0.5)), "tickMs", 4.0,
-                "limits", map("probes", true, "mostSetups", 3, "dialTimeoutMs", 1000.0));
+        return map(
+                "zones",
+                List.of("a", "b"),
+                "models",
+                List.of("m"),
+                "myZone",
+                1,
+                "siblings",
+                2,
+                "registryMode",
+                "subscribe",
+                "profiles",
+                List.of(map("name", "chat", "effect", "read_like", "setupGoalMs", 300)),
+                "tenants",
+                List.of(map("name", "acme", "share", 0.5)),
+                "tickMs",
+                4.0,
+                "limits",
+                map("probes", true, "mostSetups", 3, "dialTimeoutMs", 1000.0));
     }
 
     private static InForce relay() {
-        return new InForce(own(), all -> { }, 0);
+        return new InForce(own(), all -> {}, 0);
     }
 
     private static Map<String, Object> whole(long epoch, long seq, Object settings) {
@@ -57,12 +72,17 @@
         return map("epoch", epoch, "seq", seq, "whole", false, "changes", all);
     }
 
-    /** What is in force, by name and without what was taken away: places may differ by the way that led there. */
+    /**
+     * What is in force, by name and without what was taken away: places may differ by the way that
+     * led there.
+     */
     private static Map<String, Object> inForce(InForce relay) {
         Map<String, Object> all = new TreeMap<>(relay.effective());
         for (String list : List.of("profiles", "tenants")) {
             Map<String, Object> byName = new TreeMap<>();
-            Json.list(all, list).stream().map(o -> Json.object(o, "one")).filter(one -> !Json.flag(one, SettingsDecoder.RETIRED))
+            Json.list(all, list).stream()
+                    .map(o -> Json.object(o, "one"))
+                    .filter(one -> !Json.flag(one, SettingsDecoder.RETIRED))
                     .forEach(one -> byName.put(String.valueOf(one.get("name")), one));
             all.put(list, byName);
         }
@@ -76,15 +96,42 @@
         List<Object> patches = new ArrayList<>();
         for (int i = 0; i < length; i++) {
             String name = List.of("chat", "bulk", "pay").get(random.nextInt(3));
-            patches.add(switch (random.nextInt(9)) {
-                case 0 -> map("profiles", map(name, null));
-                case 1 -> map("profiles", map(name, map("clientTimeoutMs", 100 + random.nextInt(400))));
-                case 2 -> map("limits", map("mostSetups", random.nextInt(5)));
-                case 3 -> map("tenants", map("t" + random.nextInt(4), random.nextBoolean() ? null : map("share", random.nextInt(3) / 2.0)));
-                case 4 -> map("rules", map("coldMs", 1000 + random.nextInt(5000)));
-                case 5 -> map(random.nextInt(3) == 0 ? "zones" : "siblings", random.nextInt(3) == 0 ? List.of("z") : 1 + random.nextInt(9));
-                default -> map("profiles", map(name, map("setupGoalMs", 90 + random.nextInt(300), "effect", "read_like")));
-            });
+            patches.add(
+                    switch (random.nextInt(9)) {
+                        case 0 -> map("profiles", map(name, null));
+                        case 1 ->
+                                map(
+                                        "profiles",
+                                        map(
+                                                name,
+                                                map("clientTimeoutMs", 100 + random.nextInt(400))));
+                        case 2 -> map("limits", map("mostSetups", random.nextInt(5)));
+                        case 3 ->
+                                map(
+                                        "tenants",
+                                        map(
+                                                "t" + random.nextInt(4),
+                                                random.nextBoolean()
+                                                        ? null
+                                                        : map("share", random.nextInt(3) / 2.0)));
+                        case 4 -> map("rules", map("coldMs", 1000 + random.nextInt(5000)));
+                        case 5 ->
+                                map(
+                                        random.nextInt(3) == 0 ? "zones" : "siblings",
+                                        random.nextInt(3) == 0
+                                                ? List.of("z")
+                                                : 1 + random.nextInt(9));
+                        default ->
+                                map(
+                                        "profiles",
+                                        map(
+                                                name,
+                                                map(
+                                                        "setupGoalMs",
+                                                        90 + random.nextInt(300),
+                                                        "effect",
+                                                        "read_like")));
+                    });
         }
         return patches;
     }
@@ -92,12 +139,17 @@
     private static List<Object> documents(List<Object> patches) {
         List<Object> documents = new ArrayList<>();
         documents.add(map("profiles", map("chat", map("setupGoalMs", 200))));
-        patches.forEach(patch -> documents.add(MergePatch.apply(documents.get(documents.size() - 1), patch)));
+        patches.forEach(
+                patch ->
+                        documents.add(
+                                MergePatch.apply(documents.get(documents.size() - 1), patch)));
         return documents;
     }
 
     @Property(tries = 600, seed = "6")
-    void anySequenceEndsAsAllInTheirOrderWouldAndIsNeverBetweenTwo(@ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int length,
+    void anySequenceEndsAsAllInTheirOrderWouldAndIsNeverBetweenTwo(
+            @ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 12) int length,
             @ForAll @IntRange(max = 12) int answers) {
         Random random = new Random(seed);
         Map<Version, Map<String, Object>> good = new HashMap<>();
@@ -107,7 +159,12 @@
         for (int e = 0; e < 2; e++) {
             InForce ordered = relay();
             for (int v = 0; v <= length; v++) {
-                var verdict = ordered.told(v == 0 ? whole(e + 1, 0, documents.get(e).get(0)) : changes(e + 1, v, v, patches.get(e).get(v - 1)), v);
+                var verdict =
+                        ordered.told(
+                                v == 0
+                                        ? whole(e + 1, 0, documents.get(e).get(0))
+                                        : changes(e + 1, v, v, patches.get(e).get(v - 1)),
+                                v);
                 if (verdict.kind() == Kind.IN_FORCE) {
                     good.put(new Version(e + 1, v), inForce(ordered));
                 }
@@ -118,9 +175,15 @@
         for (int i = 0; i <= answers; i++) {
             boolean last = i == answers;
             int e = last ? 1 : random.nextInt(2);
-            int from = last && !relay.wholeWanted() && relay.told().epoch() == 2 ? (int) relay.told().seq() : random.nextInt(length + 1);
+            int from =
+                    last && !relay.wholeWanted() && relay.told().epoch() == 2
+                            ? (int) relay.told().seq()
+                            : random.nextInt(length + 1);
             int to = last ? length : from + random.nextInt(length + 1 - from);
-            boolean whole = last ? relay.wholeWanted() || relay.told().epoch() != 2 : random.nextInt(3) == 0;
+            boolean whole =
+                    last
+                            ? relay.wholeWanted() || relay.told().epoch() != 2
+                            : random.nextInt(3) == 0;
             Map<String, Object> answer;
             if (whole) {
                 answer = whole(e + 1, to, documents.get(e).get(to));
@@ -138,8 +201,13 @@
             Version before = relay.version();
             var verdict = relay.told(answer, i);
             assertEquals(!relay.version().equals(before), verdict.changed());
-            assertTrue(relay.version().compareTo(before) >= 0, "never back: " + before + " to " + relay.version());
-            assertEquals(good.get(relay.version()), inForce(relay), "one of the versions, whole: " + relay.version());
+            assertTrue(
+                    relay.version().compareTo(before) >= 0,
+                    "never back: " + before + " to " + relay.version());
+            assertEquals(
+                    good.get(relay.version()),
+                    inForce(relay),
+                    "one of the versions, whole: " + relay.version());
             List<String> now = relay.settings().profiles.stream().map(p -> p.name).toList();
             assertEquals(places, now.subList(0, places.size()), "a place is a name's for good");
             places = now;
@@ -152,9 +220,13 @@
         }
     }
 
-    /** The same changes one by one, all at once, and in two parts: the same version is in force, the last good one. */
+    /**
+     * The same changes one by one, all at once, and in two parts: the same version is in force, the
+     * last good one.
+     */
     @Property(tries = 300, seed = "6")
-    void howManyComeInOneAnswerMakesNoDifference(@ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int length) {
+    void howManyComeInOneAnswerMakesNoDifference(
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int length) {
         Random random = new Random(seed);
         List<Object> patches = history(random, length);
         int cut = random.nextInt(length + 1);
@@ -180,28 +252,56 @@
     @Test
     void whatIsRefusedIsToldByItsPlaceAndTheLastGoodOneStays() {
         InForce relay = relay();
-        assertEquals(Kind.IN_FORCE, relay.told(whole(1, 5, map("limits", map("mostSetups", 2))), 5).kind());
+        assertEquals(
+                Kind.IN_FORCE,
+                relay.told(whole(1, 5, map("limits", map("mostSetups", 2))), 5).kind());
         Map<String, Object> was = inForce(relay);
         long seq = 5;
         Object[][] wrong = {
             {map("limits", map("mostSetups", "two")), "limits.mostSetups: not a number"},
-            {map("limits", map("mostSetups", 1.5)), "limits.mostSetups: a whole number from 1 to 100, it is 1.5"},
+            {
+                map("limits", map("mostSetups", 1.5)),
+                "limits.mostSetups: a whole number from 1 to 100, it is 1.5"
+            },
             {map("limits", map("mostSetup", 2)), "limits.mostSetup: no such key"},
-            {map("limits", map("probes", false)), "limits.probes: counts from a start, by the relay's own file, which says true"},
-            {map("zones", List.of("a")), "zones: counts from a start, by the relay's own file, which says [\"a\",\"b\"]"},
-            {map("lanes", 1), "lanes: no such key"}, {map("rules", 7), "rules: not an object"},
+            {
+                map("limits", map("probes", false)),
+                "limits.probes: counts from a start, by the relay's own file, which says true"
+            },
+            {
+                map("zones", List.of("a")),
+                "zones: counts from a start, by the relay's own file, which says [\"a\",\"b\"]"
+            },
+            {map("lanes", 1), "lanes: no such key"},
+            {map("rules", 7), "rules: not an object"},
             {map("fees", map("probe", 2)), "fees.probe: from 0 to 1, it is 2"},
             {map("profiles", List.of()), "profiles: none is left"},
-            {map("profiles", map("chat", map("effect", "twice"))), "profiles.chat.effect: none of read_like, idempotency_key, non_idempotent"},
+            {
+                map("profiles", map("chat", map("effect", "twice"))),
+                "profiles.chat.effect: none of read_like, idempotency_key, non_idempotent"
+            },
             {map("profiles", map("chat", 3)), "profiles.chat: not an object"},
-            {map("profiles", map("chat", map("setupGoalMs", 900, "clientTimeoutMs", 800))), "profiles.chat.clientTimeoutMs: below setupGoalMs"},
-            {map("profiles", List.of(map("name", "x"), map("name", "x"))), "profiles[1].name: 'x' is there twice"},
-            {map("tenants", map("acme", map("share", -0.5))), "tenants.acme.share: from 0 to 1, it is -0.5"},
-            {map("tenants", "all"), "tenants: neither an object nor a list"}, {"words", "settings: not an object"}};
+            {
+                map("profiles", map("chat", map("setupGoalMs", 900, "clientTimeoutMs", 800))),
+                "profiles.chat.clientTimeoutMs: below setupGoalMs"
+            },
+            {
+                map("profiles", List.of(map("name", "x"), map("name", "x"))),
+                "profiles[1].name: 'x' is there twice"
+            },
+            {
+                map("tenants", map("acme", map("share", -0.5))),
+                "tenants.acme.share: from 0 to 1, it is -0.5"
+            },
+            {map("tenants", "all"), "tenants: neither an object nor a list"},
+            {"words", "settings: not an object"}
+        };
         for (Object[] one : wrong) {
             var verdict = relay.told(whole(1, ++seq, one[0]), seq);
-            assertEquals(Kind.REFUSED, verdict.kind(), relay.refused() + " for " + Arrays.toString(one));
-            assertTrue(relay.refused().where().startsWith((String) one[1]), relay.refused().where());
+            assertEquals(
+                    Kind.REFUSED, verdict.kind(), relay.refused() + " for " + Arrays.toString(one));
+            assertTrue(
+                    relay.refused().where().startsWith((String) one[1]), relay.refused().where());
             assertEquals(new Version(1, seq), relay.refused().version());
             assertEquals(new Version(1, 5), relay.version());
             assertEquals(was, inForce(relay));
@@ -211,19 +311,28 @@
         assertEquals(5, relay.since());
         // A good one after them, as a change from what was refused.
         relay.told(whole(1, ++seq, map("limits", map("mostSetups", 0))), 30);
-        assertEquals(Kind.IN_FORCE, relay.told(changes(1, seq + 1, seq + 1, map("limits", map("mostSetups", 4))), 31).kind());
+        assertEquals(
+                Kind.IN_FORCE,
+                relay.told(changes(1, seq + 1, seq + 1, map("limits", map("mostSetups", 4))), 31)
+                        .kind());
         assertEquals(4, relay.settings().mostSetups);
         assertEquals(31, relay.since());
     }
 
     @Test
     void whoElseReadsSettingsMayRefuseThem() {
-        InForce relay = new InForce(own(), all -> {
-            if (Json.list(all, "tenants").size() > 1) {
-                throw new Json.Malformed("pools: one customer too many");
-            }
-        }, 0);
-        assertEquals(Kind.REFUSED, relay.told(whole(1, 1, map("tenants", map("a", map(), "b", map()))), 1).kind());
+        InForce relay =
+                new InForce(
+                        own(),
+                        all -> {
+                            if (Json.list(all, "tenants").size() > 1) {
+                                throw new Json.Malformed("pools: one customer too many");
+                            }
+                        },
+                        0);
+        assertEquals(
+                Kind.REFUSED,
+                relay.told(whole(1, 1, map("tenants", map("a", map(), "b", map()))), 1).kind());
         assertEquals("pools: one customer too many", relay.refused().where());
         assertEquals(List.of(0.5), relay.settings().shares);
     }
@@ -231,36 +340,75 @@
     @Test
     void oldAnswersAndOtherHistoriesAreToldApart() {
         InForce relay = relay();
-        assertEquals(Kind.GAP, relay.told(changes(3, 9, 9, map()), 1).kind(), "nothing to change yet");
+        assertEquals(
+                Kind.GAP, relay.told(changes(3, 9, 9, map()), 1).kind(), "nothing to change yet");
         assertTrue(relay.wholeWanted());
         relay.told(whole(3, 9, map("siblings", 4)), 1);
         assertEquals(Kind.STALE, relay.told(whole(3, 8, map("siblings", 5)), 2).kind());
-        assertEquals(Kind.STALE, relay.told(whole(2, 99, map("siblings", 5)), 2).kind(), "an older history");
-        assertEquals(Kind.GAP, relay.told(changes(3, 11, 11, map("siblings", 6)), 2).kind(), "10 is missing");
+        assertEquals(
+                Kind.STALE,
+                relay.told(whole(2, 99, map("siblings", 5)), 2).kind(),
+                "an older history");
+        assertEquals(
+                Kind.GAP,
+                relay.told(changes(3, 11, 11, map("siblings", 6)), 2).kind(),
+                "10 is missing");
         assertEquals(Kind.IN_FORCE, relay.told(whole(3, 11, map("siblings", 6)), 2).kind());
-        assertEquals(Kind.GAP, relay.told(changes(4, 12, 12, map("siblings", 7)), 2).kind(), "of another history");
+        assertEquals(
+                Kind.GAP,
+                relay.told(changes(4, 12, 12, map("siblings", 7)), 2).kind(),
+                "of another history");
         assertEquals(6, relay.settings().siblings);
-        assertEquals(Kind.IN_FORCE, relay.told(whole(4, 2, map("siblings", 8)), 2).kind(), "lower, but of the later one");
+        assertEquals(
+                Kind.IN_FORCE,
+                relay.told(whole(4, 2, map("siblings", 8)), 2).kind(),
+                "lower, but of the later one");
         assertEquals(8, relay.settings().siblings);
         relay.moved();
-        assertEquals(Kind.IN_FORCE, relay.told(whole(1, 1, map("siblings", 9)), 2).kind(), "another service's whole counts");
-        for (Map<String, Object> malformed : List.of(map("seq", 5), map("seq", 5, "whole", true), map("whole", true, "settings", map()),
-                map("epoch", 1, "seq", 5, "whole", false, "changes", List.of(map("seq", 5))),
-                map("epoch", 1, "seq", 5, "changes", List.of(map("seq", 2, "patch", map("siblings", 1)), 7)),
-                map("epoch", "x", "seq", 5, "whole", true, "settings", map()), whole(1, -1, map()))) {
+        assertEquals(
+                Kind.IN_FORCE,
+                relay.told(whole(1, 1, map("siblings", 9)), 2).kind(),
+                "another service's whole counts");
+        for (Map<String, Object> malformed :
+                List.of(
+                        map("seq", 5),
+                        map("seq", 5, "whole", true),
+                        map("whole", true, "settings", map()),
+                        map(
+                                "epoch",
+                                1,
+                                "seq",
+                                5,
+                                "whole",
+                                false,
+                                "changes",
+                                List.of(map("seq", 5))),
+                        map(
+                                "epoch",
+                                1,
+                                "seq",
+                                5,
+                                "changes",
+                                List.of(map("seq", 2, "patch", map("siblings", 1)), 7)),
+                        map("epoch", "x", "seq", 5, "whole", true, "settings", map()),
+                        whole(1, -1, map()))) {
             assertThrows(Json.Malformed.class, () -> relay.told(malformed, 3));
             assertEquals(new Version(1, 1), relay.told());
             assertEquals(9, relay.settings().siblings);
         }
     }
 
-    /** One machine of a service that tells what is nobody's version must not shut out the others' for good. */
+    /**
+     * One machine of a service that tells what is nobody's version must not shut out the others'
+     * for good.
+     */
     @Test
     void aRefusedVersionFarAheadShutsNothingOut() {
         InForce relay = relay();
         relay.told(whole(1, 5, map("siblings", 5)), 1);
         assertEquals(Kind.REFUSED, relay.told(whole(9, 999, map("siblings", "many")), 2).kind());
-        assertEquals(Kind.GAP, relay.told(changes(1, 5), 3).kind(), "the others know no such version");
+        assertEquals(
+                Kind.GAP, relay.told(changes(1, 5), 3).kind(), "the others know no such version");
         assertEquals(Kind.SAME, relay.told(whole(1, 5, map("siblings", 5)), 3).kind());
         assertEquals(Kind.IN_FORCE, relay.told(changes(1, 6, 6, map("siblings", 6)), 4).kind());
         relay.told(changes(1, 999, 7, map("siblings", "many")), 5);
@@ -271,20 +419,40 @@
     @Test
     void whatWasTakenAwayKeepsItsPlaceAndComesBackToIt() {
         InForce relay = relay();
-        relay.told(whole(1, 1, map("profiles", map("pay", map("credit", 3), "bulk", map()), "tenants", map("x", map("share", 0.2)))), 1);
-        assertEquals(List.of("chat", "pay", "bulk"), relay.settings().profiles.stream().map(p -> p.name).toList());
-        assertEquals(Map.of("pay", 1, "bulk", 2), SettingsDecoder.current(relay.effective(), "profiles"));
+        relay.told(
+                whole(
+                        1,
+                        1,
+                        map(
+                                "profiles",
+                                map("pay", map("credit", 3), "bulk", map()),
+                                "tenants",
+                                map("x", map("share", 0.2)))),
+                1);
+        assertEquals(
+                List.of("chat", "pay", "bulk"),
+                relay.settings().profiles.stream().map(p -> p.name).toList());
+        assertEquals(
+                Map.of("pay", 1, "bulk", 2),
+                SettingsDecoder.current(relay.effective(), "profiles"));
         assertEquals(Map.of("x", 1), SettingsDecoder.current(relay.effective(), "tenants"));
-        assertEquals(List.of(1.0, 0.2), relay.settings().shares, "who was taken away is over no share");
+        assertEquals(
+                List.of(1.0, 0.2), relay.settings().shares, "who was taken away is over no share");
         assertEquals(0.3, relay.settings().profiles.get(0).setupGoal, "as it was last");
-        relay.told(changes(1, 2, 2, map("profiles", map("pay", null, "chat", map("credit", 5)))), 1);
-        assertEquals(Map.of("chat", 0, "bulk", 2), SettingsDecoder.current(relay.effective(), "profiles"));
+        relay.told(
+                changes(1, 2, 2, map("profiles", map("pay", null, "chat", map("credit", 5)))), 1);
+        assertEquals(
+                Map.of("chat", 0, "bulk", 2),
+                SettingsDecoder.current(relay.effective(), "profiles"));
         assertEquals(3, relay.settings().profiles.get(1).credit);
         assertEquals(0.5, relay.settings().profiles.get(0).setupGoal, "told anew, as told now");
         for (int i = 3; i < 300; i++) {
-            relay.told(changes(1, i, i, map("profiles", map("p" + (i - 1), null, "p" + i, map()))), i);
+            relay.told(
+                    changes(1, i, i, map("profiles", map("p" + (i - 1), null, "p" + i, map()))), i);
         }
-        assertTrue(relay.refused().where().startsWith("profiles: more than 256 names"), relay.refused().where());
+        assertTrue(
+                relay.refused().where().startsWith("profiles: more than 256 names"),
+                relay.refused().where());
         assertEquals(256, relay.settings().profiles.size());
     }
 
@@ -299,10 +467,16 @@
         next.restore(relay.kept());
         assertEquals(new Version(1, 7), next.version(), "the last good one");
         assertEquals(inForce(relay), inForce(next));
-        assertEquals(List.of("chat", "once", "pay"), next.settings().profiles.stream().map(p -> p.name).toList(), "at the same places");
+        assertEquals(
+                List.of("chat", "once", "pay"),
+                next.settings().profiles.stream().map(p -> p.name).toList(),
+                "at the same places");
         assertEquals(7, next.since());
         assertFalse(next.wholeWanted(), "changes are enough");
-        assertEquals(Kind.REFUSED, next.told(changes(1, 8, 8, map("profiles", map("pay", map("credit", "much")))), 9).kind());
+        assertEquals(
+                Kind.REFUSED,
+                next.told(changes(1, 8, 8, map("profiles", map("pay", map("credit", "much")))), 9)
+                        .kind());
         for (String part : List.of("epoch", "seq", "profiles", "customers", "settings")) {
             for (Object wrong : Arrays.asList(null, "x", -7L, List.of(3), map("profiles", 1))) {
                 Map<String, Object> kept = new LinkedHashMap<>(relay.kept());
@@ -312,8 +486,11 @@
                     other.restore(kept);
                 } catch (Json.Malformed e) {
                     assertEquals(Version.NONE, other.version());
-                    assertEquals(inForce(relay()), inForce(other), "as without: " + part + " " + wrong);
-                    assertEquals(List.of("chat"), other.settings().profiles.stream().map(p -> p.name).toList());
+                    assertEquals(
+                            inForce(relay()), inForce(other), "as without: " + part + " " + wrong);
+                    assertEquals(
+                            List.of("chat"),
+                            other.settings().profiles.stream().map(p -> p.name).toList());
                 }
             }
         }
--- a/routes/src/main/java/asterpulley/routes/Guide.java
+++ b/routes/src/main/java/asterpulley/routes/Guide.java
@@ -14,9 +14,10 @@
 import java.util.function.Consumer;
 
 /**
- * Owns the way between a relay and its routes: servers by name, tunnels by number, what is told of them in the order in
- * which it happens, and the answers that the decision module asks for. One for a relay on sockets and in virtual time
- * alike. It must decide nothing that {@link Routes} or {@link WayBack} decide, and never hold a tunnel that is over.
+ * Owns the way between a relay and its routes: servers by name, tunnels by number, what is told of
+ * them in the order in which it happens, and the answers that the decision module asks for. One for
+ * a relay on sockets and in virtual time alike. It must decide nothing that {@link Routes} or
+ * {@link WayBack} decide, and never hold a tunnel that is over.
  */
 public final class Guide {
     /** Reports that make up a mean, at most. */
@@ -40,20 +41,26 @@
     private final WayBack wayBack;
     private final Consumer<String> log, count;
     private final Map<String, Integer> index = new HashMap<>();
+
     /** Servers by the number that the module has for them; -1: not asked for yet. */
     private int[] byNumber = {};
+
     private final List<String> names = new ArrayList<>();
     private final Map<Long, Tun> tunnels = new HashMap<>();
+
     /** The tunnel last found. */
     private Tun asked;
+
     private long askedId;
     private final Set<Long> guests = new LinkedHashSet<>();
     private final boolean[] spilling;
     private boolean returning, spent;
     private long sentHome;
     private Rush[] rushes = {};
+
     /** Of loads as servers tell them: over all tunnels, and by profile. */
     private double mean, seen;
+
     private double[] means = {}, seens = {};
 
     /** {@code count}: adds one to the counter of that name. */
@@ -79,14 +86,22 @@
     public void list(List<Listed> servers, boolean whole, double now) {
         boolean[] named = new boolean[names.size() + servers.size()];
         for (Listed l : servers) {
-            int s = index.computeIfAbsent(l.ep(), name -> {
-                names.add(name);
-                return names.size() - 1;
-            });
+            int s =
+                    index.computeIfAbsent(
+                            l.ep(),
+                            name -> {
+                                names.add(name);
+                                return names.size() - 1;
+                            });
             named[s] = true;
             int pool = routes.charter().by == Charter.By.ZONE ? l.zone() : l.model();
-            routes.listed(s, Math.min(pool, spilling.length - 1), l.state() != Listed.State.GONE,
-                    l.state() == Listed.State.RUNNING, l.startedAt(), now);
+            routes.listed(
+                    s,
+                    Math.min(pool, spilling.length - 1),
+                    l.state() != Listed.State.GONE,
+                    l.state() == Listed.State.RUNNING,
+                    l.startedAt(),
+                    now);
         }
         for (int s = 0; whole && s < names.size(); s++) {
             if (!named[s]) {
@@ -156,7 +171,10 @@
         return rushes[profile];
     }
 
-    /** What the module asks: whether this tunnel may go to that server now; {@code number}: the module's own for it. */
+    /**
+     * What the module asks: whether this tunnel may go to that server now; {@code number}: the
+     * module's own for it.
+     */
     public boolean may(long id, int number, String server, double now) {
         if (number >= byNumber.length) {
             int from = byNumber.length;
@@ -184,14 +202,28 @@
 
     private Why why(long id, int s, double now) {
         Tun tun = find(id);
-        return tun == null ? Why.OPEN : s < 0 ? Why.UNKNOWN
-                : routes.why(id, s, tun.profile, units(tun.profile), tun.turn, tun.setups > 0, now);
+        return tun == null
+                ? Why.OPEN
+                : s < 0
+                        ? Why.UNKNOWN
+                        : routes.why(
+                                id,
+                                s,
+                                tun.profile,
+                                units(tun.profile),
+                                tun.turn,
+                                tun.setups > 0,
+                                now);
     }
 
     /** What the module asks where it found nobody: whether more is open now than was. */
     public boolean widen(long id, double now) {
         Tun tun = find(id);
-        int next = tun == null ? -1 : routes.wider(tun.turn, tun.profile, units(tun.profile), tun.setups > 0, now);
+        int next =
+                tun == null
+                        ? -1
+                        : routes.wider(
+                                tun.turn, tun.profile, units(tun.profile), tun.setups > 0, now);
         if (tun != null && tun.setups > 0) {
             retriesNoted(now);
         }
@@ -209,8 +241,13 @@
         }
         if (is != spent) {
             spent = is;
-            log.accept("further setups " + (is ? "spent: tunnels that failed once are given up" : "to be had again")
-                    + ", tunnels " + tunnels.size());
+            log.accept(
+                    "further setups "
+                            + (is
+                                    ? "spent: tunnels that failed once are given up"
+                                    : "to be had again")
+                            + ", tunnels "
+                            + tunnels.size());
         }
     }
 
@@ -228,9 +265,14 @@
             int pool = routes.poolOf(s);
             if (!spilling[pool]) {
                 spilling[pool] = true;
-                log.accept("spill to " + routes.charter().pools.get(pool) + " begins, home "
-                        + routes.pool(routes.charter().home).condition().text() + ", at most "
-                        + Math.round(routes.spill(pool).most()) + " mean loads from here");
+                log.accept(
+                        "spill to "
+                                + routes.charter().pools.get(pool)
+                                + " begins, home "
+                                + routes.pool(routes.charter().home).condition().text()
+                                + ", at most "
+                                + Math.round(routes.spill(pool).most())
+                                + " mean loads from here");
             }
         }
     }
@@ -332,14 +374,27 @@
         double bears = routes.bears(now);
         if (returning != (bears > 0 && !guests.isEmpty())) {
             returning = !returning;
-            log.accept("way back " + (returning ? "begins" : "ends") + ", guests " + guests.size() + ", home bears "
-                    + Math.round(bears * 100) / 100.0 + " mean loads a second, sent home " + sentHome);
+            log.accept(
+                    "way back "
+                            + (returning ? "begins" : "ends")
+                            + ", guests "
+                            + guests.size()
+                            + ", home bears "
+                            + Math.round(bears * 100) / 100.0
+                            + " mean loads a second, sent home "
+                            + sentHome);
         }
         List<WayBack.Guest> away = new ArrayList<>();
         for (long id : returning ? guests : Set.<Long>of()) {
             Tun tun = find(id);
-            away.add(new WayBack.Guest(id, tun.key, tun.units, charter.credit(tun.profile), tun.openedAt,
-                    spared(charter, tun.profile, now)));
+            away.add(
+                    new WayBack.Guest(
+                            id,
+                            tun.key,
+                            tun.units,
+                            charter.credit(tun.profile),
+                            tun.openedAt,
+                            spared(charter, tun.profile, now)));
         }
         List<Long> leave = wayBack.leave(away, charter.stay, returning ? bears : 0, now);
         sentHome += leave.size();
@@ -349,7 +404,9 @@
 
     private boolean spared(Charter charter, int profile, double now) {
         return profile < charter.spared.length && charter.spared[profile]
-                || profile < charter.sparedInRush.length && charter.sparedInRush[profile] && rush(profile, now).on(now);
+                || profile < charter.sparedInRush.length
+                        && charter.sparedInRush[profile]
+                        && rush(profile, now).on(now);
     }
 
     public Pool.Condition condition(int pool) {
@@ -365,7 +422,10 @@
         return tunnels.size();
     }
 
-    /** What this relay knows of pools and servers: plain values, times in seconds ago; {@link #restore} reads it. */
+    /**
+     * What this relay knows of pools and servers: plain values, times in seconds ago; {@link
+     * #restore} reads it.
+     */
     public Map<String, Object> state(double now) {
         Charter charter = routes.charter();
         Map<String, Object> state = new LinkedHashMap<>();
@@ -418,13 +478,21 @@
         for (Map<String, Object> one : tables(state, "servers")) {
             int p = pools.indexOf(String.valueOf(one.get("pool")));
             if (p < 0) {
-                throw new IllegalArgumentException("'" + one.get("pool") + "' is a pool of the state and none of the file's");
+                throw new IllegalArgumentException(
+                        "'" + one.get("pool") + "' is a pool of the state and none of the file's");
             }
-            listed.add(new Listed(String.valueOf(one.get("name")), p, p, 0, switch (String.valueOf(one.get("state"))) {
-                case "up" -> Listed.State.RUNNING;
-                case "draining" -> Listed.State.DRAINING;
-                default -> Listed.State.GONE;
-            }, now - number(one, "age_s", Double.POSITIVE_INFINITY)));
+            listed.add(
+                    new Listed(
+                            String.valueOf(one.get("name")),
+                            p,
+                            p,
+                            0,
+                            switch (String.valueOf(one.get("state"))) {
+                                case "up" -> Listed.State.RUNNING;
+                                case "draining" -> Listed.State.DRAINING;
+                                default -> Listed.State.GONE;
+                            },
+                            now - number(one, "age_s", Double.POSITIVE_INFINITY)));
         }
         return listed;
     }
@@ -434,16 +502,24 @@
         List<String> pools = routes.charter().pools;
         list(listed(state, now), true, now);
         for (Map<String, Object> one : tables(state, "servers")) {
-            routes.restore(index.get(String.valueOf(one.get("name"))), Boolean.TRUE.equals(one.get("silent")),
-                    number(one, "load", Double.NaN), number(one, "placed", 0),
-                    now - number(one, "answered_s", Double.POSITIVE_INFINITY), now);
+            routes.restore(
+                    index.get(String.valueOf(one.get("name"))),
+                    Boolean.TRUE.equals(one.get("silent")),
+                    number(one, "load", Double.NaN),
+                    number(one, "placed", 0),
+                    now - number(one, "answered_s", Double.POSITIVE_INFINITY),
+                    now);
         }
         for (Map<String, Object> one : tables(state, "pools")) {
             int p = pools.indexOf(String.valueOf(one.get("name")));
             List<?> by = one.get("guests") instanceof List<?> list ? list : List.of();
-            routes.restore(p, Pool.Condition.valueOf(String.valueOf(one.get("condition")).toUpperCase()),
-                    now - number(one, "since_s", Double.POSITIVE_INFINITY), number(one, "calm_s", 0),
-                    by.stream().mapToDouble(g -> ((Number) g).doubleValue()).toArray(), now);
+            routes.restore(
+                    p,
+                    Pool.Condition.valueOf(String.valueOf(one.get("condition")).toUpperCase()),
+                    now - number(one, "since_s", Double.POSITIVE_INFINITY),
+                    number(one, "calm_s", 0),
+                    by.stream().mapToDouble(g -> ((Number) g).doubleValue()).toArray(),
+                    now);
         }
         routes.retries().restore(number(state, "retries_left", 0));
     }
--- a/routes/src/main/java/asterpulley/routes/Pool.java
+++ b/routes/src/main/java/asterpulley/routes/Pool.java
@@ -1,14 +1,23 @@
 package asterpulley.routes;
 
 /**
- * Owns what is believed of one pool as a whole: its servers as this relay counts them, and the name of what is wrong with
- * it. Dark, cut off from here, overloaded and no longer listed look alike to one setup and are told apart here. It must
- * never name two at once, and have a way out of each.
+ * Owns what is believed of one pool as a whole: its servers as this relay counts them, and the name
+ * of what is wrong with it. Dark, cut off from here, overloaded and no longer listed look alike to
+ * one setup and are told apart here. It must never name two at once, and have a way out of each.
  */
 public final class Pool {
-    /** {@code CUT_OFF}: silent to this relay, while the list still names it; {@code UNLISTED}: the list names nobody. */
+    /**
+     * {@code CUT_OFF}: silent to this relay, while the list still names it; {@code UNLISTED}: the
+     * list names nobody.
+     */
     public enum Condition {
-        SOUND, SUSPECT, DARK, CUT_OFF, UNLISTED, OVERLOADED, RETURNING;
+        SOUND,
+        SUSPECT,
+        DARK,
+        CUT_OFF,
+        UNLISTED,
+        OVERLOADED,
+        RETURNING;
 
         /** As operators read it. */
         String text() {
@@ -19,13 +28,22 @@
     private final PoolHealth health;
     private final PoolLoad load;
     private double listedFor;
-    /** Servers that the list names as running, those of them that are silent, and the sum of the others' loads. */
+
+    /**
+     * Servers that the list names as running, those of them that are silent, and the sum of the
+     * others' loads.
+     */
     int running, quiet;
+
     double loads;
     int known;
     private Condition condition = Condition.SOUND;
 
-    Pool(PoolHealth.Bounds bounds, double overloadedFrom, double overloadedBelow, double listedFor) {
+    Pool(
+            PoolHealth.Bounds bounds,
+            double overloadedFrom,
+            double overloadedBelow,
+            double listedFor) {
         health = new PoolHealth(bounds);
         load = new PoolLoad(overloadedFrom, overloadedBelow, bounds.confirm());
         this.listedFor = listedFor;
@@ -42,13 +60,18 @@
         health.seen(running == 0 ? 1 : (double) quiet / running, now);
         load.seen(meanLoad(), now);
         Condition was = condition;
-        condition = switch (health.state()) {
-            case DARK -> running == 0 ? Condition.UNLISTED
-                    : now - health.since() >= listedFor ? Condition.CUT_OFF : Condition.DARK;
-            case SUSPECT -> Condition.SUSPECT;
-            case RETURNING -> Condition.RETURNING;
-            default -> load.over() ? Condition.OVERLOADED : Condition.SOUND;
-        };
+        condition =
+                switch (health.state()) {
+                    case DARK ->
+                            running == 0
+                                    ? Condition.UNLISTED
+                                    : now - health.since() >= listedFor
+                                            ? Condition.CUT_OFF
+                                            : Condition.DARK;
+                    case SUSPECT -> Condition.SUSPECT;
+                    case RETURNING -> Condition.RETURNING;
+                    default -> load.over() ? Condition.OVERLOADED : Condition.SOUND;
+                };
         return condition != was;
     }
 
@@ -58,12 +81,15 @@
 
     /** As another relay's was, by the name of its condition. */
     void restore(Condition was, double at, double calm) {
-        health.restore(switch (was) {
-            case DARK, CUT_OFF, UNLISTED -> PoolHealth.State.DARK;
-            case RETURNING -> PoolHealth.State.RETURNING;
-            case SUSPECT -> PoolHealth.State.SUSPECT;
-            default -> PoolHealth.State.SOUND;
-        }, at, calm);
+        health.restore(
+                switch (was) {
+                    case DARK, CUT_OFF, UNLISTED -> PoolHealth.State.DARK;
+                    case RETURNING -> PoolHealth.State.RETURNING;
+                    case SUSPECT -> PoolHealth.State.SUSPECT;
+                    default -> PoolHealth.State.SOUND;
+                },
+                at,
+                calm);
         load.restore(was == Condition.OVERLOADED);
         condition = was;
     }
--- a/routes/src/main/java/asterpulley/routes/PoolHealth.java
+++ b/routes/src/main/java/asterpulley/routes/PoolHealth.java
@@ -1,19 +1,36 @@
 package asterpulley.routes;
 
 /**
- * Owns what is believed of a whole pool, told apart from what is believed of one server: it is dark when most of its
- * servers are silent for a while, and is sound again only after a calm that grows each time it proves false. It must
- * never flap, and have a way out of every state.
+ * Owns what is believed of a whole pool, told apart from what is believed of one server: it is dark
+ * when most of its servers are silent for a while, and is sound again only after a calm that grows
+ * each time it proves false. It must never flap, and have a way out of every state.
  */
 public final class PoolHealth {
-    /** Sound; most are silent, but only just; dark; some answer again, and it is watched whether that lasts. */
-    public enum State { SOUND, SUSPECT, DARK, RETURNING }
+    /**
+     * Sound; most are silent, but only just; dark; some answer again, and it is watched whether
+     * that lasts.
+     */
+    public enum State {
+        SOUND,
+        SUSPECT,
+        DARK,
+        RETURNING
+    }
 
-    /** When a pool is dark and when it is back: parts of its servers that are silent, and seconds. */
-    public record Bounds(double enter, double leave, double confirm, double calm, double longestCalm) {
+    /**
+     * When a pool is dark and when it is back: parts of its servers that are silent, and seconds.
+     */
+    public record Bounds(
+            double enter, double leave, double confirm, double calm, double longestCalm) {
         public Bounds {
-            if (!(leave < enter && enter <= 1 && leave >= 0 && confirm >= 0 && calm > 0 && longestCalm >= calm)) {
-                throw new IllegalArgumentException("leave < enter, and a calm between 0 and the longest");
+            if (!(leave < enter
+                    && enter <= 1
+                    && leave >= 0
+                    && confirm >= 0
+                    && calm > 0
+                    && longestCalm >= calm)) {
+                throw new IllegalArgumentException(
+                        "leave < enter, and a calm between 0 and the longest");
             }
         }
     }
@@ -73,7 +90,10 @@
                     to(State.SOUND, now);
                 } else if (now - since >= bounds.confirm) {
                     // Dark again so soon after it was sound: that was believed too early.
-                    calm = now - soundSince < bounds.longestCalm ? Math.min(bounds.longestCalm, 2 * calm) : calm;
+                    calm =
+                            now - soundSince < bounds.longestCalm
+                                    ? Math.min(bounds.longestCalm, 2 * calm)
+                                    : calm;
                     to(State.DARK, now);
                 }
             }
--- a/routes/src/main/java/asterpulley/routes/PoolLoad.java
+++ b/routes/src/main/java/asterpulley/routes/PoolLoad.java
@@ -1,8 +1,8 @@
 package asterpulley.routes;
 
 /**
- * Owns whether a pool as a whole is overloaded: its mean load stayed high for a while, and is so until the mean is well
- * below. It must never flap about one bound.
+ * Owns whether a pool as a whole is overloaded: its mean load stayed high for a while, and is so
+ * until the mean is well below. It must never flap about one bound.
  */
 final class PoolLoad {
     private final double confirm;
@@ -19,7 +19,10 @@
         below = overloadedBelow;
     }
 
-    /** The mean load of its servers now; NaN where none is known. True where the verdict has changed. */
+    /**
+     * The mean load of its servers now; NaN where none is known. True where the verdict has
+     * changed.
+     */
     boolean seen(double mean, double now) {
         boolean was = over;
         if (mean >= from) {
--- a/routes/src/main/java/asterpulley/routes/RetryBudget.java
+++ b/routes/src/main/java/asterpulley/routes/RetryBudget.java
@@ -1,11 +1,14 @@
 package asterpulley.routes;
 
 /**
- * Owns how many further setups a relay may send: a part of its first ones and a few a second besides, so that a dark room
- * does not become a storm of retries in the one that is left. It must never touch a first setup.
+ * Owns how many further setups a relay may send: a part of its first ones and a few a second
+ * besides, so that a dark room does not become a storm of retries in the one that is left. It must
+ * never touch a first setup.
  */
 public final class RetryBudget {
-    /** So many further setups may be saved up: what a second's worth of the least gives, or these. */
+    /**
+     * So many further setups may be saved up: what a second's worth of the least gives, or these.
+     */
     private static final double SAVED = 10;
 
     private double share, least, tokens, at;
--- a/routes/src/main/java/asterpulley/routes/Routes.java
+++ b/routes/src/main/java/asterpulley/routes/Routes.java
@@ -4,16 +4,28 @@
 import java.util.function.Consumer;
 
 /**
- * Owns the pools of one relay's fleet: which server is of which, how each is, and which of them a tunnel may go to in
- * which turn. It narrows what the decision module may choose from and chooses nothing itself: at home first, elsewhere
- * within the spill limit, and nowhere that is dark. Servers are dense indexes. It must do no I/O and keep no clock.
+ * Owns the pools of one relay's fleet: which server is of which, how each is, and which of them a
+ * tunnel may go to in which turn. It narrows what the decision module may choose from and chooses
+ * nothing itself: at home first, elsewhere within the spill limit, and nowhere that is dark.
+ * Servers are dense indexes. It must do no I/O and keep no clock.
  */
 public final class Routes {
-    /** What relays of sound rooms may still spill while others are dark, of each limit, all together. */
+    /**
+     * What relays of sound rooms may still spill while others are dark, of each limit, all
+     * together.
+     */
     private static final double SOUND_PART = 0.1;
-    /** A setup that timed out says nothing of a server that answered so short a time ago: what is behind it may be slow. */
+
+    /**
+     * A setup that timed out says nothing of a server that answered so short a time ago: what is
+     * behind it may be slow.
+     */
     private static final double ANSWERED_OF_LATE = 1;
-    /** The part of what a cold server can take that may come from those sent home: its own new clients need the rest. */
+
+    /**
+     * The part of what a cold server can take that may come from those sent home: its own new
+     * clients need the rest.
+     */
     private static final double OF_COLD_BUDGET = 0.5;
 
     private Charter charter;
@@ -27,8 +39,12 @@
     private boolean[] listed = {}, running = {}, silent = {};
     private double[] load = {}, placed = {}, answeredAt = {}, startedAt = {};
 
-    /** What was found of a pool for the tunnel last asked about: the same for all its servers while nothing changes. */
+    /**
+     * What was found of a pool for the tunnel last asked about: the same for all its servers while
+     * nothing changes.
+     */
     private final Why[] verdicts;
+
     private long verdictOf = Long.MIN_VALUE;
     private int verdictTurn;
 
@@ -41,16 +57,25 @@
         verdicts = new Why[n];
         turns = charter.turns(false);
         for (int p = 0; p < n; p++) {
-            pools[p] = new Pool(charter.health, charter.overloadedFrom, charter.overloadedBelow, charter.listedFor);
+            pools[p] =
+                    new Pool(
+                            charter.health,
+                            charter.overloadedFrom,
+                            charter.overloadedBelow,
+                            charter.listedFor);
             spill[p] = new SpillLimit(charter, 0, 0, now);
         }
         retries = new RetryBudget(charter.retryShare, charter.retryLeast, now);
         limits(now);
     }
 
-    /** Other figures from now on; what stands stays, and what is above a lower limit leaves by itself. */
+    /**
+     * Other figures from now on; what stands stays, and what is above a lower limit leaves by
+     * itself.
+     */
     public void change(Charter anew, double now) {
-        // The bounds of a pool's darkness count from a new start on: a state is not to be read by two rules.
+        // The bounds of a pool's darkness count from a new start on: a state is not to be read by
+        // two rules.
         anew.health = charter.health;
         charter = anew;
         for (int p = 0; p < pools.length; p++) {
@@ -65,7 +90,8 @@
     // ---- What is told
 
     /** A server as the list has it; {@code there}: it names it at all. */
-    public void listed(int server, int pool, boolean there, boolean runs, double started, double now) {
+    public void listed(
+            int server, int pool, boolean there, boolean runs, double started, double now) {
         if (server >= poolOf.length) {
             grow(Math.max(server + 1, 2 * poolOf.length));
         }
@@ -135,7 +161,10 @@
         verdictOf = Long.MIN_VALUE;
     }
 
-    /** Adds a server to its pool's counts, or takes it off: kept, since a walk over the fleet for each answer costs. */
+    /**
+     * Adds a server to its pool's counts, or takes it off: kept, since a walk over the fleet for
+     * each answer costs.
+     */
     private void count(int server, int by) {
         if (!running[server]) {
             return;
@@ -154,10 +183,21 @@
         Pool pool = pools[p];
         Pool.Condition was = pool.condition();
         if (pool.judge(now)) {
-            log.accept("pool " + charter.pools.get(p) + " " + was.text() + " to "
-                    + pool.condition().text() + ", silent " + pool.quiet + " of "
-                    + pool.running + ", mean load " + (pool.known == 0 ? "-" : Math.round(pool.meanLoad() * 100) / 100.0) + ", guests "
-                    + Math.round(spill[p].guests()));
+            log.accept(
+                    "pool "
+                            + charter.pools.get(p)
+                            + " "
+                            + was.text()
+                            + " to "
+                            + pool.condition().text()
+                            + ", silent "
+                            + pool.quiet
+                            + " of "
+                            + pool.running
+                            + ", mean load "
+                            + (pool.known == 0 ? "-" : Math.round(pool.meanLoad() * 100) / 100.0)
+                            + ", guests "
+                            + Math.round(spill[p].guests()));
             turns = charter.turns(pools[charter.home].doubted());
             limits(now);
         }
@@ -172,8 +212,9 @@
     }
 
     /**
-     * This relay's part of every pool's limit. Relays share nothing, so each takes its part of what all are given by what
-     * it sees itself: while rooms are dark, or back and cold, nearly all of it is for the relays at home in those.
+     * This relay's part of every pool's limit. Relays share nothing, so each takes its part of what
+     * all are given by what it sees itself: while rooms are dark, or back and cold, nearly all of
+     * it is for the relays at home in those.
      */
     private void limits(double now) {
         int away = 0;
@@ -195,15 +236,26 @@
                 part = SOUND_PART / (others - awayOthers);
             }
             part /= charter.relaysPerPool;
-            spill[p].limits(charter.share * charter.holds * pools[p].heard() * part, charter.rate * part);
+            spill[p].limits(
+                    charter.share * charter.holds * pools[p].heard() * part, charter.rate * part);
         }
         verdictOf = Long.MIN_VALUE;
     }
 
     // ---- What is asked
 
-    /** Whether a tunnel may go to that server now, in its turn; the tunnel's number only tells one question from the next. */
-    public Why why(long tunnel, int server, int profile, double units, int turn, boolean further, double now) {
+    /**
+     * Whether a tunnel may go to that server now, in its turn; the tunnel's number only tells one
+     * question from the next.
+     */
+    public Why why(
+            long tunnel,
+            int server,
+            int profile,
+            double units,
+            int turn,
+            boolean further,
+            double now) {
         if (server >= listed.length || !listed[server]) {
             return Why.UNKNOWN;
         }
@@ -215,8 +267,10 @@
         int p = poolOf[server];
         Why verdict = verdicts[p];
         if (verdict == null) {
-            verdict = further && !retries.may(now) ? Why.RETRIES_SPENT : turns[p] > turn ? Why.LATER_TURN
-                    : pool(p, profile, units, now);
+            verdict =
+                    further && !retries.may(now)
+                            ? Why.RETRIES_SPENT
+                            : turns[p] > turn ? Why.LATER_TURN : pool(p, profile, units, now);
             verdicts[p] = verdict;
         }
         if (verdict != Why.OPEN) {
@@ -233,10 +287,15 @@
         if (p != charter.home && load >= charter.guestsBelow - charter.keptFromBelow(profile)) {
             return Why.NEAR_FULL;
         }
-        return charter.kept.length > 0 && load >= charter.full - charter.keptFromBelow(profile) ? Why.KEPT : Why.OPEN;
+        return charter.kept.length > 0 && load >= charter.full - charter.keptFromBelow(profile)
+                ? Why.KEPT
+                : Why.OPEN;
     }
 
-    /** Of a dark pool, and not heard since it is: what has answered since is open, for some of it lives. */
+    /**
+     * Of a dark pool, and not heard since it is: what has answered since is open, for some of it
+     * lives.
+     */
     private boolean lost(int server) {
         Pool pool = pools[poolOf[server]];
         return pool.dark() && !(answeredAt[server] > pool.since());
@@ -254,7 +313,10 @@
         };
     }
 
-    /** Reported load and a step for what came and went since; nothing known counts as empty, as the module takes it. */
+    /**
+     * Reported load and a step for what came and went since; nothing known counts as empty, as the
+     * module takes it.
+     */
     private double estimate(int server, double now) {
         double known = Double.isNaN(load[server]) ? 0 : load[server];
         return Math.max(0, known + placed[server] / (charter.holds * warmth(server, now)));
@@ -262,11 +324,14 @@
 
     private double warmth(int server, double now) {
         double age = now - startedAt[server];
-        return age >= charter.warmUp ? 1
+        return age >= charter.warmUp
+                ? 1
                 : charter.coldFrom + (1 - charter.coldFrom) * Math.max(0, age) / charter.warmUp;
     }
 
-    /** The next turn in which more is open to this tunnel than in that one; -1 where there is none. */
+    /**
+     * The next turn in which more is open to this tunnel than in that one; -1 where there is none.
+     */
     public int wider(int turn, int profile, double units, boolean further, double now) {
         if (further && !retries.may(now)) {
             return -1;
@@ -280,7 +345,10 @@
         return next == Integer.MAX_VALUE ? -1 : next;
     }
 
-    /** The turn that a new tunnel begins with: while home is dark there is nothing to look for in its own. */
+    /**
+     * The turn that a new tunnel begins with: while home is dark there is nothing to look for in
+     * its own.
+     */
     public int first(int profile, double units, double now) {
         int next = pools[charter.home].dark() ? wider(0, profile, units, false, now) : 0;
         return Math.max(0, next);
@@ -324,7 +392,10 @@
         return poolOf[server];
     }
 
-    /** Mean loads a second that this relay may send home now: what cold servers there bear, and no more than stated. */
+    /**
+     * Mean loads a second that this relay may send home now: what cold servers there bear, and no
+     * more than stated.
+     */
     double bears(double now) {
         Pool home = pools[charter.home];
         if (home.condition() != Pool.Condition.SOUND || home.meanLoad() >= charter.guestsBelow) {
@@ -338,8 +409,14 @@
             if (now - startedAt[s] >= charter.warmUp) {
                 bears += charter.returnWarm * charter.holds;
             } else {
-                // The budgets of all relays make up what a cold server bears; at home only those of this pool's place.
-                double budget = charter.fallMultiple * charter.holds * warmth(s, now) / charter.warmUp / pools.length;
+                // The budgets of all relays make up what a cold server bears; at home only those of
+                // this pool's place.
+                double budget =
+                        charter.fallMultiple
+                                * charter.holds
+                                * warmth(s, now)
+                                / charter.warmUp
+                                / pools.length;
                 bears += Math.min(charter.returnShare * charter.holds, OF_COLD_BUDGET * budget);
             }
         }
@@ -363,7 +440,13 @@
     }
 
     /** Takes a server, listed here already, for what it was found to be; limits count again. */
-    void restore(int server, boolean nothing, double reported, double came, double answered, double now) {
+    void restore(
+            int server,
+            boolean nothing,
+            double reported,
+            double came,
+            double answered,
+            double now) {
         count(server, -1);
         silent[server] = nothing;
         load[server] = reported;
@@ -373,7 +456,8 @@
         limits(now);
     }
 
-    void restore(int p, Pool.Condition was, double since, double calm, double[] guests, double now) {
+    void restore(
+            int p, Pool.Condition was, double since, double calm, double[] guests, double now) {
         pools[p].restore(was, since, calm);
         for (int q = 0; q < guests.length; q++) {
             spill[p].changes(q, guests[q]);
@@ -389,12 +473,25 @@
 
     /** What is known of a server, for whoever prints it. */
     Known known(int server, double now) {
-        return new Known(poolOf[server], listed[server], running[server], silent[server], load[server], placed[server],
-                now - startedAt[server], now - answeredAt[server]);
+        return new Known(
+                poolOf[server],
+                listed[server],
+                running[server],
+                silent[server],
+                load[server],
+                placed[server],
+                now - startedAt[server],
+                now - answeredAt[server]);
     }
 
     /** A server as this relay sees it; times in seconds ago, without end where never. */
-    record Known(int pool, boolean listed, boolean running, boolean silent, double load, double placed, double age,
-            double answered) {
-    }
+    record Known(
+            int pool,
+            boolean listed,
+            boolean running,
+            boolean silent,
+            double load,
+            double placed,
+            double age,
+            double answered) {}
 }
--- a/routes/src/main/java/asterpulley/routes/Rush.java
+++ b/routes/src/main/java/asterpulley/routes/Rush.java
@@ -1,12 +1,13 @@
 package asterpulley.routes;
 
 /**
- * Owns whether tunnels of one profile come in a rush: far faster over the last seconds than they used to. It must never
- * take the first tunnels after a start for one.
+ * Owns whether tunnels of one profile come in a rush: far faster over the last seconds than they
+ * used to. It must never take the first tunnels after a start for one.
  */
 final class Rush {
     private static final double SHORT = 5, LONG = 60;
     private static final double TIMES = 2;
+
     /** Fewer than these a second are nobody's rush, whatever they are a multiple of. */
     private static final double LEAST = 1;
 
@@ -27,7 +28,8 @@
         fade(now);
         // Over a short past the long mean knows only its part of the time.
         double known = 1 - Math.exp(-(now - startedAt) / LONG);
-        return now - startedAt > 2 * SHORT && lately > Math.max(LEAST, TIMES * usually / Math.max(1e-9, known));
+        return now - startedAt > 2 * SHORT
+                && lately > Math.max(LEAST, TIMES * usually / Math.max(1e-9, known));
     }
 
     private void fade(double now) {
--- a/routes/src/main/java/asterpulley/routes/SpillLimit.java
+++ b/routes/src/main/java/asterpulley/routes/SpillLimit.java
@@ -3,13 +3,15 @@
 import java.util.Arrays;
 
 /**
- * Owns how much of a pool may be taken by tunnels whose home is elsewhere: a part of its room for those that stand, by
- * what they load, of which some is kept for stated profiles, and a rate for those that come. Each relay keeps to its own
- * part of both, since relays share nothing. It must never hold back what is at home.
+ * Owns how much of a pool may be taken by tunnels whose home is elsewhere: a part of its room for
+ * those that stand, by what they load, of which some is kept for stated profiles, and a rate for
+ * those that come. Each relay keeps to its own part of both, since relays share nothing. It must
+ * never hold back what is at home.
  */
 public final class SpillLimit {
     /** So many seconds of the rate may come at once. */
     private static final double BURST = 1;
+
     /** Sums of loads that came and left leave this much of nothing. */
     private static final double NOTHING = 1e-6;
 
@@ -18,7 +20,10 @@
     private double guests;
     private double[] by = {};
 
-    /** {@code most}: mean loads of guests that may stand here, of this relay; {@code rate}: new ones a second, 0 for no bound. */
+    /**
+     * {@code most}: mean loads of guests that may stand here, of this relay; {@code rate}: new ones
+     * a second, 0 for no bound.
+     */
     public SpillLimit(Charter charter, double most, double rate, double now) {
         this.charter = charter;
         limits(most, rate);
@@ -30,7 +35,10 @@
         charter = anew;
     }
 
-    /** Other limits from now on: guests above a lower one leave by themselves, and nothing new comes meanwhile. */
+    /**
+     * Other limits from now on: guests above a lower one leave by themselves, and nothing new comes
+     * meanwhile.
+     */
     public void limits(double mostGuests, double newPerSecond) {
         most = mostGuests;
         rate = newPerSecond;
@@ -48,7 +56,12 @@
         }
         double kept = 0;
         for (int q = 0; q < charter.guestsKept.length; q++) {
-            kept += q == profile ? 0 : Math.max(0, charter.keptForGuests(q) * most - (q < by.length ? by[q] : 0));
+            kept +=
+                    q == profile
+                            ? 0
+                            : Math.max(
+                                    0,
+                                    charter.keptForGuests(q) * most - (q < by.length ? by[q] : 0));
         }
         return guests + load > most - kept + NOTHING ? Why.GUESTS_KEPT : Why.OPEN;
     }
@@ -59,7 +72,10 @@
         credit -= rate > 0 ? 1 : 0;
     }
 
-    /** A guest comes and counts until it has ended, leaves ({@code -load}), or loads more or less than was taken. */
+    /**
+     * A guest comes and counts until it has ended, leaves ({@code -load}), or loads more or less
+     * than was taken.
+     */
     public void changes(int profile, double load) {
         if (profile >= by.length) {
             by = Arrays.copyOf(by, profile + 1);
--- a/routes/src/main/java/asterpulley/routes/Why.java
+++ b/routes/src/main/java/asterpulley/routes/Why.java
@@ -1,6 +1,9 @@
 package asterpulley.routes;
 
-/** Why a server is open to a tunnel or not, as far as routes and limits have a say; the load factor decides the rest. */
+/**
+ * Why a server is open to a tunnel or not, as far as routes and limits have a say; the load factor
+ * decides the rest.
+ */
 public enum Why {
     OPEN("open"),
     LATER_TURN("its pool's turn has not come: one that is preferred has room"),
--- a/routes/src/test/java/asterpulley/routes/GuideTest.java
+++ b/routes/src/test/java/asterpulley/routes/GuideTest.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** One relay's routes in virtual time: who may go where, in which turn, within which limits, and home again. */
+/**
+ * One relay's routes in virtual time: who may go where, in which turn, within which limits, and
+ * home again.
+ */
 class GuideTest {
     private static final int EACH = 2;
     private final List<String> log = new ArrayList<>(), counted = new ArrayList<>();
@@ -84,7 +87,7 @@
 
     /** Opens as many guests in that pool as may be, of this profile. */
     private int fill(int pool, int profile) {
-        for (int came = 0;; came++) {
+        for (int came = 0; ; came++) {
             long id = taken(profile);
             while (why(id, pool) == Why.LATER_TURN && guide.widen(id, now)) {
                 continue;
@@ -223,11 +226,16 @@
         silent(2);
         pass(1);
         assertEquals(Pool.Condition.DARK, guide.condition(1));
-        guide.list(List.of(server(2, 0, Listed.State.GONE, 0), server(2, 1, Listed.State.GONE, 0)), false, now);
+        guide.list(
+                List.of(server(2, 0, Listed.State.GONE, 0), server(2, 1, Listed.State.GONE, 0)),
+                false,
+                now);
         pass(6);
         assertEquals(Pool.Condition.CUT_OFF, guide.condition(1));
         assertEquals(Pool.Condition.UNLISTED, guide.condition(2));
-        assertTrue(log.contains("pool east dark to cut off, silent 2 of 2, mean load -, guests 0"), log.toString());
+        assertTrue(
+                log.contains("pool east dark to cut off, silent 2 of 2, mean load -, guests 0"),
+                log.toString());
     }
 
     @Test
@@ -340,7 +348,12 @@
         start();
         away(0, 40);
         report(0, 0);
-        guide.list(List.of(server(0, 0, Listed.State.RUNNING, now), server(0, 1, Listed.State.RUNNING, now)), false, now);
+        guide.list(
+                List.of(
+                        server(0, 0, Listed.State.RUNNING, now),
+                        server(0, 1, Listed.State.RUNNING, now)),
+                false,
+                now);
         home(4);
         // Two cold servers bear at most two a second, and less while they are coldest.
         assertEquals(4, home(2.5).size(), 2);
@@ -459,6 +472,7 @@
         pass(1);
         assertEquals(0, guide.tunnels());
         assertEquals(0, guide.guests(1) + guide.guests(2));
-        assertTrue(log.stream().anyMatch(l -> l.startsWith("spill to north is over")), log.toString());
+        assertTrue(
+                log.stream().anyMatch(l -> l.startsWith("spill to north is over")), log.toString());
     }
 }
--- a/routes/src/test/java/asterpulley/routes/PoolHealthTest.java
+++ b/routes/src/test/java/asterpulley/routes/PoolHealthTest.java
@@ -9,8 +9,12 @@
 /** A pool's darkness, checked over all orders of up to eight events. */
 class PoolHealthTest {
     private static final PoolHealth.Bounds BOUNDS = new PoolHealth.Bounds(0.7, 0.3, 0.5, 4, 32);
+
     /** What may happen: so many silent, after so many seconds. */
-    private static final double[][] EVENTS = {{0, 0.1}, {0.5, 0.1}, {1, 0.1}, {0, 5}, {0.5, 5}, {1, 5}};
+    private static final double[][] EVENTS = {
+        {0, 0.1}, {0.5, 0.1}, {1, 0.1}, {0, 5}, {0.5, 5}, {1, 5}
+    };
+
     private static final int DEEP = 8;
     private int orders;
 
@@ -44,7 +48,8 @@
             health.seen(EVENTS[e][0], now);
             PoolHealth.State is = health.state();
             if (is == PoolHealth.State.SOUND && was == PoolHealth.State.RETURNING) {
-                // From dark to sound takes its calm at the least: two darknesses are never closer than that.
+                // From dark to sound takes its calm at the least: two darknesses are never closer
+                // than that.
                 assertTrue(now - darkAt >= calm - 1e-9, () -> Arrays.toString(order));
                 soundAt = now;
             }
@@ -56,7 +61,8 @@
             }
             assertTrue(health.calm() <= BOUNDS.longestCalm());
         }
-        // Whatever was, all answering brings it to sound, and all silent makes it dark, each in bounded time.
+        // Whatever was, all answering brings it to sound, and all silent makes it dark, each in
+        // bounded time.
         now = settle(health, 0, now, BOUNDS.longestCalm());
         assertEquals(PoolHealth.State.SOUND, health.state(), () -> Arrays.toString(order));
         settle(health, 1, now, BOUNDS.confirm());
@@ -77,7 +83,10 @@
         PoolHealth.State was = health.state();
         for (double now = 0; now < 300; now += 0.1) {
             health.seen((int) (now / 10) % 2 == 0 ? 0 : 1, now);
-            sound += health.state() == PoolHealth.State.SOUND && was != PoolHealth.State.SOUND ? 1 : 0;
+            sound +=
+                    health.state() == PoolHealth.State.SOUND && was != PoolHealth.State.SOUND
+                            ? 1
+                            : 0;
             was = health.state();
         }
         // A calm of 4 s, then 8, then none that ten seconds could hold.
