--- a/bench/src/main/java/asterpulley/bench/DecisionBenchmark.java
+++ b/bench/src/main/java/asterpulley/bench/DecisionBenchmark.java
@@ -1,13 +1,13 @@
 package asterpulley.bench;
 
-import asterpulley.Balance;
-import asterpulley.Front;
-import asterpulley.Listed;
+import asterpulley.Frontend;
+import asterpulley.LoadBalancer;
+import asterpulley.LoadReport;
 import asterpulley.Outcome;
-import asterpulley.Report;
+import asterpulley.ServerEntry;
 import asterpulley.Settings;
-import asterpulley.routes.Charter;
-import asterpulley.routes.Guide;
+import asterpulley.routes.PoolRouter;
+import asterpulley.routes.RoutingPolicy;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -37,22 +37,22 @@
         value = 2,
         jvmArgs = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx1g"})
 public class DecisionBenchmark {
-    private static final class Quiet implements Front {
-        private final Guide guide;
+    private static final class Quiet implements Frontend {
+        private final PoolRouter guide;
         private double now = 1000;
 
-        private Quiet(Guide guide) {
+        private Quiet(PoolRouter guide) {
             this.guide = guide;
         }
 
         @Override
-        public boolean may(Balance.Tunnel tun, int server, String ep) {
-            return guide == null || guide.may(tun.id, server, ep, now);
+        public boolean isEligible(LoadBalancer.Tunnel tun, int server, String ep) {
+            return guide == null || guide.mayUse(tun.id, server, ep, now);
         }
 
         @Override
-        public boolean widen(Balance.Tunnel tun) {
-            return guide != null && guide.widen(tun.id, now);
+        public boolean widenSelection(LoadBalancer.Tunnel tun) {
+            return guide != null && guide.advanceTier(tun.id, now);
         }
 
         @Override
@@ -61,25 +61,25 @@
         }
 
         @Override
-        public void setup(Balance.Tunnel tun, String ep, double timeout) {
+        public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
             // The benchmark opens it itself.
             if (guide != null) {
-                guide.setup(tun.id, ep, now);
+                guide.setupStarted(tun.id, ep, now);
             }
         }
 
         @Override
-        public void decline(Balance.Tunnel tun, double retryAfter) {
+        public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
             throw new IllegalStateException("declined: the benchmark measures decisions with room");
         }
 
         @Override
-        public void closeWithError(Balance.Tunnel tun) {
+        public void closeWithError(LoadBalancer.Tunnel tun) {
             throw new IllegalStateException("closed with error");
         }
 
         @Override
-        public void move(Balance.Tunnel tun) {
+        public void move(LoadBalancer.Tunnel tun) {
             // Nobody is crowded here.
         }
 
@@ -89,12 +89,12 @@
         }
 
         @Override
-        public void watch() {
+        public void watchServerList() {
             // The list stays.
         }
 
         @Override
-        public void wake(double after, long token) {
+        public void scheduleTimer(double after, long token) {
             // The benchmark ticks itself.
         }
 
@@ -117,52 +117,52 @@
     private static final int ROOMS = 4;
 
     private Quiet front;
-    private Guide guide;
-    private Balance balance;
-    private Report report;
+    private PoolRouter guide;
+    private LoadBalancer balance;
+    private LoadReport report;
     private long id;
 
     /** A fresh module, its fleet listed, and every server's report brought. */
     @Setup(Level.Iteration)
     public void fleet() {
-        Charter charter = new Charter();
+        RoutingPolicy charter = new RoutingPolicy();
         charter.pools = List.of("a", "b", "c", "d");
         charter.credit = new double[] {1};
-        charter.returnShare = 0.02;
-        charter.share = 1;
-        guide = !rooms.equals("fee") ? new Guide(charter, 1000, l -> {}, c -> {}) : null;
+        charter.failbackColdShare = 0.02;
+        charter.spillShare = 1;
+        guide = !rooms.equals("fee") ? new PoolRouter(charter, 1000, l -> {}, c -> {}) : null;
         front = new Quiet(guide);
         Settings settings = new Settings();
         settings.profiles.add(new Settings.Profile());
         settings.probesAllowed = true;
-        balance = new Balance(settings, 1, front);
-        List<Listed> listed = new ArrayList<>();
+        balance = new LoadBalancer(settings, 1, front);
+        List<ServerEntry> listed = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             listed.add(
-                    new Listed(
+                    new ServerEntry(
                             "s" + i,
                             i % ROOMS,
                             0,
                             0,
-                            Listed.State.RUNNING,
+                            ServerEntry.State.RUNNING,
                             Double.NEGATIVE_INFINITY));
         }
-        settings.crossingFee = 0.02;
-        balance.list(listed, true);
+        settings.crossZoneFee = 0.02;
+        balance.onServerList(listed, true);
         if (guide != null) {
-            guide.list(listed, true, front.now);
+            guide.updateServerList(listed, true, front.now);
         }
-        report = new Report();
+        report = new LoadReport();
         report.load = 0.3;
         for (int i = 0; i < servers; i++) {
             told(i);
         }
         for (int i = 0; rooms.equals("dark") && i < servers; i += ROOMS) {
-            balance.probed("s" + i, Outcome.TIMED_OUT, new Report());
-            guide.probed("s" + i, Outcome.TIMED_OUT, new Report(), front.now);
+            balance.onProbeResult("s" + i, Outcome.TIMED_OUT, new LoadReport());
+            guide.probeFinished("s" + i, Outcome.TIMED_OUT, new LoadReport(), front.now);
         }
         if (rooms.equals("dark")) {
-            front.now += charter.health.confirm();
+            front.now += charter.healthThresholds.confirmSeconds();
             guide.tick(front.now);
         }
     }
@@ -170,19 +170,19 @@
     @Benchmark
     public boolean decision() {
         if (guide != null) {
-            guide.taken(id + 1, 0, null, front.now);
+            guide.tunnelAccepted(id + 1, 0, null, front.now);
         }
-        Balance.Tunnel tunnel = balance.take(++id, 0, 0, null, null, 2, false);
+        LoadBalancer.Tunnel tunnel = balance.openTunnel(++id, 0, 0, null, null, 2, false);
         if (guide != null) {
-            guide.opened(id, front.now);
+            guide.tunnelOpened(id, front.now);
         }
-        tunnel.opened(0, 0.02);
-        tunnel.ended(0, Outcome.OK, 0, true);
+        tunnel.onOpened(0, 0.02);
+        tunnel.onEnded(0, Outcome.OK, 0, true);
         if (guide != null) {
-            guide.ended(id, Outcome.OK, true, front.now);
-            guide.over(id);
+            guide.serverConnectionEnded(id, Outcome.OK, true, front.now);
+            guide.tunnelClosed(id);
         }
-        return tunnel.over();
+        return tunnel.isFinished();
     }
 
     @Benchmark
@@ -192,9 +192,9 @@
 
     private void told(int server) {
         if (guide != null) {
-            guide.probed("s" + server, Outcome.OK, report, front.now);
+            guide.probeFinished("s" + server, Outcome.OK, report, front.now);
         }
-        balance.probed("s" + server, Outcome.OK, report);
+        balance.onProbeResult("s" + server, Outcome.OK, report);
     }
 
     @Benchmark
@@ -202,6 +202,6 @@
         if (guide != null) {
             guide.tick(front.now);
         }
-        balance.woke(0);
+        balance.onTimer(0);
     }
 }
--- a/bench/src/main/java/asterpulley/bench/SizeCost.java
+++ b/bench/src/main/java/asterpulley/bench/SizeCost.java
@@ -1,13 +1,13 @@
 package asterpulley.bench;
 
-import asterpulley.Balance;
-import asterpulley.Front;
-import asterpulley.Listed;
+import asterpulley.Frontend;
+import asterpulley.LoadBalancer;
+import asterpulley.LoadReport;
 import asterpulley.Outcome;
-import asterpulley.Report;
+import asterpulley.ServerEntry;
 import asterpulley.Settings;
 import asterpulley.decode.Json;
-import asterpulley.list.Fleet;
+import asterpulley.list.ServerList;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
@@ -35,10 +35,10 @@
     private SizeCost() {}
 
     /** Answers every probe a tick later and counts them. */
-    static final class Counting implements Front {
+    static final class Counting implements Frontend {
         private double now = 1_000;
         private final ArrayDeque<String> asked = new ArrayDeque<>();
-        private final ArrayDeque<Balance.Tunnel> sent = new ArrayDeque<>();
+        private final ArrayDeque<LoadBalancer.Tunnel> sent = new ArrayDeque<>();
         private long probes, declined;
 
         @Override
@@ -47,22 +47,22 @@
         }
 
         @Override
-        public void setup(Balance.Tunnel tun, String ep, double timeout) {
+        public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
             sent.add(tun);
         }
 
         @Override
-        public void decline(Balance.Tunnel tun, double retryAfter) {
+        public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
             declined++;
         }
 
         @Override
-        public void closeWithError(Balance.Tunnel tun) {
+        public void closeWithError(LoadBalancer.Tunnel tun) {
             throw new IllegalStateException("closed with error");
         }
 
         @Override
-        public void move(Balance.Tunnel tun) {
+        public void move(LoadBalancer.Tunnel tun) {
             throw new IllegalStateException("nobody is crowded here");
         }
 
@@ -73,12 +73,12 @@
         }
 
         @Override
-        public void watch() {
+        public void watchServerList() {
             // The list stays.
         }
 
         @Override
-        public void wake(double after, long token) {
+        public void scheduleTimer(double after, long token) {
             // Time is moved from outside.
         }
 
@@ -111,41 +111,41 @@
         return Json.text(list);
     }
 
-    static Fleet read(String text, Fleet.Names names) throws IOException {
+    static ServerList read(String text, ServerList.NameIndex names) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
             parser.nextToken();
-            return Fleet.read(Json.object(Json.value(parser), "the list"), names);
+            return ServerList.fromJson(Json.object(Json.read(parser), "the list"), names);
         }
     }
 
-    static List<Listed> fleet(int servers) {
-        List<Listed> listed = new ArrayList<>();
+    static List<ServerEntry> fleet(int servers) {
+        List<ServerEntry> listed = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             listed.add(
-                    new Listed(
+                    new ServerEntry(
                             "feed-" + i,
                             i % 11,
                             0,
                             i / 100,
-                            Listed.State.RUNNING,
+                            ServerEntry.State.RUNNING,
                             Double.NEGATIVE_INFINITY));
         }
         return listed;
     }
 
-    static Balance module(int servers, boolean groups, Counting front) {
+    static LoadBalancer module(int servers, boolean groups, Counting front) {
         return module(servers, groups, front, 0);
     }
 
-    static Balance module(int servers, boolean groups, Counting front, double fee) {
+    static LoadBalancer module(int servers, boolean groups, Counting front, double fee) {
         Settings settings = new Settings();
         settings.profiles.add(new Settings.Profile());
         settings.probesAllowed = true;
         settings.groupsShareWork = groups;
-        settings.siblings = RELAYS;
+        settings.relayCount = RELAYS;
         settings.probeFee = fee;
-        Balance balance = new Balance(settings, 1, front);
-        balance.list(fleet(servers), true);
+        LoadBalancer balance = new LoadBalancer(settings, 1, front);
+        balance.onServerList(fleet(servers), true);
         return balance;
     }
 
@@ -170,14 +170,14 @@
 
     /** What stays in use of a module with so many groups of one standing tunnel each, per group. */
     static double bytesPerGroup(int servers, int groups) {
-        Balance balance = module(servers, true, new Counting());
-        List<Balance.Tunnel> tunnels = new ArrayList<>();
+        LoadBalancer balance = module(servers, true, new Counting());
+        List<LoadBalancer.Tunnel> tunnels = new ArrayList<>();
         long before = used();
         for (int g = 0; g < groups; g++) {
             String group = "topic-" + g;
             // As on a return: it stands where it stood, and a second one of the group is placed by
             // the module.
-            tunnels.add(balance.standing(2L * g, 0, 0, group, null, "feed-" + g % servers));
+            tunnels.add(balance.restoreTunnel(2L * g, 0, 0, group, null, "feed-" + g % servers));
         }
         double standing = used() - before;
         balance.hashCode();
@@ -186,13 +186,13 @@
     }
 
     /** A module whose servers all told a light load just now. */
-    private static Balance told(int servers, boolean groups, Counting front) {
-        Balance balance = module(servers, groups, front);
-        Report report = new Report();
+    private static LoadBalancer told(int servers, boolean groups, Counting front) {
+        LoadBalancer balance = module(servers, groups, front);
+        LoadReport report = new LoadReport();
         report.load = 0.3;
-        report.held = 1_000;
+        report.openTunnels = 1_000;
         for (int s = 0; s < servers; s++) {
-            balance.probed("feed-" + s, Outcome.OK, report);
+            balance.onProbeResult("feed-" + s, Outcome.OK, report);
         }
         return balance;
     }
@@ -203,13 +203,13 @@
      */
     static double[] bytesPerPlacedGroup(int servers, int groups) {
         Counting front = new Counting();
-        Balance balance = told(servers, true, front);
-        List<Balance.Tunnel> tunnels = new ArrayList<>();
+        LoadBalancer balance = told(servers, true, front);
+        List<LoadBalancer.Tunnel> tunnels = new ArrayList<>();
         long before = used();
         for (int g = 0; g < groups; g++) {
-            Balance.Tunnel tunnel = balance.take(g, 0, 0, "topic-" + g, null, 2, false);
+            LoadBalancer.Tunnel tunnel = balance.openTunnel(g, 0, 0, "topic-" + g, null, 2, false);
             if (front.sent.poll() != null) {
-                tunnel.opened(0, 0.02);
+                tunnel.onOpened(0, 0.02);
                 tunnels.add(tunnel);
             }
         }
@@ -218,7 +218,7 @@
             throw new IllegalStateException(
                     "only " + tunnels.size() + " of " + groups + " were placed");
         }
-        tunnels.forEach(t -> t.ended(0, Outcome.OK, 0, true));
+        tunnels.forEach(t -> t.onEnded(0, Outcome.OK, 0, true));
         tunnels.clear();
         double after = used() - before;
         balance.hashCode();
@@ -231,9 +231,9 @@
      */
     static int atOnce(int servers, int tunnels) {
         Counting front = new Counting();
-        Balance balance = told(servers, false, front);
+        LoadBalancer balance = told(servers, false, front);
         for (int i = 0; i < tunnels; i++) {
-            balance.take(i, 0, 0, null, null, 2, false);
+            balance.openTunnel(i, 0, 0, null, null, 2, false);
         }
         return front.sent.size();
     }
@@ -245,14 +245,14 @@
      */
     static double[] control(int servers, int used, double fee, double opening, double seconds) {
         Counting front = new Counting();
-        Balance balance = module(servers, false, front, fee);
-        List<Balance.Tunnel> tunnels = new ArrayList<>();
+        LoadBalancer balance = module(servers, false, front, fee);
+        List<LoadBalancer.Tunnel> tunnels = new ArrayList<>();
         for (int s = 0; s < used; s++) {
-            tunnels.add(balance.standing(s, 0, 0, null, null, "feed-" + s));
+            tunnels.add(balance.restoreTunnel(s, 0, 0, null, null, "feed-" + s));
         }
-        Report report = new Report();
+        LoadReport report = new LoadReport();
         report.load = 0.3;
-        report.held = 1_000;
+        report.openTunnels = 1_000;
         double warm = 30;
         long took = 0;
         long probes = 0;
@@ -268,16 +268,16 @@
             }
             long from = System.nanoTime();
             for (int n = front.asked.size(); n > 0; n--) {
-                balance.probed(front.asked.poll(), Outcome.OK, report);
+                balance.onProbeResult(front.asked.poll(), Outcome.OK, report);
             }
-            balance.woke(0);
+            balance.onTimer(0);
             took += System.nanoTime() - from;
-            for (Balance.Tunnel t = front.sent.poll(); t != null; t = front.sent.poll()) {
-                t.opened(0, 0.02);
-                t.ended(0, Outcome.OK, 0, true);
+            for (LoadBalancer.Tunnel t = front.sent.poll(); t != null; t = front.sent.poll()) {
+                t.onOpened(0, 0.02);
+                t.onEnded(0, Outcome.OK, 0, true);
             }
             for (due += opening * TICK; due >= 1; due--) {
-                balance.take(++id, 0, 0, null, null, 2, false);
+                balance.openTunnel(++id, 0, 0, null, null, 2, false);
             }
         }
         tunnels.size();
@@ -312,7 +312,8 @@
     }
 
     public static void main(String[] args) throws IOException {
-        Fleet.Names names = new Fleet.Names(Map.of("zones", List.of(), "models", List.of()));
+        ServerList.NameIndex names =
+                new ServerList.NameIndex(Map.of("zones", List.of(), "models", List.of()));
         System.out.printf(
                 Locale.ROOT,
                 "%8s %10s %8s %10s %24s %14s %14s%n",
@@ -338,7 +339,7 @@
                 garbage = allocated() - before;
             }
             long before = used();
-            Fleet kept = read(text, names);
+            ServerList kept = read(text, names);
             long after = used();
             System.out.printf(
                     Locale.ROOT,
@@ -354,9 +355,9 @@
         System.out.printf(
                 Locale.ROOT, "%n%8s %18s %22s%n", "servers", "module, MB", "bytes a listed server");
         for (int servers : new int[] {100, 1_000, 4_000, 10_000, 100_000}) {
-            List<Listed> listed = fleet(servers);
+            List<ServerEntry> listed = fleet(servers);
             long before = used();
-            Balance balance = module(servers, false, new Counting());
+            LoadBalancer balance = module(servers, false, new Counting());
             long bytes = used() - before;
             balance.hashCode();
             listed.size();
--- a/bench/src/test/java/asterpulley/bench/SizeCostTest.java
+++ b/bench/src/test/java/asterpulley/bench/SizeCostTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import asterpulley.Listed;
-import asterpulley.list.Fleet;
+import asterpulley.ServerEntry;
+import asterpulley.list.ServerList;
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
@@ -15,14 +15,15 @@
     @Test
     void theListIsReadAsRelaysReadIt() throws IOException {
         String text = SizeCost.text(50);
-        Fleet fleet =
+        ServerList fleet =
                 SizeCost.read(
-                        text, new Fleet.Names(Map.of("zones", List.of(), "models", List.of())));
+                        text,
+                        new ServerList.NameIndex(Map.of("zones", List.of(), "models", List.of())));
         assertTrue(fleet.whole());
         assertEquals(50, fleet.servers().size());
-        assertEquals(50, fleet.dials().size());
-        assertEquals(11, fleet.servers().stream().map(Listed::zone).distinct().count());
-        assertTrue(fleet.servers().stream().allMatch(l -> l.state() == Listed.State.RUNNING));
+        assertEquals(50, fleet.dialAddresses().size());
+        assertEquals(11, fleet.servers().stream().map(ServerEntry::zone).distinct().count());
+        assertTrue(fleet.servers().stream().allMatch(l -> l.state() == ServerEntry.State.RUNNING));
         assertTrue(SizeCost.deflated(text) < text.length());
     }
 
--- a/cli/src/main/java/asterpulley/cli/CheckCommand.java
+++ b/cli/src/main/java/asterpulley/cli/CheckCommand.java
@@ -1,6 +1,6 @@
 package asterpulley.cli;
 
-import asterpulley.files.Sheet;
+import asterpulley.files.TomlDocument;
 import asterpulley.lab.fleet.FleetReader;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -35,7 +35,7 @@
 
     @Override
     public Integer call() throws IOException {
-        Sheet sheet = Main.sheet(file);
+        TomlDocument sheet = Main.sheet(file);
         boolean relay = kind == null ? sheet.root().has("listen") : kind == Kind.RELAY;
         if (relay) {
             RelayFile.read(sheet);
--- a/cli/src/main/java/asterpulley/cli/LabCommand.java
+++ b/cli/src/main/java/asterpulley/cli/LabCommand.java
@@ -1,6 +1,6 @@
 package asterpulley.cli;
 
-import asterpulley.files.Sheet;
+import asterpulley.files.TomlDocument;
 import asterpulley.lab.Lab;
 import asterpulley.lab.fleet.FleetLab;
 import asterpulley.lab.fleet.FleetPlan;
@@ -105,7 +105,7 @@
 
         @Override
         public Integer call() throws IOException {
-            Sheet sheet = Main.sheet(file);
+            TomlDocument sheet = Main.sheet(file);
             if (FleetReader.isFleet(sheet)) {
                 return fleet(sheet);
             }
@@ -155,7 +155,7 @@
         }
 
         /** One of many hollow relays: it has sizes, and neither carriers nor baselines. */
-        private int fleet(Sheet sheet) throws IOException {
+        private int fleet(TomlDocument sheet) throws IOException {
             FleetPlan plan = FleetReader.read(sheet, Main.name(file));
             if (!sheet.problems().isEmpty()) {
                 sheet.problems().forEach(System.err::println);
@@ -256,7 +256,7 @@
         public Integer call() throws IOException {
             LoadTool.Order order = new LoadTool.Order();
             order.to =
-                    Addresses.read(to)
+                    Addresses.parse(to)
                             .orElseThrow(
                                     () -> wrong("--to: '" + to + "' is not an address and a port"));
             if (!order.to.getAddress().isLoopbackAddress()) {
--- a/cli/src/main/java/asterpulley/cli/Main.java
+++ b/cli/src/main/java/asterpulley/cli/Main.java
@@ -1,7 +1,7 @@
 package asterpulley.cli;
 
 import asterpulley.drill.Drill;
-import asterpulley.files.Sheet;
+import asterpulley.files.TomlDocument;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
 import java.io.IOException;
@@ -65,15 +65,15 @@
     }
 
     /** An operator's file as it stands; a plain message where it can't be read. */
-    static Sheet sheet(Path file) throws IOException {
+    static TomlDocument sheet(Path file) throws IOException {
         if (!Files.isReadable(file)) {
             throw new IOException(file + " cannot be read");
         }
-        return Sheet.read(file);
+        return TomlDocument.read(file);
     }
 
     /** The name of an experiment is its file's. */
-    static Plan plan(Sheet sheet, Path file) {
+    static Plan plan(TomlDocument sheet, Path file) {
         return PlanReader.read(sheet, name(file));
     }
 
--- a/cli/src/main/java/asterpulley/cli/RelayFile.java
+++ b/cli/src/main/java/asterpulley/cli/RelayFile.java
@@ -1,8 +1,8 @@
 package asterpulley.cli;
 
-import asterpulley.files.Part;
-import asterpulley.files.PoolsFile;
-import asterpulley.files.Sheet;
+import asterpulley.files.PoolsReader;
+import asterpulley.files.TomlDocument;
+import asterpulley.files.TomlSection;
 import asterpulley.net.Addresses;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -21,41 +21,41 @@
     private RelayFile() {}
 
     /** Reads the whole of it; ask the sheet for its problems before it is used. */
-    static Map<String, Object> read(Sheet sheet) {
-        Part root = sheet.root();
+    static Map<String, Object> read(TomlDocument sheet) {
+        TomlSection root = sheet.root();
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", root.text("name", "relay"));
-        config.put("listen", address(root.need("listen"), "listen", "127.0.0.1:0"));
+        config.put("listen", address(root.require("listen"), "listen", "127.0.0.1:0"));
         config.put(
                 "seed",
                 Long.toHexString(
                         root.has("seed")
-                                ? root.whole("seed", 1, 0, Integer.MAX_VALUE)
+                                ? root.integer("seed", 1, 0, Integer.MAX_VALUE)
                                 : System.nanoTime() ^ ProcessHandle.current().pid()));
-        Part limits = root.part("limits");
+        TomlSection limits = root.section("limits");
         config.put(
                 "limits",
                 map(
                         "memory_mb",
-                        limits.whole("memory_mb", 192, 32, 1 << 20),
+                        limits.integer("memory_mb", 192, 32, 1 << 20),
                         "sockets",
-                        limits.whole("sockets", 1024, 64, 1 << 20)));
+                        limits.integer("sockets", 1024, 64, 1 << 20)));
         List<Object> zones = new ArrayList<>(root.texts("zones"));
         if (zones.isEmpty()) {
             zones.add("here");
         }
         String zone = root.text("zone", String.valueOf(zones.get(0)));
         if (!zones.contains(zone)) {
-            root.wrong("zone", "'" + zone + "' is none of zones", null);
+            root.reportProblem("zone", "'" + zone + "' is none of zones", null);
         }
         if (root.has("operator")) {
             config.put("operator", address(root, "operator", "127.0.0.1:1"));
         }
-        Part settingsPart = root.part("settings");
+        TomlSection settingsPart = root.section("settings");
         if (settingsPart.has("service")) {
             config.put("settings_service", address(settingsPart, "service", "127.0.0.1:1"));
         }
-        Part list = root.part("list");
+        TomlSection list = root.section("list");
         if (list.has("discovery")) {
             config.put("discovery", address(list, "discovery", "127.0.0.1:1"));
         }
@@ -65,14 +65,14 @@
         settings.put("zones", zones);
         settings.put("models", models);
         settings.put("myZone", Math.max(0, zones.indexOf(zone)));
-        int relays = root.whole("relays", 1, 1, 100_000);
+        int relays = root.integer("relays", 1, 1, 100_000);
         settings.put("siblings", relays);
         settings.put("registryMode", list.has("discovery") ? "subscribe" : "none");
         settings.put("profiles", profiles(root));
         settings.put("tenants", customers(root));
         settings.put("familyInfo", map("groups", root.flag("groups_share_work", false)));
         settings.put("tickMs", 4.0);
-        Part setups = root.part("setups");
+        TomlSection setups = root.section("setups");
         double back = setups.number("longest_retry_after_s", 1.5, 0, LONG);
         settings.put(
                 "limits",
@@ -84,10 +84,10 @@
                         "maxRetryAfterMs",
                         back * 1e3,
                         "mostSetups",
-                        setups.whole("most", 3, 1, 100),
+                        setups.integer("most", 3, 1, 100),
                         "dialTimeoutMs",
                         setups.number("connect_timeout_s", 1, 0.01, 60) * 1e3));
-        Part cold = root.part("cold");
+        TomlSection cold = root.section("cold");
         settings.put(
                 "rules",
                 map(
@@ -101,7 +101,7 @@
                         cold.number("fall_multiple", 2, 1, 100),
                         "fallMs",
                         cold.number("fall_s", 1, 0.1, 60) * 1e3));
-        Part fees = root.part("fees");
+        TomlSection fees = root.section("fees");
         settings.put(
                 "fees",
                 map(
@@ -111,7 +111,7 @@
                         fees.number("probe", 0, 0, 1)));
         config.put("settings", settings);
         Map<String, Object> routes =
-                PoolsFile.read(
+                PoolsReader.read(
                         root,
                         names(zones),
                         names(models),
@@ -133,17 +133,17 @@
                 .stream().map(p -> String.valueOf(((Map<?, ?>) p).get("name"))).toList();
     }
 
-    private static List<Object> servers(Part root, List<Object> zones, List<Object> models) {
+    private static List<Object> servers(TomlSection root, List<Object> zones, List<Object> models) {
         List<Object> hosts = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Part p : root.parts("server")) {
-            String name = p.need("name", "dial").text("name", "");
+        for (TomlSection p : root.sections("server")) {
+            String name = p.require("name", "dial").text("name", "");
             if (!names.add(name)) {
-                p.wrong("name", "'" + name + "' is there twice", null);
+                p.reportProblem("name", "'" + name + "' is there twice", null);
             }
             String zone = p.text("zone", String.valueOf(zones.get(0)));
             if (!zones.contains(zone)) {
-                p.wrong("zone", "'" + zone + "' is none of zones", null);
+                p.reportProblem("zone", "'" + zone + "' is none of zones", null);
             }
             String model = p.text("model", "server");
             if (!models.contains(model)) {
@@ -161,7 +161,7 @@
                             "class",
                             model,
                             "block",
-                            p.whole("cell", 0, 0, 1 << 20),
+                            p.integer("cell", 0, 0, 1 << 20),
                             "health",
                             state,
                             "share",
@@ -172,9 +172,9 @@
         return hosts;
     }
 
-    private static List<Object> profiles(Part root) {
+    private static List<Object> profiles(TomlSection root) {
         List<Object> profiles = new ArrayList<>();
-        for (Part p : root.parts("profile")) {
+        for (TomlSection p : root.sections("profile")) {
             String effect =
                     switch (p.oneOf(
                             "effect", "repeatable", "repeatable", "referenced", "once-only")) {
@@ -186,7 +186,7 @@
             profiles.add(
                     map(
                             "name",
-                            p.need("name").text("name", ""),
+                            p.require("name").text("name", ""),
                             "effect",
                             effect,
                             "group",
@@ -201,29 +201,29 @@
                             p.number("credit", 1, 0, 1e6)));
         }
         if (profiles.isEmpty()) {
-            root.need("profile");
+            root.require("profile");
         }
         return profiles;
     }
 
-    private static List<Object> customers(Part root) {
+    private static List<Object> customers(TomlSection root) {
         List<Object> customers = new ArrayList<>();
-        for (Part p : root.parts("customer")) {
+        for (TomlSection p : root.sections("customer")) {
             customers.add(
                     map(
                             "name",
-                            p.need("name").text("name", ""),
+                            p.require("name").text("name", ""),
                             "share",
                             p.number("share", 1, 0, 1)));
         }
         return customers;
     }
 
-    private static String address(Part of, String key, String missing) {
+    private static String address(TomlSection of, String key, String missing) {
         String text = of.text(key, missing);
-        return Addresses.read(text).isPresent()
+        return Addresses.parse(text).isPresent()
                 ? text
-                : of.wrong(key, "'" + text + "' is not an address and a port", missing);
+                : of.reportProblem(key, "'" + text + "' is not an address and a port", missing);
     }
 
     private static Map<String, Object> map(Object... pairs) {
--- a/cli/src/main/java/asterpulley/cli/RoutesCommand.java
+++ b/cli/src/main/java/asterpulley/cli/RoutesCommand.java
@@ -1,19 +1,19 @@
 package asterpulley.cli;
 
-import asterpulley.Balance;
-import asterpulley.Front;
+import asterpulley.Frontend;
+import asterpulley.LoadBalancer;
+import asterpulley.LoadReport;
 import asterpulley.Outcome;
-import asterpulley.Report;
 import asterpulley.Settings;
-import asterpulley.decode.CharterDecoder;
 import asterpulley.decode.Json;
+import asterpulley.decode.RoutingPolicyDecoder;
 import asterpulley.decode.SettingsDecoder;
-import asterpulley.files.Sheet;
+import asterpulley.files.TomlDocument;
 import asterpulley.lab.report.Tables;
-import asterpulley.routes.Charter;
-import asterpulley.routes.Guide;
+import asterpulley.routes.PoolRouter;
+import asterpulley.routes.RoutingPolicy;
 import asterpulley.routes.Why;
-import asterpulley.serve.Serve;
+import asterpulley.serve.RelayInstance;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -93,7 +93,7 @@
 
         @Override
         public Integer call() throws IOException {
-            Sheet sheet = Main.sheet(file);
+            TomlDocument sheet = Main.sheet(file);
             Map<String, Object> told = RelayFile.read(sheet);
             if (!sheet.problems().isEmpty()) {
                 sheet.problems().forEach(System.err::println);
@@ -102,12 +102,14 @@
             if (told.get("routes") == null) {
                 throw new IOException(file + ": says nothing of pools: there is no [spill]");
             }
-            Map<String, Object> settings = Json.part(told, "settings");
+            Map<String, Object> settings = Json.objectOrEmpty(told, "settings");
             int ofProfile = place(settings, "profiles", profile, "--client");
             int ofCustomer = place(settings, "tenants", customer, "--customer");
-            Settings set = SettingsDecoder.settings(settings);
-            Charter charter = CharterDecoder.charter(Json.part(told, "routes"), set.zone, settings);
-            Guide guide = new Guide(charter, NOW, line -> {}, counter -> {});
+            Settings set = SettingsDecoder.decode(settings);
+            RoutingPolicy charter =
+                    RoutingPolicyDecoder.decode(
+                            Json.objectOrEmpty(told, "routes"), set.zone, settings);
+            PoolRouter guide = new PoolRouter(charter, NOW, line -> {}, counter -> {});
             Map<String, Object> known = state(state);
             try {
                 guide.restore(known, NOW);
@@ -122,7 +124,7 @@
             Integer place =
                     name == null
                             ? Integer.valueOf(0)
-                            : SettingsDecoder.places(settings, list).get(name);
+                            : SettingsDecoder.indexes(settings, list).get(name);
             if (place == null) {
                 throw new CommandLine.ParameterException(
                         spec.commandLine(),
@@ -150,9 +152,9 @@
                     if (line.startsWith("{") && JSON.readTree(line).path("message").isTextual()) {
                         line = JSON.readTree(line).path("message").asText();
                     }
-                    int at = line.indexOf(Serve.ROUTES + "{");
+                    int at = line.indexOf(RelayInstance.ROUTES_LOG_PREFIX + "{");
                     if (at >= 0) {
-                        return read(line.substring(at + Serve.ROUTES.length()));
+                        return read(line.substring(at + RelayInstance.ROUTES_LOG_PREFIX.length()));
                     }
                 } catch (JsonProcessingException e) {
                     throw new IOException(
@@ -174,15 +176,19 @@
     }
 
     /** One tunnel, put through the module and the routes as they are, in no time at all. */
-    private static final class Trial implements Front {
-        private final Guide guide;
+    private static final class Trial implements Frontend {
+        private final PoolRouter guide;
         private final Settings set;
         private final Map<String, Object> known;
         private final int profile, customer;
         private String taken, verdict = "nothing: it waits for load reports";
 
         private Trial(
-                Guide guide, Settings set, Map<String, Object> known, int profile, int customer) {
+                PoolRouter guide,
+                Settings set,
+                Map<String, Object> known,
+                int profile,
+                int customer) {
             this.guide = guide;
             this.set = set;
             this.known = known;
@@ -190,37 +196,37 @@
             this.customer = customer;
         }
 
-        private void print(Charter charter, boolean again, long seed) {
-            Balance balance = new Balance(set, seed, this);
-            balance.list(guide.listed(known, NOW), true);
+        private void print(RoutingPolicy charter, boolean again, long seed) {
+            LoadBalancer balance = new LoadBalancer(set, seed, this);
+            balance.onServerList(guide.listed(known, NOW), true);
             for (Map<?, ?> s : servers()) {
-                Report report = new Report();
+                LoadReport report = new LoadReport();
                 report.load =
                         s.get("load") instanceof Number load ? load.doubleValue() : Double.NaN;
                 // Silent for good: three questions that nobody answered.
                 for (int i = 0; i < (Boolean.TRUE.equals(s.get("silent")) ? 3 : 1); i++) {
-                    balance.probed(
+                    balance.onProbeResult(
                             name(s),
                             Boolean.TRUE.equals(s.get("silent")) ? Outcome.TIMED_OUT : Outcome.OK,
                             report);
                 }
             }
             // Cold servers' budgets fill by the tick; what stands there is not known here.
-            balance.woke(0);
-            guide.taken(1, profile, null, NOW);
+            balance.onTimer(0);
+            guide.tunnelAccepted(1, profile, null, NOW);
             if (again) {
                 guide.triedBefore(1);
             }
-            balance.take(1, profile, customer, null, null, 0, false);
+            balance.openTunnel(1, profile, customer, null, null, 0, false);
             for (Object o : Json.list(known, "pools")) {
                 pool(Json.object(o, "a pool"), charter);
             }
             System.out.println("tunnel: " + verdict);
         }
 
-        private void pool(Map<String, Object> pool, Charter charter) {
+        private void pool(Map<String, Object> pool, RoutingPolicy charter) {
             String name = String.valueOf(pool.get("name"));
-            boolean home = name.equals(charter.pools.get(charter.home));
+            boolean home = name.equals(charter.pools.get(charter.homePool));
             double guests = 0;
             for (Object g : Json.list(pool, "guests")) {
                 guests += ((Number) g).doubleValue();
@@ -263,7 +269,8 @@
             if (Boolean.TRUE.equals(s.get("silent"))) {
                 return "not taken: it is silent";
             }
-            return s.get("load") instanceof Number load && load.doubleValue() >= new Charter().full
+            return s.get("load") instanceof Number load
+                            && load.doubleValue() >= new RoutingPolicy().full
                     ? "not taken: open, and full by its load"
                     : taken == null
                             ? "not taken: open, and has no room for it now"
@@ -290,23 +297,23 @@
         }
 
         @Override
-        public boolean may(Balance.Tunnel tun, int server, String ep) {
-            return guide.may(tun.id, server, ep, NOW);
+        public boolean isEligible(LoadBalancer.Tunnel tun, int server, String ep) {
+            return guide.mayUse(tun.id, server, ep, NOW);
         }
 
         @Override
-        public boolean widen(Balance.Tunnel tun) {
-            return guide.widen(tun.id, NOW);
+        public boolean widenSelection(LoadBalancer.Tunnel tun) {
+            return guide.advanceTier(tun.id, NOW);
         }
 
         @Override
-        public void setup(Balance.Tunnel tun, String ep, double timeout) {
+        public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
             taken = ep;
             verdict = "a setup to " + ep + ", given up after " + Tables.plain(timeout) + " s";
         }
 
         @Override
-        public void decline(Balance.Tunnel tun, double retryAfter) {
+        public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
             verdict =
                     "declined"
                             + (retryAfter > 0
@@ -315,12 +322,12 @@
         }
 
         @Override
-        public void closeWithError(Balance.Tunnel tun) {
+        public void closeWithError(LoadBalancer.Tunnel tun) {
             verdict = "closed with error";
         }
 
         @Override
-        public void move(Balance.Tunnel tun) {
+        public void move(LoadBalancer.Tunnel tun) {
             // Nothing stands here.
         }
 
@@ -330,12 +337,12 @@
         }
 
         @Override
-        public void watch() {
+        public void watchServerList() {
             // The list is the state's.
         }
 
         @Override
-        public void wake(double after, long token) {
+        public void scheduleTimer(double after, long token) {
             // No time passes.
         }
 
--- a/cli/src/main/java/asterpulley/cli/ServeCommand.java
+++ b/cli/src/main/java/asterpulley/cli/ServeCommand.java
@@ -1,8 +1,8 @@
 package asterpulley.cli;
 
 import asterpulley.decode.Json;
-import asterpulley.files.Sheet;
-import asterpulley.serve.Serve;
+import asterpulley.files.TomlDocument;
+import asterpulley.serve.RelayInstance;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -50,19 +50,19 @@
                     "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n");
         }
         return file == null
-                ? Serve.run(System.err)
-                : Serve.run(file.toString(), () -> told(file), System.err);
+                ? RelayInstance.run(System.err)
+                : RelayInstance.run(file.toString(), () -> told(file), System.err);
     }
 
     /** Read anew at every call; all that is wrong with the file in one message. */
     private static Map<String, Object> told(Path file) throws IOException {
         if (!Files.isReadable(file)) {
-            throw new Json.Malformed(file + " cannot be read");
+            throw new Json.MalformedException(file + " cannot be read");
         }
-        Sheet sheet = Sheet.read(file);
+        TomlDocument sheet = TomlDocument.read(file);
         Map<String, Object> told = RelayFile.read(sheet);
         if (!sheet.problems().isEmpty()) {
-            throw new Json.Malformed(String.join("\n", sheet.problems()));
+            throw new Json.MalformedException(String.join("\n", sheet.problems()));
         }
         return told;
     }
--- a/cli/src/test/java/asterpulley/cli/CommandTest.java
+++ b/cli/src/test/java/asterpulley/cli/CommandTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import asterpulley.files.Sheet;
+import asterpulley.files.TomlDocument;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
@@ -141,9 +141,11 @@
                 "listen = \"127.0.0.1:0\"\n[[profile]]\nname = \"live\"\n[[server]]\nname = \"a\"\ndial = \"127.0.0.1:1\"\n";
         assertEquals(
                 "127.0.0.1:7700",
-                RelayFile.read(Sheet.of("r", relay + "[settings]\nservice = \"127.0.0.1:7700\"\n"))
+                RelayFile.read(
+                                TomlDocument.parse(
+                                        "r", relay + "[settings]\nservice = \"127.0.0.1:7700\"\n"))
                         .get("settings_service"));
-        assertTrue(!RelayFile.read(Sheet.of("r", relay)).containsKey("settings_service"));
+        assertTrue(!RelayFile.read(TomlDocument.parse("r", relay)).containsKey("settings_service"));
         assertEquals(
                 1,
                 run(
--- a/core/src/main/java/asterpulley/Exodus.java
+++ b/core/src/main/java/asterpulley/DrainScheduler.java
@@ -5,15 +5,15 @@
  * they do not all come to the siblings at once. It must never send more than stand, and never leave
  * one behind.
  */
-public final class Exodus {
+public final class DrainScheduler {
     /** How often it is asked, in seconds. */
-    public static final double STEP = 0.05;
+    public static final double STEP_SECONDS = 0.05;
 
     private final double from, until;
     private double owed;
 
     /** Sends clients away from one time to another, on the clock of whoever asks. */
-    public Exodus(double from, double until) {
+    public DrainScheduler(double from, double until) {
         this.from = from;
         this.until = until;
     }
@@ -23,7 +23,7 @@
         if (now < from) {
             return 0;
         }
-        owed += Math.max(1, standing * STEP / Math.max(STEP, until - now));
+        owed += Math.max(1, standing * STEP_SECONDS / Math.max(STEP_SECONDS, until - now));
         int sent = (int) Math.min(owed, standing);
         owed = standing == 0 ? 0 : owed - sent;
         return sent;
--- a/core/src/main/java/asterpulley/Ledger.java
+++ b/core/src/main/java/asterpulley/Ledger.java
@@ -20,26 +20,27 @@
     }
 
     void took(double now) {
-        if (set.lookBack > 0) {
+        if (set.retryBudgetWindow > 0) {
             taken.add(now);
         }
     }
 
     /** How many further setups may leave now; endless where no budget is told. */
     double left(double now) {
-        if (!(set.lookBack > 0)) {
+        if (!(set.retryBudgetWindow > 0)) {
             return Double.POSITIVE_INFINITY;
         }
         // Whoever counts may see a setup a tick away from where it is seen here: the window is the
         // stricter.
-        double from = now - set.lookBack, slack = 2 * set.tick;
+        double from = now - set.retryBudgetWindow, slack = 2 * set.tick;
         while (!taken.isEmpty() && taken.peek() <= from + slack) {
             taken.poll();
         }
         while (!further.isEmpty() && further.peek() < from - slack) {
             further.poll();
         }
-        return Math.floor(set.budgetFree + set.furtherRatio * taken.size() + 1e-9) - further.size();
+        return Math.floor(set.retryBudgetMinimum + set.retryBudgetRatio * taken.size() + 1e-9)
+                - further.size();
     }
 
     /**
@@ -47,6 +48,6 @@
      * left.
      */
     boolean spend(double now) {
-        return left(now) >= 1 && (!(set.lookBack > 0) || further.add(now));
+        return left(now) >= 1 && (!(set.retryBudgetWindow > 0) || further.add(now));
     }
 }
--- a/core/src/main/java/asterpulley/Balance.java
+++ b/core/src/main/java/asterpulley/LoadBalancer.java
@@ -19,7 +19,7 @@
  * offline; all full means decline. When each exception to it acts, and why, stands in
  * docs/design.md.
  */
-public final class Balance {
+public final class LoadBalancer {
     /** Unanswered seeks and failed setups in a row that mark a server offline. */
     private static final int SILENT = 3;
 
@@ -149,7 +149,7 @@
 
     private static final long SEEK = 0, ASK_LIST = 1;
 
-    private final Front front;
+    private final Frontend front;
     private final Random random;
     private final Ledger ledger;
 
@@ -207,30 +207,31 @@
 
     private record Placement(double at, double step, double work) {}
 
-    public Balance(Settings set, long seed, Front front) {
+    public LoadBalancer(Settings set, long seed, Frontend front) {
         this.front = front;
         this.random = new Random(seed);
         this.ledger = new Ledger(set);
-        settings(set);
+        updateSettings(set);
         arrivalsAt = front.now();
         blind = !set.probesAllowed;
-        if (set.listMustBeAsked) {
-            front.watch();
+        if (set.subscribesToServerList) {
+            front.watchServerList();
         }
-        front.wake(TIMER, SEEK);
+        front.scheduleTimer(TIMER, SEEK);
     }
 
     /**
      * These count from now on; tunnels taken keep their profile as it was: deadline, effect and
      * window.
      */
-    public void settings(Settings anew) {
+    public void updateSettings(Settings anew) {
         set = anew;
         ledger.set = anew;
         profileLoad = Arrays.copyOf(profileLoad, Math.max(profileLoad.length, set.profiles.size()));
         profileSeen = Arrays.copyOf(profileSeen, profileLoad.length);
         customerOpen =
-                Arrays.copyOf(customerOpen, Math.max(customerOpen.length, set.shares.size() + 1));
+                Arrays.copyOf(
+                        customerOpen, Math.max(customerOpen.length, set.customerShares.size() + 1));
         sized();
     }
 
@@ -251,8 +252,9 @@
                 long id, int profile, int customer, String group, String key, double budget) {
             this.id = id;
             this.profile = profile;
-            this.customer = customer >= 0 && customer < set.shares.size() ? customer + 1 : 0;
-            this.key = set.packetsPass ? key : null;
+            this.customer =
+                    customer >= 0 && customer < set.customerShares.size() ? customer + 1 : 0;
+            this.key = set.packetPassThrough ? key : null;
             this.group = set.groupsShareWork ? group : null;
             this.kind = set.profiles.get(profile);
             since = front.now();
@@ -264,11 +266,11 @@
         }
 
         /** True when nothing more can happen to it. */
-        public boolean over() {
+        public boolean isFinished() {
             return done && out < 0 && on < 0;
         }
 
-        public void opened(int setup, double lag) {
+        public void onOpened(int setup, double lag) {
             if (out < 0) {
                 return;
             }
@@ -285,7 +287,7 @@
             settle();
         }
 
-        public void load(double cores) {
+        public void onLoad(double cores) {
             if (on < 0) {
                 return;
             }
@@ -300,7 +302,7 @@
          * What a message takes at its server now, told only while it is long: work has piled up
          * there.
          */
-        public void delay(double message) {
+        public void onMessageDelay(double message) {
             if (on >= 0) {
                 restUntil[on] = Math.max(restUntil[on], front.now() + SLOW_REST);
                 // So long is no crowd any more: it may have fallen silent, and its tunnels wait.
@@ -308,7 +310,7 @@
             }
         }
 
-        public void ended(int setup, Outcome outcome, double lag, boolean last) {
+        public void onEnded(int setup, Outcome outcome, double lag, boolean last) {
             if (on >= 0) {
                 int s = on;
                 fall(this);
@@ -333,7 +335,7 @@
                 settle();
                 return;
             }
-            if (!outcome.provesNotRun && !mayHaveRun) {
+            if (!outcome.provesNoEffect && !mayHaveRun) {
                 mayHaveRun = true;
                 ranOn = s;
                 ranAt = sentAt;
@@ -348,7 +350,7 @@
         }
 
         /** The client left, or the answer is overdue: nothing is sent any more. */
-        public void withdrawn() {
+        public void cancel() {
             done = true;
         }
 
@@ -356,7 +358,7 @@
          * True where the setup that is out may still be written: its connection may have come up
          * late.
          */
-        public boolean mayGo() {
+        public boolean maySend() {
             return out >= 0 && !done && wanted(out) && lawful(this, out);
         }
 
@@ -368,14 +370,14 @@
             if (mayHaveRun) {
                 front.closeWithError(this);
             } else {
-                Balance.this.giveUp(this);
+                LoadBalancer.this.giveUp(this);
             }
         }
     }
 
     // ---- Tunnels
 
-    public Tunnel take(
+    public Tunnel openTunnel(
             long id,
             int profile,
             int customer,
@@ -400,7 +402,7 @@
     }
 
     /** A tunnel that already stood on this server when this instance started. */
-    public Tunnel standing(
+    public Tunnel restoreTunnel(
             long id, int profile, int customer, String group, String key, String ep) {
         Tunnel tun = new Tunnel(id, profile, customer, group, key, 0);
         tun.done = true;
@@ -462,7 +464,7 @@
     private void place(Tunnel tun) {
         double now = front.now();
         double left = tun.deadline - now - 2 * set.tick;
-        if (tun.setups >= set.mostSetups
+        if (tun.setups >= set.maxSetupsPerTunnel
                 || left <= set.tick
                 || tun.setups > 0 && ledger.left(now) < 1) {
             giveUp(tun);
@@ -481,7 +483,7 @@
         int s = barred ? -1 : pick(tun);
         if (s < 0) {
             // Routes open by turns: what is given up has had them all.
-            if (!barred && front.widen(tun)) {
+            if (!barred && front.widenSelection(tun)) {
                 place(tun);
             } else {
                 giveUp(tun);
@@ -513,7 +515,7 @@
         // By its load: three heavy tunnels among ten may be half of what a cold server bears.
         double work = Math.max(1, units(tun.profile, profileLoad[tun.profile]));
         later(s, step(s, tun), work);
-        front.setup(tun, ep[s], timeout);
+        front.sendSetup(tun, ep[s], timeout);
     }
 
     /**
@@ -521,13 +523,14 @@
      * remember it.
      */
     private boolean lawful(Tunnel tun, int s) {
-        if (!tun.mayHaveRun || tun.kind.kind == Settings.Kind.REPEATABLE) {
+        if (!tun.mayHaveRun || tun.kind.repeatability == Settings.Repeatability.REPEATABLE) {
             return true;
         }
-        if (tun.kind.kind == Settings.Kind.ONCE_ONLY || front.now() - tun.ranAt > tun.kind.window) {
+        if (tun.kind.repeatability == Settings.Repeatability.ONCE_ONLY
+                || front.now() - tun.ranAt > tun.kind.idempotencyWindow) {
             return false;
         }
-        return switch (tun.kind.reach) {
+        return switch (tun.kind.idempotencyScope) {
             case ALL -> true;
             case ZONE -> zone[s] == zone[tun.ranOn];
             case CELL -> cell[s] == cell[tun.ranOn];
@@ -542,11 +545,11 @@
         tun.done = true;
         boolean harmless =
                 !tun.mayHaveRun
-                        || tun.kind.kind == Settings.Kind.REPEATABLE
-                        || tun.kind.kind == Settings.Kind.REFERENCED
-                                && tun.kind.reach == Settings.Reach.ALL;
+                        || tun.kind.repeatability == Settings.Repeatability.REPEATABLE
+                        || tun.kind.repeatability == Settings.Repeatability.REFERENCED
+                                && tun.kind.idempotencyScope == Settings.IdempotencyScope.ALL;
         if (harmless) {
-            front.decline(tun, set.longestRetryAfter * (0.5 + 0.5 * random.nextDouble()));
+            front.decline(tun, set.maxRetryAfter * (0.5 + 0.5 * random.nextDouble()));
         } else {
             front.closeWithError(tun);
         }
@@ -584,7 +587,8 @@
      * mark.
      */
     private BitSet barred(Tunnel tun) {
-        boolean again = tun.mayHaveRun && tun.kind.kind == Settings.Kind.REFERENCED;
+        boolean again =
+                tun.mayHaveRun && tun.kind.repeatability == Settings.Repeatability.REFERENCED;
         return again ? new BitSet() : (BitSet) tun.tried.clone();
     }
 
@@ -596,7 +600,7 @@
         int[] ranks = new int[zones];
         // Where crossing costs less than one more server with the group, it meets at one place for
         // all zones.
-        boolean one = FEE_TO_FACTOR * set.crossingFee < A_RANK * GROUP_PULL * GROUP_COST / largest;
+        boolean one = FEE_TO_FACTOR * set.crossZoneFee < A_RANK * GROUP_PULL * GROUP_COST / largest;
         // Past this rank the pull alone is above full, on the largest servers too.
         double last = (FULL * largest / (GROUP_PULL * GROUP_COST) - strangers) / A_RANK;
         int best = -1;
@@ -628,10 +632,10 @@
             // lower.
             f +=
                     (units + (holds ? 0 : GROUP_COST)) / capacity(s)
-                            + (zone[s] == set.zone ? 0 : FEE_TO_FACTOR * set.crossingFee)
+                            + (zone[s] == set.zone ? 0 : FEE_TO_FACTOR * set.crossZoneFee)
                             + SIBLINGS * turns[s];
             f = owed[s] && seenAt[s] > startedAt[s] ? -1 : f;
-            if (f >= low + 1e-9 || !front.may(tun, s, ep[s])) {
+            if (f >= low + 1e-9 || !front.isEligible(tun, s, ep[s])) {
                 continue;
             }
             if (f < low - 1e-9) {
@@ -727,7 +731,7 @@
         return set.excessCredit < 1
                 && tun.customer > 0
                 && customerOpen[tun.customer]
-                        > 1.1 * set.shares.get(tun.customer - 1) * ownOpen + 1;
+                        > 1.1 * set.customerShares.get(tun.customer - 1) * ownOpen + 1;
     }
 
     // ---- Servers
@@ -755,7 +759,7 @@
      * little.
      */
     private double crowd(int s) {
-        return factor(s) + (blind ? 0 : Math.min(SIBLINGS, set.siblings - 1) * placed[s]);
+        return factor(s) + (blind ? 0 : Math.min(SIBLINGS, set.relayCount - 1) * placed[s]);
     }
 
     private double step(int s, Tunnel tun) {
@@ -806,13 +810,14 @@
 
     private double warmth(int s, double now) {
         double age = now - startedAt[s];
-        return age >= set.coldTime
+        return age >= set.warmUpTime
                 ? 1
-                : set.coldFrom + (1 - set.coldFrom) * Math.max(0, age) / set.coldTime;
+                : set.coldCapacityFraction
+                        + (1 - set.coldCapacityFraction) * Math.max(0, age) / set.warmUpTime;
     }
 
     private boolean cold(int s, double now) {
-        return now - startedAt[s] < set.coldTime;
+        return now - startedAt[s] < set.warmUpTime;
     }
 
     /**
@@ -827,14 +832,14 @@
         // it fall may stand.
         double sent =
                 recent.get(s).stream()
-                        .mapToDouble(p -> p.at > now - set.fallTime * p.work ? p.work : 0)
+                        .mapToDouble(p -> p.at > now - set.collapseTime * p.work ? p.work : 0)
                         .sum();
         double untold = Math.max(0, extra[s] * capacity(s)), part = coldPart(s);
-        double fills = part / warmth(s, now) * COLD_SHARE * set.fallTime / set.coldTime;
+        double fills = part / warmth(s, now) * COLD_SHARE * set.collapseTime / set.warmUpTime;
         double room =
                 Math.min(
                         Math.min(part / 2, fills) - sent,
-                        part * (0.5 - load[s] / set.fallMultiple) - untold);
+                        part * (0.5 - load[s] / set.collapseMultiple) - untold);
         // Rounded by a dither: of many relays each sends a whole tunnel or none, and the parts
         // still sum up.
         return work * (1 - dither[s]) <= room;
@@ -847,7 +852,7 @@
     private double coldPart(int s) {
         int m = model[s] & 63;
         double told = heldTold && modelLoad[m] > 0.5 ? modelHeld[m] / modelLoad[m] / SMALLEST : 1;
-        return set.fallMultiple * capacity(s) * Math.min(1, told) / set.siblings;
+        return set.collapseMultiple * capacity(s) * Math.min(1, told) / set.relayCount;
     }
 
     /** What a tick lets fade and grow. */
@@ -855,7 +860,7 @@
         good[s] *= KEEP;
         bad[s] *= KEEP;
         turns[s] *= KEEP;
-        if (cold(s, now) && random.nextDouble() * set.coldTime < TIMER) {
+        if (cold(s, now) && random.nextDouble() * set.warmUpTime < TIMER) {
             dither[s] = random.nextDouble();
         }
     }
@@ -865,7 +870,8 @@
         placed[s] += Math.max(0, step);
         turns[s] += blind ? Math.max(0, step) : 0;
         recent.get(s)
-                .removeIf(p -> p.at < front.now() - Math.max(REPORT_LAG, set.fallTime * p.work));
+                .removeIf(
+                        p -> p.at < front.now() - Math.max(REPORT_LAG, set.collapseTime * p.work));
         recent.get(s).add(new Placement(front.now(), step, work));
     }
 
@@ -984,13 +990,13 @@
         for (int k = 0; k < n; k++) {
             if (k != s && ready(k) && !cold(k, now)) {
                 double free = Math.max(0, FULL - factor(k)) * capacity(k);
-                room += free / set.siblings;
+                room += free / set.relayCount;
                 widest = Math.max(widest, free);
             }
         }
         // What frees most load for least credit, over its share first; some are shed where nobody
         // has room.
-        boolean shed = room * set.siblings < 1 && !leaves;
+        boolean shed = room * set.relayCount < 1 && !leaves;
         List<Tunnel> leaving = new ArrayList<>(held.get(s));
         leaving.removeIf(t -> t.moving || !leaves && now - t.openedAt < REPORT_LAG);
         leaving.sort((a, b) -> Double.compare(b.units / worth(b), a.units / worth(a)));
@@ -1021,7 +1027,7 @@
     // ---- Seeks
 
     /** What a probe brought. */
-    public void probed(String server, Outcome outcome, Report report) {
+    public void onProbeResult(String server, Outcome outcome, LoadReport report) {
         if (!index.containsKey(server)) {
             return;
         }
@@ -1032,7 +1038,7 @@
         settle();
     }
 
-    private void told(int s, Outcome outcome, Report report) {
+    private void told(int s, Outcome outcome, LoadReport report) {
         double now = front.now();
         if (outcome == Outcome.FULL) {
             full[s] = true;
@@ -1077,10 +1083,10 @@
                 placed[s] += unseen * Math.max(0, p.step);
             }
             if (running[s] && !cold(s, now)) {
-                heldTold |= report.held >= 0;
+                heldTold |= report.openTunnels >= 0;
                 // A report of nothing, as before the first, tells nothing of what fills a server.
                 if (seen >= EMPTY) {
-                    learn(model[s], report.held, seen);
+                    importLearnedState(model[s], report.openTunnels, seen);
                 }
             }
         }
@@ -1091,7 +1097,7 @@
      * taken to hold as much as this relay, over all servers of the model: those that it uses are
      * sought more often.
      */
-    private void learn(int m, double holds, double at) {
+    private void importLearnedState(int m, double holds, double at) {
         double ours = 0, loads = 0;
         int all = 0, told = 0;
         for (int s = 0; s < n && !(holds >= 0); s++) {
@@ -1104,7 +1110,7 @@
             }
         }
         modelHeld[m & 63] =
-                0.97 * modelHeld[m & 63] + (holds >= 0 ? holds : ours * set.siblings / all);
+                0.97 * modelHeld[m & 63] + (holds >= 0 ? holds : ours * set.relayCount / all);
         modelLoad[m & 63] = 0.97 * modelLoad[m & 63] + (holds >= 0 ? at : loads / told);
     }
 
@@ -1128,13 +1134,13 @@
         return !held.get(s).isEmpty() || full[s] || silence[s] > 0;
     }
 
-    public void woke(long token) {
+    public void onTimer(long token) {
         double now = front.now();
         if (token == ASK_LIST) {
-            front.watch();
+            front.watchServerList();
             return;
         }
-        front.wake(TIMER, SEEK);
+        front.scheduleTimer(TIMER, SEEK);
         moveCredit = Math.min(10, moveCredit + TIMER * MOVE_PACE * Math.max(0.5, arrivals));
         largest = 0;
         for (int s = 0; s < n; s++) {
@@ -1150,18 +1156,18 @@
 
     // ---- The list
 
-    public void list(List<Listed> servers, boolean whole) {
+    public void onServerList(List<ServerEntry> servers, boolean whole) {
         boolean[] named = new boolean[n + servers.size()];
-        for (Listed l : servers) {
-            int s = index.computeIfAbsent(l.ep(), this::add);
+        for (ServerEntry l : servers) {
+            int s = index.computeIfAbsent(l.name(), this::add);
             named[s] = true;
             zone[s] = l.zone();
             zones = Math.max(zones, l.zone() + 1);
             model[s] = l.model();
             cell[s] = l.cell();
-            running[s] = l.state() == Listed.State.RUNNING;
+            running[s] = l.state() == ServerEntry.State.RUNNING;
             drainedAt[s] = running[s] ? 0 : drainedAt[s] > 0 ? drainedAt[s] : front.now();
-            listed[s] = l.state() != Listed.State.GONE;
+            listed[s] = l.state() != ServerEntry.State.GONE;
             if (l.startedAt() > startedAt[s] + 1e-3) {
                 restarted(s, l.startedAt());
             }
@@ -1180,8 +1186,8 @@
         for (int s = 0; s < n; s++) {
             up += wanted(s) ? 1 : 0;
         }
-        strangers = Math.pow(0.25, (double) set.siblings / zones);
-        start = Math.max(1, Math.min(WINDOW, WINDOW_A_SERVER * up / set.siblings));
+        strangers = Math.pow(0.25, (double) set.relayCount / zones);
+        start = Math.max(1, Math.min(WINDOW, WINDOW_A_SERVER * up / set.relayCount));
         window = windowCutAt == 0 ? Math.max(window, start) : window;
     }
 
@@ -1189,21 +1195,22 @@
      * Asking the list failed: ask again, later each time; soon after a silent call, which took its
      * time.
      */
-    public void listFailed(boolean silent) {
+    public void onServerListFailed(boolean silent) {
         // What is pushed counts from the service's return on, within the grace; what is asked for
         // soon after
-        double most = Math.min(Math.max(1, set.siblings / 40.0), Math.min(3, set.askEvery / 2));
-        most = set.listMustBeAsked ? most : set.drainGrace / 2;
+        double most =
+                Math.min(Math.max(1, set.relayCount / 40.0), Math.min(3, set.listPollInterval / 2));
+        most = set.subscribesToServerList ? most : set.drainGrace / 2;
         double wait =
                 !silent ? listBackOff : listBackOff == BACK_OFF ? 0 : Math.min(most, BACK_OFF);
-        front.wake(wait * (0.5 + 0.5 * random.nextDouble()), ASK_LIST);
+        front.scheduleTimer(wait * (0.5 + 0.5 * random.nextDouble()), ASK_LIST);
         listBackOff = Math.min(most, 2 * listBackOff);
     }
 
     // ---- Over an upgrade
 
     /** What this module has learned of machines and profiles, for the process that takes over. */
-    public double[] learned() {
+    public double[] exportLearnedState() {
         double[] own = {heldTold ? 1 : 0, setupLag, setupLagSpread};
         return Stream.of(own, modelHeld, modelLoad, profileLoad, profileSeen)
                 .flatMapToDouble(Arrays::stream)
@@ -1213,8 +1220,8 @@
     /**
      * Takes on what another process of this relay has learned; false where that was another form.
      */
-    public boolean learn(double[] all) {
-        if (all.length != learned().length
+    public boolean importLearnedState(double[] all) {
+        if (all.length != exportLearnedState().length
                 || Arrays.stream(all).anyMatch(x -> !(x >= 0 && x < 1e12))) {
             return false;
         }
@@ -1235,7 +1242,7 @@
      * The servers that operators leave out from now on, all of them; it holds until the next such
      * call.
      */
-    public void cordon(Set<String> servers) {
+    public void setCordonedServers(Set<String> servers) {
         cordoned = Set.copyOf(servers);
         for (int s = 0; s < n; s++) {
             boolean was = out[s];
@@ -1261,25 +1268,25 @@
         }
     }
 
-    public Set<String> cordoned() {
+    public Set<String> cordonedServers() {
         return cordoned;
     }
 
     /** True of a server that the list named at some time, or that is left out. */
-    public boolean knows(String server) {
+    public boolean isKnown(String server) {
         return index.containsKey(server) || cordoned.contains(server);
     }
 
     /**
      * True where new tunnels may go by the list and the operators, whatever is thought of it here.
      */
-    public boolean allowed(String server) {
+    public boolean isInRotation(String server) {
         Integer s = index.get(server);
         return s != null && wanted(s);
     }
 
     /** How many servers the list has; of them, those that get nothing new from here for now. */
-    public int members(boolean onlyAvoided) {
+    public int listedServerCount(boolean onlyAvoided) {
         int members = 0;
         for (int s = 0; s < n; s++) {
             members += listed[s] && !(onlyAvoided && ready(s)) ? 1 : 0;
--- a/core/src/main/java/asterpulley/Outcome.java
+++ b/core/src/main/java/asterpulley/Outcome.java
@@ -12,9 +12,9 @@
     NEVER_SENT(true);
 
     /** True if this outcome proves that the setup had no effect. */
-    public final boolean provesNotRun;
+    public final boolean provesNoEffect;
 
     Outcome(boolean provesNotRun) {
-        this.provesNotRun = provesNotRun;
+        this.provesNoEffect = provesNotRun;
     }
 }
--- a/core/src/test/java/asterpulley/ColdFleetTest.java
+++ b/core/src/test/java/asterpulley/ColdFleetTest.java
@@ -46,10 +46,10 @@
         Random draw = new Random(seed * 31 + how.ordinal());
         FleetStage stage = new FleetStage(draw.nextLong());
         Rule rule = RULES[draw.nextInt(RULES.length)];
-        stage.set.fallMultiple = rule.multiple;
-        stage.set.fallTime = rule.time;
-        stage.set.coldFrom = rule.from;
-        stage.set.coldTime = rule.warmUp;
+        stage.set.collapseMultiple = rule.multiple;
+        stage.set.collapseTime = rule.time;
+        stage.set.coldCapacityFraction = rule.from;
+        stage.set.warmUpTime = rule.warmUp;
         stage.set.probeFee = draw.nextBoolean() ? 0 : 0.005;
         stage.heldTold = heldTold;
         stage.life = draw.nextInt(3) == 0 ? 3 : 0;
@@ -66,7 +66,7 @@
         boolean heavy = heavily && capacity * (full ? 0.75 : 0.4) * SERVERS * 0.2 > 6 * relays;
         for (int p = 0; p < (heavy ? 2 : 1); p++) {
             Settings.Profile profile = new Settings.Profile();
-            profile.kind = Settings.Kind.REPEATABLE;
+            profile.repeatability = Settings.Repeatability.REPEATABLE;
             stage.set.profiles.add(profile);
         }
         for (int i = 0; i < SERVERS; i++) {
--- a/core/src/test/java/asterpulley/ExodusTest.java
+++ b/core/src/test/java/asterpulley/ExodusTest.java
@@ -9,11 +9,13 @@
 class ExodusTest {
     /** Sends so many away from 1 to 3 s; returns the most within a tenth of a second. */
     private static int most(int standing, int comeLater) {
-        Exodus exodus = new Exodus(1, 3);
+        DrainScheduler exodus = new DrainScheduler(1, 3);
         int most = 0, before = 0;
-        for (int step = 0; step * Exodus.STEP <= 3 + Exodus.STEP; step++) {
-            double now = step * Exodus.STEP;
-            standing += Math.abs(now - 2) < Exodus.STEP / 2 ? comeLater : 0;
+        for (int step = 0;
+                step * DrainScheduler.STEP_SECONDS <= 3 + DrainScheduler.STEP_SECONDS;
+                step++) {
+            double now = step * DrainScheduler.STEP_SECONDS;
+            standing += Math.abs(now - 2) < DrainScheduler.STEP_SECONDS / 2 ? comeLater : 0;
             int due = exodus.due(now, standing);
             assertTrue(due >= 0 && due <= standing, "never more than stand");
             assertTrue(now >= 1 - 1e-9 || due == 0, "nobody before the time");
--- a/core/src/test/java/asterpulley/FleetStage.java
+++ b/core/src/test/java/asterpulley/FleetStage.java
@@ -61,9 +61,10 @@
 
         double warmth(double at) {
             double age = at - startedAt;
-            return age >= set.coldTime
+            return age >= set.warmUpTime
                     ? 1
-                    : set.coldFrom + (1 - set.coldFrom) * Math.max(0, age) / set.coldTime;
+                    : set.coldCapacityFraction
+                            + (1 - set.coldCapacityFraction) * Math.max(0, age) / set.warmUpTime;
         }
 
         double units() {
@@ -75,8 +76,8 @@
             running = false;
             for (Client c : List.copyOf(held)) {
                 held.remove(c);
-                Balance.Tunnel tun = c.tunnel;
-                after(random.nextDouble() * 0.05, () -> tun.ended(0, Outcome.RESET, 0, true));
+                LoadBalancer.Tunnel tun = c.tunnel;
+                after(random.nextDouble() * 0.05, () -> tun.onEnded(0, Outcome.RESET, 0, true));
                 after(0.2 + 2 * random.nextDouble(), () -> comes(c));
             }
         }
@@ -87,15 +88,15 @@
             refreshedAt = Double.NEGATIVE_INFINITY;
         }
 
-        private Report report() {
+        private LoadReport report() {
             if (now - refreshedAt > refresh) {
                 refreshedAt = now;
                 toldLoad = units() / capacity / warmth(now);
                 toldHeld = held.size();
             }
-            Report report = new Report();
+            LoadReport report = new LoadReport();
             report.load = toldLoad;
-            report.held = heldTold ? toldHeld : Double.NaN;
+            report.openTunnels = heldTold ? toldHeld : Double.NaN;
             return report;
         }
 
@@ -104,7 +105,9 @@
          * settings name.
          */
         private double bears(double at) {
-            return set.fallMultiple * capacity * Math.min(warmth(at), set.fallTime / set.coldTime);
+            return set.collapseMultiple
+                    * capacity
+                    * Math.min(warmth(at), set.collapseTime / set.warmUpTime);
         }
 
         /**
@@ -115,14 +118,16 @@
             Window worst = null;
             for (int from = 0; from < sent.size(); from++) {
                 double at = sent.get(from).at, sum = 0, told = 0;
-                if (at < startedAt || at + set.fallTime > startedAt + set.coldTime) {
+                if (at < startedAt || at + set.collapseTime > startedAt + set.warmUpTime) {
                     continue;
                 }
-                for (int k = from; k < sent.size() && sent.get(k).at <= at + set.fallTime; k++) {
+                for (int k = from;
+                        k < sent.size() && sent.get(k).at <= at + set.collapseTime;
+                        k++) {
                     sum += sent.get(k).units;
                     told += sent.get(k).told ? sent.get(k).units : 0;
                 }
-                Window w = new Window(name, at, sum, bears(at + set.fallTime / 2));
+                Window w = new Window(name, at, sum, bears(at + set.collapseTime / 2));
                 worst =
                         told > 2 * sum / 3 && (worst == null || w.roots() > worst.roots())
                                 ? w
@@ -136,7 +141,7 @@
         final int profile;
         final double units;
         private Server on;
-        private Balance.Tunnel tunnel;
+        private LoadBalancer.Tunnel tunnel;
 
         private Client(int profile, double units) {
             this.profile = profile;
@@ -144,20 +149,20 @@
         }
     }
 
-    private final class Relay implements Front {
-        private final Map<Balance.Tunnel, Client> clients = new HashMap<>();
+    private final class Relay implements Frontend {
+        private final Map<LoadBalancer.Tunnel, Client> clients = new HashMap<>();
         private final Map<String, Double> toldStarts = new HashMap<>();
         private final double weight = random.nextDouble() < 0.1 ? 4 : 0.5 + random.nextDouble();
-        private Balance balance;
+        private LoadBalancer balance;
         private Client taking;
 
-        private Client of(Balance.Tunnel tun) {
+        private Client of(LoadBalancer.Tunnel tun) {
             return clients.computeIfAbsent(tun, t -> taking);
         }
 
         private void take(Client client) {
             taking = client;
-            client.tunnel = balance.take(ids++, client.profile, 0, null, null, 0, false);
+            client.tunnel = balance.openTunnel(ids++, client.profile, 0, null, null, 0, false);
             clients.putIfAbsent(client.tunnel, client);
         }
 
@@ -167,7 +172,7 @@
         }
 
         @Override
-        public void setup(Balance.Tunnel tun, String ep, double timeout) {
+        public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
             Client client = of(tun);
             Server s = servers.get(ep);
             double told = toldStarts.getOrDefault(ep, Double.NEGATIVE_INFINITY);
@@ -182,7 +187,7 @@
                     () -> {
                         if (!s.running || takes > timeout) {
                             timedOut += s.running ? 1 : 0;
-                            tun.ended(
+                            tun.onEnded(
                                     0,
                                     s.running ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION,
                                     Math.min(takes, timeout),
@@ -193,14 +198,14 @@
                         client.on = s;
                         client.tunnel = tun;
                         s.held.add(client);
-                        tun.opened(0, takes);
-                        tun.load(client.units * CORES);
+                        tun.onOpened(0, takes);
+                        tun.onLoad(client.units * CORES);
                         if (life > 0) {
                             after(
                                     -life * Math.log(1 - random.nextDouble()),
                                     () -> {
                                         if (client.tunnel == tun && s.held.remove(client)) {
-                                            tun.ended(0, Outcome.OK, 0, true);
+                                            tun.onEnded(0, Outcome.OK, 0, true);
                                         }
                                     });
                         }
@@ -208,7 +213,7 @@
         }
 
         @Override
-        public void decline(Balance.Tunnel tun, double retryAfter) {
+        public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
             declined++;
             Client client = of(tun);
             if (returns) {
@@ -217,18 +222,18 @@
         }
 
         @Override
-        public void closeWithError(Balance.Tunnel tun) {
+        public void closeWithError(LoadBalancer.Tunnel tun) {
             decline(tun, 1);
         }
 
         @Override
-        public void move(Balance.Tunnel tun) {
+        public void move(LoadBalancer.Tunnel tun) {
             Client client = of(tun);
             after(
                     0.01,
                     () -> {
                         if (client.on.held.remove(client)) {
-                            tun.ended(0, Outcome.CANCELLED, 0, true);
+                            tun.onEnded(0, Outcome.CANCELLED, 0, true);
                             after(0.2, () -> comes(client));
                         }
                     });
@@ -241,21 +246,21 @@
                     s.running ? WAY : 0.3,
                     () -> {
                         boolean refused = s.probesRefused && random.nextDouble() < 0.5;
-                        balance.probed(
+                        balance.onProbeResult(
                                 ep,
                                 !s.running
                                         ? Outcome.TIMED_OUT
                                         : refused ? Outcome.FULL : Outcome.OK,
-                                s.running ? s.report() : new Report());
+                                s.running ? s.report() : new LoadReport());
                     });
         }
 
         @Override
-        public void watch() {}
+        public void watchServerList() {}
 
         @Override
-        public void wake(double after, long token) {
-            FleetStage.this.after(after, () -> balance.woke(token));
+        public void scheduleTimer(double after, long token) {
+            FleetStage.this.after(after, () -> balance.onTimer(token));
         }
 
         @Override
@@ -293,8 +298,8 @@
     FleetStage(long seed) {
         random = new Random(seed);
         set.probesAllowed = true;
-        set.mostSetups = 4;
-        set.longestRetryAfter = 1;
+        set.maxSetupsPerTunnel = 4;
+        set.maxRetryAfter = 1;
     }
 
     Server server(String name, double capacity) {
@@ -308,10 +313,10 @@
      * each.
      */
     void begin(int count, int standing) {
-        set.siblings = count;
+        set.relayCount = count;
         for (int i = 0; i < count; i++) {
             Relay relay = new Relay();
-            relay.balance = new Balance(set, random.nextLong(), relay);
+            relay.balance = new LoadBalancer(set, random.nextLong(), relay);
             relays.add(relay);
             tells(relay, true);
         }
@@ -320,8 +325,8 @@
                 Client client = client();
                 Relay relay = pick();
                 client.tunnel =
-                        relay.balance.standing(ids++, client.profile, 0, null, null, s.name);
-                client.tunnel.load(client.units * CORES);
+                        relay.balance.restoreTunnel(ids++, client.profile, 0, null, null, s.name);
+                client.tunnel.onLoad(client.units * CORES);
                 relay.clients.put(client.tunnel, client);
                 client.on = s;
                 s.held.add(client);
@@ -330,14 +335,15 @@
     }
 
     private void tells(Relay relay, boolean whole) {
-        List<Listed> entries = new ArrayList<>();
+        List<ServerEntry> entries = new ArrayList<>();
         for (Server s : servers.values()) {
             if (s.listed) {
-                entries.add(new Listed(s.name, 0, 0, 0, Listed.State.RUNNING, s.startedAt));
+                entries.add(
+                        new ServerEntry(s.name, 0, 0, 0, ServerEntry.State.RUNNING, s.startedAt));
                 relay.toldStarts.put(s.name, s.startedAt);
             }
         }
-        relay.balance.list(entries, whole);
+        relay.balance.onServerList(entries, whole);
     }
 
     /** Each relay is told the list as it is then, at a time of its own within so many seconds. */
@@ -353,7 +359,7 @@
             after(
                     within * random.nextDouble(),
                     () -> {
-                        relay.balance.cordon(names);
+                        relay.balance.setCordonedServers(names);
                         servers.values()
                                 .forEach(
                                         s ->
--- a/core/src/test/java/asterpulley/LearnedTest.java
+++ b/core/src/test/java/asterpulley/LearnedTest.java
@@ -16,7 +16,7 @@
  */
 class LearnedTest {
     /** A front that only notes what is decided. */
-    static final class Notes implements Front {
+    static final class Notes implements Frontend {
         double now = 1;
         final List<String> setups = new ArrayList<>();
         int declined, failed;
@@ -27,43 +27,45 @@
         }
 
         @Override
-        public void setup(Balance.Tunnel tun, String ep, double timeout) {
+        public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
             setups.add(ep);
         }
 
         @Override
-        public void decline(Balance.Tunnel tun, double retryAfter) {
+        public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
             declined++;
         }
 
         @Override
-        public void closeWithError(Balance.Tunnel tun) {
+        public void closeWithError(LoadBalancer.Tunnel tun) {
             failed++;
         }
 
         @Override
-        public void move(Balance.Tunnel tun) {}
+        public void move(LoadBalancer.Tunnel tun) {}
 
         @Override
         public void probe(String ep) {}
 
         @Override
-        public void watch() {}
+        public void watchServerList() {}
 
         @Override
-        public void wake(double after, long token) {}
+        public void scheduleTimer(double after, long token) {}
 
         @Override
         public void log(String line) {}
     }
 
-    private static Balance balance(Notes front) {
+    private static LoadBalancer balance(Notes front) {
         Settings set = new Settings();
         set.profiles.add(new Settings.Profile());
-        set.siblings = 2;
-        Balance balance = new Balance(set, 1, front);
-        balance.list(
-                List.of(new Listed("a", 0, 0, 0, Listed.State.RUNNING, Double.NEGATIVE_INFINITY)),
+        set.relayCount = 2;
+        LoadBalancer balance = new LoadBalancer(set, 1, front);
+        balance.onServerList(
+                List.of(
+                        new ServerEntry(
+                                "a", 0, 0, 0, ServerEntry.State.RUNNING, Double.NEGATIVE_INFINITY)),
                 true);
         return balance;
     }
@@ -73,13 +75,13 @@
      */
     private static int placed(double[] learned) {
         Notes front = new Notes();
-        Balance balance = balance(front);
-        assertTrue(learned == null || balance.learn(learned));
-        Report empty = new Report();
+        LoadBalancer balance = balance(front);
+        assertTrue(learned == null || balance.importLearnedState(learned));
+        LoadReport empty = new LoadReport();
         empty.load = 0;
-        balance.probed("a", Outcome.OK, empty);
+        balance.onProbeResult("a", Outcome.OK, empty);
         for (int i = 0; i < 30; i++) {
-            balance.take(i, 0, 0, null, null, 0, false).opened(0, 0.01);
+            balance.openTunnel(i, 0, 0, null, null, 0, false).onOpened(0, 0.01);
         }
         assertEquals(30, front.setups.size() + front.declined + front.failed);
         return front.setups.size();
@@ -88,31 +90,31 @@
     @Test
     void aSuccessorKnowsWhatFillsAServer() {
         Notes front = new Notes();
-        Balance old = balance(front);
-        Report report = new Report();
+        LoadBalancer old = balance(front);
+        LoadReport report = new LoadReport();
         report.load = 0.5;
-        report.held = 100;
+        report.openTunnels = 100;
         for (int i = 0; i < 5; i++) {
-            old.probed("a", Outcome.OK, report);
+            old.onProbeResult("a", Outcome.OK, report);
         }
-        double[] learned = old.learned();
-        Balance next = balance(new Notes());
-        assertTrue(next.learn(learned));
-        assertArrayEquals(learned, next.learned());
+        double[] learned = old.exportLearnedState();
+        LoadBalancer next = balance(new Notes());
+        assertTrue(next.importLearnedState(learned));
+        assertArrayEquals(learned, next.exportLearnedState());
         assertTrue(placed(null) < 15, "25 mean loads fill it as far as it knows: " + placed(null));
         assertEquals(30, placed(learned));
     }
 
     @Test
     void whatIsOfAnotherFormOrNoNumberIsNotTaken() {
-        Balance balance = balance(new Notes());
-        double[] before = balance.learned();
-        assertFalse(balance.learn(new double[3]));
+        LoadBalancer balance = balance(new Notes());
+        double[] before = balance.exportLearnedState();
+        assertFalse(balance.importLearnedState(new double[3]));
         for (double wrong : new double[] {Double.NaN, -1, Double.POSITIVE_INFINITY}) {
             double[] all = before.clone();
             all[5] = wrong;
-            assertFalse(balance.learn(all));
+            assertFalse(balance.importLearnedState(all));
         }
-        assertTrue(Arrays.equals(before, balance.learned()));
+        assertTrue(Arrays.equals(before, balance.exportLearnedState()));
     }
 }
--- a/core/src/test/java/asterpulley/LedgerTest.java
+++ b/core/src/test/java/asterpulley/LedgerTest.java
@@ -20,9 +20,9 @@
             @ForAll @DoubleRange(min = 0, max = 0.5) double earned,
             @ForAll @DoubleRange(min = 0.1, max = 2) double lookBack) {
         Settings set = new Settings();
-        set.budgetFree = free;
-        set.furtherRatio = earned;
-        set.lookBack = lookBack;
+        set.retryBudgetMinimum = free;
+        set.retryBudgetRatio = earned;
+        set.retryBudgetWindow = lookBack;
         Ledger ledger = new Ledger(set);
         List<Double> taken = new ArrayList<>();
         List<Double> sent = new ArrayList<>();
@@ -62,10 +62,10 @@
             now += steps.get(i) / 2 * set.tick;
             if (i % 6 == 5) {
                 Settings anew = rules(told.get(i / 6 % told.size()));
-                since = anew.lookBack > set.lookBack ? sent.size() : since;
+                since = anew.retryBudgetWindow > set.retryBudgetWindow ? sent.size() : since;
                 ledger.set = set = anew;
             }
-            double from = now - set.lookBack;
+            double from = now - set.retryBudgetWindow;
             if (steps.get(i) % 2 == 0) {
                 ledger.took(now);
                 taken.add(now);
@@ -74,9 +74,12 @@
                 long further = sent.stream().skip(since).filter(t -> t >= from).count();
                 long tunnels = taken.stream().filter(t -> t > from).count();
                 assertTrue(
-                        set.lookBack == 0
-                                || further <= set.budgetFree + set.furtherRatio * tunnels + 1e-9,
-                        further + " of " + set.budgetFree + " and " + tunnels);
+                        set.retryBudgetWindow == 0
+                                || further
+                                        <= set.retryBudgetMinimum
+                                                + set.retryBudgetRatio * tunnels
+                                                + 1e-9,
+                        further + " of " + set.retryBudgetMinimum + " and " + tunnels);
             }
         }
     }
@@ -84,9 +87,9 @@
     /** None, or one of some budgets. */
     private static Settings rules(int told) {
         Settings set = new Settings();
-        set.budgetFree = told % 4;
-        set.furtherRatio = 0.1 * (told % 3);
-        set.lookBack = 0.1 * (told / 8);
+        set.retryBudgetMinimum = told % 4;
+        set.retryBudgetRatio = 0.1 * (told % 3);
+        set.retryBudgetWindow = 0.1 * (told / 8);
         return set;
     }
 
--- a/core/src/test/java/asterpulley/SetupWindowTest.java
+++ b/core/src/test/java/asterpulley/SetupWindowTest.java
@@ -22,7 +22,7 @@
     private static FleetStage stage(long seed, int servers, ToDoubleFunction<Integer> setupTime) {
         FleetStage stage = new FleetStage(seed);
         Settings.Profile profile = new Settings.Profile();
-        profile.kind = Settings.Kind.REPEATABLE;
+        profile.repeatability = Settings.Repeatability.REPEATABLE;
         profile.setupGoal = GOAL;
         profile.clientTimeout = 4 * GOAL;
         stage.set.profiles.add(profile);
--- a/core/src/test/java/asterpulley/Stage.java
+++ b/core/src/test/java/asterpulley/Stage.java
@@ -13,12 +13,12 @@
  * Plays one scenario: a front whose clock, servers and clients are told by lines of text; README
  * names the notation.
  */
-final class Stage implements Front {
+final class Stage implements Frontend {
     private record Due(double at, long order, Runnable what) {}
 
     private final Settings set = new Settings();
     private final Map<String, Map<String, String>> servers = new LinkedHashMap<>();
-    private final Map<Long, Balance.Tunnel> tunnels = new HashMap<>();
+    private final Map<Long, LoadBalancer.Tunnel> tunnels = new HashMap<>();
     private final Map<Long, String> last = new HashMap<>();
     private final Map<Long, Integer> setups = new HashMap<>();
     private final Map<Long, Double> patience = new HashMap<>(), sentAt = new HashMap<>();
@@ -31,7 +31,7 @@
                             a.at != b.at
                                     ? Double.compare(a.at, b.at)
                                     : Long.compare(a.order, b.order));
-    private Balance balance;
+    private LoadBalancer balance;
     private double now;
     private long order;
     private int watches, moved;
@@ -39,10 +39,10 @@
 
     Stage() {
         set.probesAllowed = true;
-        set.mostSetups = 4;
-        set.coldTime = 10;
-        set.fallMultiple = 4;
-        set.longestRetryAfter = 1;
+        set.maxSetupsPerTunnel = 4;
+        set.warmUpTime = 10;
+        set.collapseMultiple = 4;
+        set.maxRetryAfter = 1;
     }
 
     void line(String line) throws ReflectiveOperationException {
@@ -73,18 +73,20 @@
             }
             case "shares" -> {
                 for (int i = 1; i < w.length; i++) {
-                    set.shares.add(Double.valueOf(w[i]));
+                    set.customerShares.add(Double.valueOf(w[i]));
                 }
             }
             case "profile" -> {
                 Settings.Profile p = new Settings.Profile();
-                p.kind =
-                        Settings.Kind.valueOf(
+                p.repeatability =
+                        Settings.Repeatability.valueOf(
                                 by.getOrDefault("kind", "repeatable")
                                         .toUpperCase()
                                         .replace('-', '_'));
-                p.reach = Settings.Reach.valueOf(by.getOrDefault("reach", "all").toUpperCase());
-                p.window = number(by, "window", 5);
+                p.idempotencyScope =
+                        Settings.IdempotencyScope.valueOf(
+                                by.getOrDefault("reach", "all").toUpperCase());
+                p.idempotencyWindow = number(by, "window", 5);
                 p.setupGoal = number(by, "goal", 0.5);
                 p.clientTimeout = number(by, "timeout", 2);
                 set.profiles.add(p);
@@ -98,31 +100,31 @@
 
     private void event(String[] w, Map<String, String> by) {
         if (balance == null) {
-            balance = new Balance(set, 1, this);
+            balance = new LoadBalancer(set, 1, this);
         }
         switch (w[0]) {
             case "list", "change" -> {
-                List<Listed> entries = new ArrayList<>();
+                List<ServerEntry> entries = new ArrayList<>();
                 for (int i = 1; i < w.length; i++) {
                     Map<String, String> s = servers.get(w[i]);
                     entries.add(
-                            new Listed(
+                            new ServerEntry(
                                     w[i],
                                     (int) number(s, "zone", 0),
                                     0,
                                     (int) number(s, "cell", 0),
-                                    Listed.State.valueOf(
+                                    ServerEntry.State.valueOf(
                                             s.getOrDefault("state", "running").toUpperCase()),
                                     number(s, "started", Double.NEGATIVE_INFINITY)));
                 }
-                balance.list(entries, w[0].equals("list"));
+                balance.onServerList(entries, w[0].equals("list"));
             }
             case "cordon" ->
-                    balance.cordon(
+                    balance.setCordonedServers(
                             Set.of(w).stream()
                                     .filter(x -> !x.equals("cordon"))
                                     .collect(Collectors.toSet()));
-            case "list-failed" -> balance.listFailed(w.length > 1 && w[1].equals("silent"));
+            case "list-failed" -> balance.onServerListFailed(w.length > 1 && w[1].equals("silent"));
             case "wait" -> {}
             case "take" -> {
                 for (long id = Long.parseLong(w[1]);
@@ -130,7 +132,7 @@
                         id++) {
                     tunnels.put(
                             id,
-                            balance.take(
+                            balance.openTunnel(
                                     id,
                                     (int) number(by, "profile", 0),
                                     (int) number(by, "customer", 0),
@@ -146,7 +148,7 @@
                         id++) {
                     tunnels.put(
                             id,
-                            balance.standing(
+                            balance.restoreTunnel(
                                     id,
                                     (int) number(by, "profile", 0),
                                     (int) number(by, "customer", 0),
@@ -157,14 +159,14 @@
             }
             case "opened" ->
                     tunnels.get(Long.parseLong(w[1]))
-                            .opened(0, w.length > 2 ? Double.parseDouble(w[2]) : 0.02);
+                            .onOpened(0, w.length > 2 ? Double.parseDouble(w[2]) : 0.02);
             case "ended" -> {
                 for (long id = Long.parseLong(w[1]);
                         id < Long.parseLong(w[1]) + number(by, "count", 1);
                         id++) {
                     last.remove(id);
                     tunnels.get(id)
-                            .ended(
+                            .onEnded(
                                     0,
                                     Outcome.valueOf(w[2].toUpperCase()),
                                     now - sentAt.getOrDefault(id, now),
@@ -175,13 +177,13 @@
                 for (long id = Long.parseLong(w[1]);
                         id < Long.parseLong(w[1]) + number(by, "count", 1);
                         id++) {
-                    tunnels.get(id).load(Double.parseDouble(w[2]));
+                    tunnels.get(id).onLoad(Double.parseDouble(w[2]));
                 }
             }
             case "slow" ->
                     tunnels.get(Long.parseLong(w[1]))
-                            .delay(w.length > 2 ? Double.parseDouble(w[2]) : 0.4);
-            case "withdrawn" -> tunnels.get(Long.parseLong(w[1])).withdrawn();
+                            .onMessageDelay(w.length > 2 ? Double.parseDouble(w[2]) : 0.4);
+            case "withdrawn" -> tunnels.get(Long.parseLong(w[1])).cancel();
             default -> throw new AssertionError("unknown event " + w[0]);
         }
     }
@@ -191,8 +193,11 @@
             case "log" -> check(log.stream().anyMatch(l -> l.contains(w[2])), log.toString());
             case "members", "avoided" ->
                     check(
-                            balance.members(w[1].equals("avoided")) == Integer.parseInt(w[2]),
-                            balance.members(false) + " members, avoided " + balance.members(true));
+                            balance.listedServerCount(w[1].equals("avoided"))
+                                    == Integer.parseInt(w[2]),
+                            balance.listedServerCount(false)
+                                    + " members, avoided "
+                                    + balance.listedServerCount(true));
             case "watches" -> bound(watches, w[2], w[3], watches + " watches");
             case "sent", "sought" -> {
                 int sent = (w[1].equals("sent") ? sentTo : sought).getOrDefault(w[2], 0);
@@ -211,7 +216,7 @@
                     check(
                             patience.get(Long.parseLong(w[2])) >= Double.parseDouble(w[4]),
                             "is " + patience);
-            case "over" -> check(tunnels.get(Long.parseLong(w[2])).over(), "not over");
+            case "over" -> check(tunnels.get(Long.parseLong(w[2])).isFinished(), "not over");
             default -> {
                 String is = last.getOrDefault(Long.parseLong(w[2]), "nothing");
                 String wanted = String.join(" ", w[1], w.length > 3 ? w[3] : "").trim();
@@ -262,7 +267,7 @@
         return by.containsKey(name) ? Double.parseDouble(by.get(name)) : missing;
     }
 
-    private void result(Balance.Tunnel tun, String what) {
+    private void result(LoadBalancer.Tunnel tun, String what) {
         // Exactly one final answer, whatever the scenario looks at.
         check(
                 !last.getOrDefault(tun.id, "").matches("decline|error"),
@@ -276,35 +281,35 @@
     }
 
     @Override
-    public void setup(Balance.Tunnel tun, String ep, double timeout) {
+    public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
         result(tun, "setup " + ep);
         patience.put(tun.id, timeout);
         sentAt.put(tun.id, now);
         sentTo.merge(ep, 1, Integer::sum);
         check(
-                timeout > 0 && setups.merge(tun.id, 1, Integer::sum) <= set.mostSetups,
+                timeout > 0 && setups.merge(tun.id, 1, Integer::sum) <= set.maxSetupsPerTunnel,
                 "setups or time-out wrong");
         if (opens) {
-            later(0.02, () -> tun.opened(0, 0.02));
+            later(0.02, () -> tun.onOpened(0, 0.02));
         }
     }
 
     @Override
-    public void decline(Balance.Tunnel tun, double retryAfter) {
+    public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
         result(tun, "decline");
-        check(set.longestRetryAfter == 0 || retryAfter > 0, "no time to come back");
+        check(set.maxRetryAfter == 0 || retryAfter > 0, "no time to come back");
     }
 
     @Override
-    public void closeWithError(Balance.Tunnel tun) {
+    public void closeWithError(LoadBalancer.Tunnel tun) {
         result(tun, "error");
     }
 
     @Override
-    public void move(Balance.Tunnel tun) {
+    public void move(LoadBalancer.Tunnel tun) {
         moved++;
         last.put(tun.id, "move");
-        later(0.01, () -> tun.ended(0, Outcome.CANCELLED, 0, true));
+        later(0.01, () -> tun.onEnded(0, Outcome.CANCELLED, 0, true));
     }
 
     @Override
@@ -315,23 +320,23 @@
         later(
                 silent ? 0.3 : 0.01,
                 () -> {
-                    Report report = new Report();
+                    LoadReport report = new LoadReport();
                     if (!silent) {
                         report.load = number(s, "load", 0);
-                        report.held = number(s, "held", Double.NaN);
+                        report.openTunnels = number(s, "held", Double.NaN);
                     }
-                    balance.probed(ep, silent ? Outcome.TIMED_OUT : Outcome.OK, report);
+                    balance.onProbeResult(ep, silent ? Outcome.TIMED_OUT : Outcome.OK, report);
                 });
     }
 
     @Override
-    public void watch() {
+    public void watchServerList() {
         watches++;
     }
 
     @Override
-    public void wake(double after, long token) {
-        later(after, () -> balance.woke(token));
+    public void scheduleTimer(double after, long token) {
+        later(after, () -> balance.onTimer(token));
     }
 
     @Override
--- a/decode/src/main/java/asterpulley/decode/Json.java
+++ b/decode/src/main/java/asterpulley/decode/Json.java
@@ -18,17 +18,17 @@
  */
 public final class Json {
     /** The input breaks the wire's form. */
-    public static final class Malformed extends RuntimeException {
+    public static final class MalformedException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        public Malformed(String what) {
+        public MalformedException(String what) {
             super(what);
         }
     }
 
     private Json() {}
 
-    public static Object value(JsonParser p) throws IOException {
+    public static Object read(JsonParser p) throws IOException {
         JsonToken token = expect(p.currentToken());
         switch (token) {
             case START_OBJECT -> {
@@ -36,14 +36,14 @@
                 while (expect(p.nextToken()) != JsonToken.END_OBJECT) {
                     String name = p.currentName();
                     p.nextToken();
-                    map.put(name, value(p));
+                    map.put(name, read(p));
                 }
                 return map;
             }
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
                 while (expect(p.nextToken()) != JsonToken.END_ARRAY) {
-                    list.add(value(p));
+                    list.add(read(p));
                 }
                 return list;
             }
@@ -64,7 +64,7 @@
         if (value instanceof Map) {
             return (Map<String, Object>) value;
         }
-        throw new Malformed(what + " is not an object");
+        throw new MalformedException(what + " is not an object");
     }
 
     @SuppressWarnings("unchecked")
@@ -72,21 +72,21 @@
         if (from.get(name) instanceof List<?> list) {
             return (List<Object>) list;
         }
-        throw new Malformed("field " + name + " is not a list");
+        throw new MalformedException("field " + name + " is not a list");
     }
 
-    public static long whole(Map<String, Object> from, String name) {
+    public static long integer(Map<String, Object> from, String name) {
         if (from.get(name) instanceof Number n) {
             return n.longValue();
         }
-        throw new Malformed("field " + name + " is not a number");
+        throw new MalformedException("field " + name + " is not a number");
     }
 
     public static String text(Map<String, Object> from, String name) {
         if (from.get(name) instanceof String s) {
             return s;
         }
-        throw new Malformed("field " + name + " is not a text");
+        throw new MalformedException("field " + name + " is not a text");
     }
 
     /** A number that may be missing. */
@@ -96,7 +96,7 @@
             return n.doubleValue();
         }
         if (v != null) {
-            throw new Malformed("field " + name + " is not a number");
+            throw new MalformedException("field " + name + " is not a number");
         }
         return missing;
     }
@@ -109,11 +109,11 @@
         return Boolean.TRUE.equals(from.get(name));
     }
 
-    public static double seconds(Map<String, Object> from, String name) {
+    public static double secondsFromMillis(Map<String, Object> from, String name) {
         return number(from, name, 0) / 1000;
     }
 
-    public static Map<String, Object> part(Map<String, Object> in, String name) {
+    public static Map<String, Object> objectOrEmpty(Map<String, Object> in, String name) {
         return in.get(name) == null ? Map.of() : object(in.get(name), name);
     }
 
@@ -157,7 +157,7 @@
 
     private static JsonToken expect(JsonToken token) {
         if (token == null) {
-            throw new Malformed("the input ends inside a value");
+            throw new MalformedException("the input ends inside a value");
         }
         return token;
     }
--- a/decode/src/main/java/asterpulley/decode/SettingsDecoder.java
+++ b/decode/src/main/java/asterpulley/decode/SettingsDecoder.java
@@ -1,6 +1,6 @@
 package asterpulley.decode;
 
-import asterpulley.Report;
+import asterpulley.LoadReport;
 import asterpulley.Settings;
 import java.util.HashMap;
 import java.util.List;
@@ -19,74 +19,76 @@
 
     private SettingsDecoder() {}
 
-    public static Settings settings(Map<String, Object> in) {
-        Map<String, Object> limits = Json.part(in, "limits");
-        Map<String, Object> rules = Json.part(in, "rules");
-        Map<String, Object> fees = Json.part(in, "fees");
+    public static Settings decode(Map<String, Object> in) {
+        Map<String, Object> limits = Json.objectOrEmpty(in, "limits");
+        Map<String, Object> rules = Json.objectOrEmpty(in, "rules");
+        Map<String, Object> fees = Json.objectOrEmpty(in, "fees");
         Settings s = new Settings();
         for (Object o : Json.list(in, "profiles")) {
             s.profiles.add(profile(Json.object(o, "a profile")));
         }
         if (in.get("tenants") instanceof List<?> tenants) {
             for (Object t : tenants) {
-                s.shares.add(Json.number(Json.object(t, "a tenant"), "share", 1));
+                s.customerShares.add(Json.number(Json.object(t, "a tenant"), "share", 1));
             }
         }
-        s.siblings = Math.max(1, (int) Json.number(in, "siblings", s.siblings));
+        s.relayCount = Math.max(1, (int) Json.number(in, "siblings", s.relayCount));
         s.zone = (int) Json.number(in, "myZone", s.zone);
-        s.listMustBeAsked = "subscribe".equals(in.get("registryMode"));
+        s.subscribesToServerList = "subscribe".equals(in.get("registryMode"));
         s.tick = Json.number(in, "tickMs", 1000 * s.tick) / 1000;
         s.excessCredit = Json.number(in, "excessCredit", s.excessCredit);
-        s.packetsPass = "pass".equals(Json.part(in, "familyInfo").get("mode"));
-        s.groupsShareWork = Json.flag(Json.part(in, "familyInfo"), "groups");
+        s.packetPassThrough = "pass".equals(Json.objectOrEmpty(in, "familyInfo").get("mode"));
+        s.groupsShareWork = Json.flag(Json.objectOrEmpty(in, "familyInfo"), "groups");
         s.probesAllowed = Json.flag(limits, "probes");
-        s.longestRetryAfter =
+        s.maxRetryAfter =
                 Json.flag(limits, "retryAfter")
                         ? Json.number(limits, "maxRetryAfterMs", 0) / 1000
                         : 0;
-        s.mostSetups = (int) Json.number(limits, "mostSetups", s.mostSetups);
-        s.askEvery = Json.number(rules, "askEveryMs", 1000 * s.askEvery) / 1000;
+        s.maxSetupsPerTunnel = (int) Json.number(limits, "mostSetups", s.maxSetupsPerTunnel);
+        s.listPollInterval = Json.number(rules, "askEveryMs", 1000 * s.listPollInterval) / 1000;
         s.drainGrace = Json.number(rules, "drainGraceMs", 1000 * s.drainGrace) / 1000;
-        s.coldFrom = Json.number(rules, "coldFrom", s.coldFrom);
-        s.coldTime = Json.number(rules, "coldMs", 1000 * s.coldTime) / 1000;
-        s.fallMultiple = Json.number(rules, "fallMultiple", s.fallMultiple);
-        s.fallTime = Json.number(rules, "fallMs", 1000 * s.fallTime) / 1000;
-        s.budgetFree = placed(in, "rules", "budgetFree", 0);
-        s.furtherRatio = placed(in, "rules", "furtherRatio", 0);
-        s.lookBack = placed(in, "rules", "lookBackMs", 0) / 1000;
-        if (!(s.budgetFree >= 0) || !(s.furtherRatio >= 0) || !(s.lookBack >= 0)) {
-            throw new Json.Malformed(
+        s.coldCapacityFraction = Json.number(rules, "coldFrom", s.coldCapacityFraction);
+        s.warmUpTime = Json.number(rules, "coldMs", 1000 * s.warmUpTime) / 1000;
+        s.collapseMultiple = Json.number(rules, "fallMultiple", s.collapseMultiple);
+        s.collapseTime = Json.number(rules, "fallMs", 1000 * s.collapseTime) / 1000;
+        s.retryBudgetMinimum = placed(in, "rules", "budgetFree", 0);
+        s.retryBudgetRatio = placed(in, "rules", "furtherRatio", 0);
+        s.retryBudgetWindow = placed(in, "rules", "lookBackMs", 0) / 1000;
+        if (!(s.retryBudgetMinimum >= 0)
+                || !(s.retryBudgetRatio >= 0)
+                || !(s.retryBudgetWindow >= 0)) {
+            throw new Json.MalformedException(
                     "rules: budgetFree, furtherRatio and lookBackMs are 0 or above; they are "
-                            + s.budgetFree
+                            + s.retryBudgetMinimum
                             + ", "
-                            + s.furtherRatio
+                            + s.retryBudgetRatio
                             + " and "
-                            + 1000 * s.lookBack);
+                            + 1000 * s.retryBudgetWindow);
         }
-        s.crossingFee = Json.number(fees, "crossZone", 0);
+        s.crossZoneFee = Json.number(fees, "crossZone", 0);
         s.probeFee = Json.number(fees, "probe", 0);
-        s.ninesPart = placed(in, "scoreParts", "logLossPart", 0);
-        s.ninesFull = placed(in, "scoreParts", "topNines", s.ninesFull);
-        if (!(s.ninesPart >= 0 && s.ninesPart <= 1) || !(s.ninesFull > 0)) {
-            throw new Json.Malformed(
+        s.ninesWeight = placed(in, "scoreParts", "logLossPart", 0);
+        s.ninesForFullScore = placed(in, "scoreParts", "topNines", s.ninesForFullScore);
+        if (!(s.ninesWeight >= 0 && s.ninesWeight <= 1) || !(s.ninesForFullScore > 0)) {
+            throw new Json.MalformedException(
                     "scoreParts: logLossPart is from 0 to 1, topNines above 0; they are "
-                            + s.ninesPart
+                            + s.ninesWeight
                             + " and "
-                            + s.ninesFull);
+                            + s.ninesForFullScore);
         }
         return s;
     }
 
     private static double placed(Map<String, Object> in, String part, String name, double missing) {
         try {
-            return Json.number(Json.part(in, part), name, missing);
-        } catch (Json.Malformed e) {
-            throw new Json.Malformed(part + ": " + e.getMessage());
+            return Json.number(Json.objectOrEmpty(in, part), name, missing);
+        } catch (Json.MalformedException e) {
+            throw new Json.MalformedException(part + ": " + e.getMessage());
         }
     }
 
     /** The names of a list in the settings, by their places; entries are names, or have one. */
-    public static Map<String, Integer> places(Map<String, Object> settings, String list) {
+    public static Map<String, Integer> indexes(Map<String, Object> settings, String list) {
         Map<String, Integer> places = new HashMap<>();
         if (settings.get(list) instanceof List<?> names) {
             for (Object o : names) {
@@ -98,8 +100,8 @@
     }
 
     /** Of these the names that something new may use. */
-    public static Map<String, Integer> current(Map<String, Object> settings, String list) {
-        Map<String, Integer> places = places(settings, list);
+    public static Map<String, Integer> activeIndexes(Map<String, Object> settings, String list) {
+        Map<String, Integer> places = indexes(settings, list);
         if (settings.get(list) instanceof List<?> names) {
             names.stream()
                     .filter(
@@ -117,29 +119,29 @@
         p.setupGoal = Json.number(in, "setupGoalMs", 1000 * p.setupGoal) / 1000;
         p.clientTimeout = Json.number(in, "clientTimeoutMs", 1000 * p.clientTimeout) / 1000;
         p.credit = Json.number(in, "credit", p.credit);
-        p.window = Json.number(in, "windowMs", 0) / 1000;
-        p.kind =
+        p.idempotencyWindow = Json.number(in, "windowMs", 0) / 1000;
+        p.repeatability =
                 switch (String.valueOf(in.get("effect"))) {
-                    case "read_like" -> Settings.Kind.REPEATABLE;
-                    case "idempotency_key" -> Settings.Kind.REFERENCED;
-                    default -> Settings.Kind.ONCE_ONLY;
+                    case "read_like" -> Settings.Repeatability.REPEATABLE;
+                    case "idempotency_key" -> Settings.Repeatability.REFERENCED;
+                    default -> Settings.Repeatability.ONCE_ONLY;
                 };
-        p.reach =
+        p.idempotencyScope =
                 switch (String.valueOf(in.get("group"))) {
-                    case "all" -> Settings.Reach.ALL;
-                    case "zone" -> Settings.Reach.ZONE;
-                    default -> Settings.Reach.CELL;
+                    case "all" -> Settings.IdempotencyScope.ALL;
+                    case "zone" -> Settings.IdempotencyScope.ZONE;
+                    default -> Settings.IdempotencyScope.CELL;
                 };
         return p;
     }
 
     /** A load report by the names that the settings give its figures. */
-    public static Report report(Map<String, Object> figures) {
-        Report report = new Report();
+    public static LoadReport decodeReport(Map<String, Object> figures) {
+        LoadReport report = new LoadReport();
         report.load = Json.number(figures, "x0", Double.NaN);
         report.busy = Json.number(figures, "busy", Double.NaN);
-        report.held = Json.number(figures, "rif", Double.NaN);
-        report.errors = Json.number(figures, "fail_rate", Double.NaN);
+        report.openTunnels = Json.number(figures, "rif", Double.NaN);
+        report.errorRate = Json.number(figures, "fail_rate", Double.NaN);
         return report;
     }
 }
--- a/decode/src/test/java/asterpulley/decode/MergePatchTest.java
+++ b/decode/src/test/java/asterpulley/decode/MergePatchTest.java
@@ -11,7 +11,7 @@
     private static Object json(String text) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
             parser.nextToken();
-            return Json.value(parser);
+            return Json.read(parser);
         }
     }
 
--- a/decode/src/test/java/asterpulley/decode/SettingsDecoderTest.java
+++ b/decode/src/test/java/asterpulley/decode/SettingsDecoderTest.java
@@ -12,20 +12,20 @@
 /** The settings as they are told: what is new, what is missing, and what is wrong. */
 class SettingsDecoderTest {
     private static Settings with(Object scoreParts) {
-        return SettingsDecoder.settings(
+        return SettingsDecoder.decode(
                 Map.of("profiles", List.of(Map.of("name", "live")), "scoreParts", scoreParts));
     }
 
     @Test
     void theNewScorePartsAreReadAndOldSettingsAreAsBefore() {
         Settings s = with(Map.of("whole", 0.1, "logLossPart", 0.3, "topNines", 2));
-        assertEquals(0.3, s.ninesPart);
-        assertEquals(2, s.ninesFull);
+        assertEquals(0.3, s.ninesWeight);
+        assertEquals(2, s.ninesForFullScore);
         Settings old = with(Map.of("whole", 0.3, "worstTenant", 0.4));
-        assertEquals(0, old.ninesPart);
-        assertEquals(3, old.ninesFull);
+        assertEquals(0, old.ninesWeight);
+        assertEquals(3, old.ninesForFullScore);
         assertEquals("live", old.profiles.get(0).name);
-        assertEquals(0, SettingsDecoder.settings(Map.of("profiles", List.of())).ninesPart);
+        assertEquals(0, SettingsDecoder.decode(Map.of("profiles", List.of())).ninesWeight);
     }
 
     @Test
@@ -37,35 +37,37 @@
                         Map.of("logLossPart", 1.5),
                         Map.of("topNines", 0),
                         Map.of("logLossPart", -0.1))) {
-            String told = assertThrows(Json.Malformed.class, () -> with(wrong)).getMessage();
+            String told =
+                    assertThrows(Json.MalformedException.class, () -> with(wrong)).getMessage();
             assertTrue(
                     told.contains("scoreParts") && told.contains(wrong.keySet().iterator().next()),
                     told);
         }
         assertTrue(
-                assertThrows(Json.Malformed.class, () -> with("many"))
+                assertThrows(Json.MalformedException.class, () -> with("many"))
                         .getMessage()
                         .contains("scoreParts"));
     }
 
     private static Settings ruled(Object rules) {
-        return SettingsDecoder.settings(Map.of("profiles", List.of(), "rules", rules));
+        return SettingsDecoder.decode(Map.of("profiles", List.of(), "rules", rules));
     }
 
     @Test
     void aBudgetOfFurtherSetupsIsReadAndBindsNothingWhereItIsAbsent() {
         Settings s = ruled(Map.of("budgetFree", 2.0, "furtherRatio", 0.05, "lookBackMs", 5000));
-        assertEquals(2, s.budgetFree);
-        assertEquals(0.05, s.furtherRatio);
-        assertEquals(5, s.lookBack);
-        assertEquals(0, ruled(Map.of("fallMultiple", 2)).lookBack);
+        assertEquals(2, s.retryBudgetMinimum);
+        assertEquals(0.05, s.retryBudgetRatio);
+        assertEquals(5, s.retryBudgetWindow);
+        assertEquals(0, ruled(Map.of("fallMultiple", 2)).retryBudgetWindow);
         for (Map<String, Object> wrong :
                 List.<Map<String, Object>>of(
                         Map.of("budgetFree", "few"),
                         Map.of("lookBackMs", true),
                         Map.of("furtherRatio", -0.1),
                         Map.of("lookBackMs", List.of()))) {
-            String told = assertThrows(Json.Malformed.class, () -> ruled(wrong)).getMessage();
+            String told =
+                    assertThrows(Json.MalformedException.class, () -> ruled(wrong)).getMessage();
             assertTrue(
                     told.contains("rules") && told.contains(wrong.keySet().iterator().next()),
                     told);
--- a/drill/src/main/java/asterpulley/drill/Drill.java
+++ b/drill/src/main/java/asterpulley/drill/Drill.java
@@ -1,6 +1,6 @@
 package asterpulley.drill;
 
-import asterpulley.Listed;
+import asterpulley.ServerEntry;
 import asterpulley.decode.Json;
 import asterpulley.decode.SettingsDecoder;
 import com.fasterxml.jackson.core.JsonFactory;
@@ -26,7 +26,7 @@
     private static final int BANKS = 16;
 
     private final Map<Long, Relay> relays = new HashMap<>();
-    private final List<List<Listed>> banks = new ArrayList<>();
+    private final List<List<ServerEntry>> banks = new ArrayList<>();
     private final JsonGenerator out;
     private long batch = -1;
 
@@ -50,12 +50,12 @@
             out.setRootValueSeparator(null);
             drill = new Drill(out);
             while (parser.nextToken() != null) {
-                drill.batch(Json.object(Json.value(parser), "a batch"));
+                drill.batch(Json.object(Json.read(parser), "a batch"));
                 out.writeRaw('\n');
                 out.flush();
             }
             return 0;
-        } catch (JsonParseException | Json.Malformed e) {
+        } catch (JsonParseException | Json.MalformedException e) {
             String what =
                     e instanceof JsonParseException p
                             ? "not JSON: " + p.getOriginalMessage()
@@ -70,12 +70,12 @@
     }
 
     private void batch(Map<String, Object> in) throws IOException {
-        batch = Json.whole(in, "batch");
-        double now = Json.seconds(in, "momentMs");
+        batch = Json.integer(in, "batch");
+        double now = Json.secondsFromMillis(in, "momentMs");
         Map<Long, Relay> acting = new LinkedHashMap<>();
         for (Object g : Json.list(in, "groups")) {
             Map<String, Object> group = Json.object(g, "a group");
-            long i = Json.whole(group, "i");
+            long i = Json.integer(group, "i");
             for (Object e : Json.list(group, "input")) {
                 event(i, now, Json.object(e, "an event"));
             }
@@ -105,8 +105,8 @@
                         i,
                         new Relay(
                                 now,
-                                Json.whole(e, "entropy"),
-                                SettingsDecoder.settings(
+                                Json.integer(e, "entropy"),
+                                SettingsDecoder.decode(
                                         Json.object(e.get("profileData"), "profileData"))));
                 return;
             }
@@ -118,23 +118,23 @@
         }
         Relay relay = relays.get(i);
         if (relay == null) {
-            throw new Json.Malformed(
+            throw new Json.MalformedException(
                     "event " + op + " for instance " + i + ", which is not started");
         }
-        List<Listed> listed = null;
+        List<ServerEntry> listed = null;
         if (op.equals("Announce") && !Json.text(e, "mode").equals("X")) {
             listed = banks.get(bank(e));
             if (listed == null) {
-                throw new Json.Malformed("list number " + bank(e) + " was never declared");
+                throw new Json.MalformedException("list number " + bank(e) + " was never declared");
             }
         }
         relay.event(now, op, e, listed);
     }
 
     private static int bank(Map<String, Object> e) {
-        long bank = Json.whole(e, "bank");
+        long bank = Json.integer(e, "bank");
         if (bank < 0 || bank >= BANKS) {
-            throw new Json.Malformed("list number " + bank + " is out of range");
+            throw new Json.MalformedException("list number " + bank + " is out of range");
         }
         return (int) bank;
     }
--- a/drill/src/main/java/asterpulley/drill/Relay.java
+++ b/drill/src/main/java/asterpulley/drill/Relay.java
@@ -1,8 +1,8 @@
 package asterpulley.drill;
 
-import asterpulley.Balance;
-import asterpulley.Front;
-import asterpulley.Listed;
+import asterpulley.Frontend;
+import asterpulley.LoadBalancer;
+import asterpulley.ServerEntry;
 import asterpulley.Settings;
 import asterpulley.decode.Json;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -15,31 +15,31 @@
 import java.util.Map;
 
 /** One relay: its module instance, its open tunnels, and the orders it has given in this batch. */
-final class Relay implements Front {
+final class Relay implements Frontend {
     /** An order that waits for the reply to be written. */
     private interface Order {
         void write(JsonGenerator out) throws IOException;
     }
 
-    private final Map<Long, Balance.Tunnel> tunnels = new HashMap<>();
+    private final Map<Long, LoadBalancer.Tunnel> tunnels = new HashMap<>();
     private final List<Order> orders = new ArrayList<>();
-    private final Balance balance;
+    private final LoadBalancer balance;
     private double now;
     private boolean broken;
 
     Relay(double now, long seed, Settings settings) {
         this.now = now;
-        this.balance = new Balance(settings, seed, this);
+        this.balance = new LoadBalancer(settings, seed, this);
     }
 
-    void event(double at, String op, Map<String, Object> e, List<Listed> listed) {
+    void event(double at, String op, Map<String, Object> e, List<ServerEntry> listed) {
         now = at;
         if (broken) {
             return;
         }
         try {
             dispatch(op, e, listed);
-        } catch (Json.Malformed m) {
+        } catch (Json.MalformedException m) {
             throw m;
         } catch (RuntimeException bug) {
             broken = true;
@@ -49,32 +49,32 @@
         }
     }
 
-    private void dispatch(String op, Map<String, Object> e, List<Listed> listed) {
+    private void dispatch(String op, Map<String, Object> e, List<ServerEntry> listed) {
         switch (op) {
             case "Announce" -> {
                 if (listed == null) {
-                    balance.listFailed(false);
+                    balance.onServerListFailed(false);
                 } else {
-                    balance.list(listed, !Json.text(e, "mode").equals("D"));
+                    balance.onServerList(listed, !Json.text(e, "mode").equals("D"));
                 }
             }
             case "Order" -> {
-                Balance.Tunnel tun =
-                        balance.take(
-                                Json.whole(e, "xid"),
+                LoadBalancer.Tunnel tun =
+                        balance.openTunnel(
+                                Json.integer(e, "xid"),
                                 profile(e),
                                 customer(e),
                                 Json.textOrNull(e, "room"),
                                 Json.textOrNull(e, "routeKey"),
-                                Json.seconds(e, "timeBudgetMs"),
+                                Json.secondsFromMillis(e, "timeBudgetMs"),
                                 Json.flag(e, "midFlow"));
                 tunnels.put(tun.id, tun);
                 forget(tun);
             }
             case "Existing" -> {
-                Balance.Tunnel tun =
-                        balance.standing(
-                                Json.whole(e, "xid"),
+                LoadBalancer.Tunnel tun =
+                        balance.restoreTunnel(
+                                Json.integer(e, "xid"),
                                 profile(e),
                                 customer(e),
                                 Json.textOrNull(e, "room"),
@@ -84,44 +84,44 @@
             }
             case "AckFirst", "Change", "Resolved", "Withdrawn" -> tunnel(op, e);
             case "Pong" ->
-                    balance.probed(
+                    balance.onProbeResult(
                             Json.text(e, "backend"),
                             Wire.outcome(Json.text(e, "result")),
                             Wire.report(e));
-            case "Elapsed" -> balance.woke(Json.whole(e, "ref"));
+            case "Elapsed" -> balance.onTimer(Json.integer(e, "ref"));
             case "Memo" -> {}
-            default -> throw new Json.Malformed("unknown event " + op);
+            default -> throw new Json.MalformedException("unknown event " + op);
         }
     }
 
     private void tunnel(String op, Map<String, Object> e) {
-        Balance.Tunnel tun = tunnels.get(Json.whole(e, "xid"));
+        LoadBalancer.Tunnel tun = tunnels.get(Json.integer(e, "xid"));
         if (tun == null) {
             return;
         }
         int n = (int) Json.number(e, "hop", 0);
         switch (op) {
-            case "AckFirst" -> tun.opened(n, Json.seconds(e, "lagMs"));
+            case "AckFirst" -> tun.onOpened(n, Json.secondsFromMillis(e, "lagMs"));
             case "Change" -> {
-                if (Json.whole(e, "what") == 1) {
-                    tun.load(Json.number(e, "value", 0) / 1e6);
-                } else if (Json.whole(e, "what") == 2) {
-                    tun.delay(Json.seconds(e, "value"));
+                if (Json.integer(e, "what") == 1) {
+                    tun.onLoad(Json.number(e, "value", 0) / 1e6);
+                } else if (Json.integer(e, "what") == 2) {
+                    tun.onMessageDelay(Json.secondsFromMillis(e, "value"));
                 }
             }
             case "Resolved" ->
-                    tun.ended(
+                    tun.onEnded(
                             n,
                             Wire.outcome(Json.text(e, "result")),
-                            Json.seconds(e, "lagMs"),
+                            Json.secondsFromMillis(e, "lagMs"),
                             Json.flag(e, "noMore"));
-            default -> tun.withdrawn();
+            default -> tun.cancel();
         }
         forget(tun);
     }
 
-    private void forget(Balance.Tunnel tun) {
-        if (tun.over()) {
+    private void forget(LoadBalancer.Tunnel tun) {
+        if (tun.isFinished()) {
             tunnels.remove(tun.id);
         }
     }
@@ -165,7 +165,7 @@
     }
 
     @Override
-    public void setup(Balance.Tunnel tun, String ep, double timeout) {
+    public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
         order(
                 "Attempt",
                 o -> {
@@ -176,7 +176,7 @@
     }
 
     @Override
-    public void decline(Balance.Tunnel tun, double retryAfter) {
+    public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
         order(
                 "TurnAway",
                 o -> {
@@ -186,12 +186,12 @@
     }
 
     @Override
-    public void closeWithError(Balance.Tunnel tun) {
+    public void closeWithError(LoadBalancer.Tunnel tun) {
         order("RespondError", o -> o.writeNumberField("xid", tun.id));
     }
 
     @Override
-    public void move(Balance.Tunnel tun) {
+    public void move(LoadBalancer.Tunnel tun) {
         order("Relocate", o -> o.writeNumberField("xid", tun.id));
     }
 
@@ -201,12 +201,12 @@
     }
 
     @Override
-    public void watch() {
+    public void watchServerList() {
         order("Watch", o -> o.writeBooleanField("active", true));
     }
 
     @Override
-    public void wake(double after, long token) {
+    public void scheduleTimer(double after, long token) {
         order(
                 "Schedule",
                 o -> {
--- a/drill/src/main/java/asterpulley/drill/Wire.java
+++ b/drill/src/main/java/asterpulley/drill/Wire.java
@@ -1,8 +1,8 @@
 package asterpulley.drill;
 
-import asterpulley.Listed;
+import asterpulley.LoadReport;
 import asterpulley.Outcome;
-import asterpulley.Report;
+import asterpulley.ServerEntry;
 import asterpulley.decode.Json;
 import asterpulley.decode.SettingsDecoder;
 import java.util.ArrayList;
@@ -13,18 +13,18 @@
 final class Wire {
     private Wire() {}
 
-    static List<Listed> servers(Map<String, Object> event) {
-        List<Listed> servers = new ArrayList<>();
+    static List<ServerEntry> servers(Map<String, Object> event) {
+        List<ServerEntry> servers = new ArrayList<>();
         for (Object o : Json.list(event, "entries")) {
             Map<String, Object> e = Json.object(o, "a list entry");
-            Listed.State state =
+            ServerEntry.State state =
                     switch (Json.text(e, "health")) {
-                        case "Running" -> Listed.State.RUNNING;
-                        case "Deleted" -> Listed.State.GONE;
-                        default -> Listed.State.DRAINING;
+                        case "Running" -> ServerEntry.State.RUNNING;
+                        case "Deleted" -> ServerEntry.State.GONE;
+                        default -> ServerEntry.State.DRAINING;
                     };
             servers.add(
-                    new Listed(
+                    new ServerEntry(
                             Json.text(e, "backend"),
                             (int) Json.number(e, "site", 0),
                             (int) Json.number(e, "shape", 0),
@@ -53,9 +53,9 @@
         };
     }
 
-    static Report report(Map<String, Object> event) {
+    static LoadReport report(Map<String, Object> event) {
         return event.get("pressure") instanceof Map<?, ?> map
-                ? SettingsDecoder.report(Json.object(map, "pressure"))
-                : new Report();
+                ? SettingsDecoder.decodeReport(Json.object(map, "pressure"))
+                : new LoadReport();
     }
 }
--- a/files/src/main/java/asterpulley/files/PoolsFile.java
+++ b/files/src/main/java/asterpulley/files/PoolsReader.java
@@ -14,25 +14,25 @@
  * into what a relay is told. It must know every key that it takes, and tell what is wrong with
  * each.
  */
-public final class PoolsFile {
+public final class PoolsReader {
     private static final double LONG = 1e5, MANY = 1e7;
 
-    private PoolsFile() {}
+    private PoolsReader() {}
 
     /**
      * Null where the file has no {@code [spill]}; {@code pools}: all there are, {@code profiles}:
      * all names.
      */
     public static Map<String, Object> read(
-            Part root,
+            TomlSection root,
             List<String> zones,
             List<String> models,
             List<String> profiles,
             int relaysPerPool,
             double holds) {
-        Part pools = root.part("pools");
-        Part spill = root.part("spill");
-        Part back = root.part("return");
+        TomlSection pools = root.section("pools");
+        TomlSection spill = root.section("spill");
+        TomlSection back = root.section("return");
         Map<String, Object> told = new LinkedHashMap<>();
         String by = pools.oneOf("by", "zone", "zone", "model");
         List<String> names = by.equals("zone") ? zones : models;
@@ -40,16 +40,16 @@
         told.put("pools", names);
         String home = pools.text("home", null);
         if (home != null && !names.contains(home)) {
-            pools.wrong("home", "'" + home + "' names no pool", null);
+            pools.reportProblem("home", "'" + home + "' names no pool", null);
         }
         if (home == null && by.equals("model")) {
-            pools.need("home");
+            pools.require("home");
         }
         told.put("home", home);
         told.put(
                 "relays_per_pool",
-                pools.whole("relays_per_pool", Math.max(1, relaysPerPool), 1, 100_000));
-        told.put("prefer", prefer(pools.part("prefer"), names));
+                pools.integer("relays_per_pool", Math.max(1, relaysPerPool), 1, 100_000));
+        told.put("prefer", prefer(pools.section("prefer"), names));
         double enter = pools.number("dark_from", 0.7, 0.05, 1);
         double calm = pools.number("calm_s", 4, 0.1, LONG);
         told.put("dark_from", enter);
@@ -67,10 +67,10 @@
         told.put("rate_per_s", spill.number("rate_per_s", 0, 0, MANY));
         told.put("holds", spill.number("holds", holds, 1, MANY));
         told.put("below", spill.number("below", 0.75, 0.01, 10));
-        told.put("guests_kept", kept(spill.part("keep"), profiles, 1));
-        told.put("kept", kept(root.part("keep"), profiles, 0.7));
+        told.put("guests_kept", kept(spill.section("keep"), profiles, 1));
+        told.put("kept", kept(root.section("keep"), profiles, 0.7));
         if (root.has("retries")) {
-            Part retries = root.part("retries");
+            TomlSection retries = root.section("retries");
             told.put("retry_share", retries.number("share", 0.2, 0, 100));
             told.put("retry_least_per_s", retries.number("least_per_s", 1, 0, MANY));
         }
@@ -89,13 +89,14 @@
         }
         for (String alone : List.of("return", "keep", "retries", "pools")) {
             if (root.has(alone)) {
-                root.wrong(alone, "needs [spill]: without it nothing is asked of pools", null);
+                root.reportProblem(
+                        alone, "needs [spill]: without it nothing is asked of pools", null);
             }
         }
         return null;
     }
 
-    private static List<Object> prefer(Part of, List<String> names) {
+    private static List<Object> prefer(TomlSection of, List<String> names) {
         List<Object> all = new ArrayList<>();
         for (String pool : names) {
             Set<Integer> order = new HashSet<>();
@@ -103,7 +104,8 @@
             for (String other : of.texts(pool)) {
                 int p = names.indexOf(other);
                 if (p < 0 || other.equals(pool) || !order.add(p)) {
-                    of.wrong(pool, "'" + other + "' names no other pool, or one twice", null);
+                    of.reportProblem(
+                            pool, "'" + other + "' names no other pool, or one twice", null);
                 } else {
                     turns.add(p);
                 }
@@ -114,7 +116,7 @@
         return all;
     }
 
-    private static Map<String, Object> kept(Part of, List<String> profiles, double most) {
+    private static Map<String, Object> kept(TomlSection of, List<String> profiles, double most) {
         Map<String, Object> kept = new LinkedHashMap<>();
         each(
                 of,
@@ -123,8 +125,8 @@
                 (name, part) -> kept.put(name, part.number(name, 0, 0, most)));
         double sum = kept.values().stream().mapToDouble(v -> (Double) v).sum();
         if (sum > most + 1e-9) {
-            of.wrong(
-                    of.names().get(0),
+            of.reportProblem(
+                    of.keys().get(0),
                     "all that is kept makes " + sum + ", and at most " + most + " can be",
                     null);
         }
@@ -132,21 +134,24 @@
     }
 
     private static void each(
-            Part of, List<String> known, String wrong, BiConsumer<String, Part> what) {
-        for (String name : of.names()) {
+            TomlSection of,
+            List<String> known,
+            String wrong,
+            BiConsumer<String, TomlSection> what) {
+        for (String name : of.keys()) {
             if (known.contains(name)) {
                 what.accept(name, of);
             } else {
-                of.wrong(name, wrong, null);
+                of.reportProblem(name, wrong, null);
             }
         }
     }
 
-    private static List<String> known(Part of, String key, List<String> profiles) {
+    private static List<String> known(TomlSection of, String key, List<String> profiles) {
         List<String> names = of.texts(key);
         for (String name : names) {
             if (!profiles.contains(name)) {
-                of.wrong(key, "'" + name + "' names no profile", null);
+                of.reportProblem(key, "'" + name + "' names no profile", null);
             }
         }
         return names;
--- a/files/src/main/java/asterpulley/files/Sheet.java
+++ b/files/src/main/java/asterpulley/files/TomlDocument.java
@@ -15,16 +15,16 @@
  * key that nobody knows, a type, a range) is gathered with its line and path and told in one pass.
  * It must never stop at the first fault, and never let a key pass that nothing reads.
  */
-public final class Sheet {
+public final class TomlDocument {
     private record Fault(int line, String what) {}
 
     private final String file;
     private final TomlParseResult toml;
     private final List<Fault> faults = new ArrayList<>();
-    private final List<Part> parts = new ArrayList<>();
-    private final Part root;
+    private final List<TomlSection> parts = new ArrayList<>();
+    private final TomlSection root;
 
-    private Sheet(String file, TomlParseResult toml) {
+    private TomlDocument(String file, TomlParseResult toml) {
         this.file = file;
         this.toml = toml;
         toml.errors()
@@ -34,18 +34,18 @@
                                         e.position(),
                                         "",
                                         e.getMessage().lines().findFirst().orElse("not TOML")));
-        root = new Part(this, toml, List.of(), null);
+        root = new TomlSection(this, toml, List.of(), null);
     }
 
-    public static Sheet read(Path file) throws IOException {
-        return new Sheet(file.toString(), Toml.parse(Files.readString(file)));
+    public static TomlDocument read(Path file) throws IOException {
+        return new TomlDocument(file.toString(), Toml.parse(Files.readString(file)));
     }
 
-    public static Sheet of(String name, String text) {
-        return new Sheet(name, Toml.parse(text));
+    public static TomlDocument parse(String name, String text) {
+        return new TomlDocument(name, Toml.parse(text));
     }
 
-    public Part root() {
+    public TomlSection root() {
         return root;
     }
 
@@ -65,7 +65,7 @@
                 .toList();
     }
 
-    void enter(Part part) {
+    void enter(TomlSection part) {
         parts.add(part);
     }
 
--- a/files/src/main/java/asterpulley/files/Part.java
+++ b/files/src/main/java/asterpulley/files/TomlSection.java
@@ -15,14 +15,14 @@
  * and the value that stands for what is missing is given instead, so that the reading goes on to
  * the end of the file. It must never throw for what an operator wrote.
  */
-public final class Part {
-    private final Sheet sheet;
+public final class TomlSection {
+    private final TomlDocument sheet;
     private final TomlTable table;
     private final List<String> path;
     private final TomlPosition at;
     private final Set<String> asked = new TreeSet<>();
 
-    Part(Sheet sheet, TomlTable table, List<String> path, TomlPosition at) {
+    TomlSection(TomlDocument sheet, TomlTable table, List<String> path, TomlPosition at) {
         this.sheet = sheet;
         this.table = table;
         this.path = path;
@@ -36,7 +36,7 @@
     }
 
     /** Tells that this key must be there. */
-    public Part need(String... keys) {
+    public TomlSection require(String... keys) {
         for (String key : keys) {
             if (!has(key)) {
                 sheet.fault(at, said(key), "is missing");
@@ -50,7 +50,7 @@
         if (value == null) {
             return missing;
         }
-        return value instanceof String s ? s : wrong(key, "is not a text", missing);
+        return value instanceof String s ? s : reportProblem(key, "is not a text", missing);
     }
 
     /** A text that must be one of these. */
@@ -59,7 +59,8 @@
         boolean known = value == null || Arrays.asList(choices).contains(value);
         return known
                 ? value
-                : wrong(key, "'" + value + "' is none of " + String.join(", ", choices), missing);
+                : reportProblem(
+                        key, "'" + value + "' is none of " + String.join(", ", choices), missing);
     }
 
     public double number(String key, double missing, double least, double most) {
@@ -68,28 +69,28 @@
             return missing;
         }
         if (!(value instanceof Number n)) {
-            return wrong(key, "is not a number", missing);
+            return reportProblem(key, "is not a number", missing);
         }
         double d = n.doubleValue();
         return d >= least && d <= most
                 ? d
-                : wrong(
+                : reportProblem(
                         key,
                         plain(d) + " is not between " + plain(least) + " and " + plain(most),
                         missing);
     }
 
-    public int whole(String key, int missing, int least, int most) {
+    public int integer(String key, int missing, int least, int most) {
         Object value = value(key);
         if (value == null) {
             return missing;
         }
         if (!(value instanceof Long n)) {
-            return wrong(key, "is not a whole number", missing);
+            return reportProblem(key, "is not a whole number", missing);
         }
         return n >= least && n <= most
                 ? n.intValue()
-                : wrong(key, n + " is not between " + least + " and " + most, missing);
+                : reportProblem(key, n + " is not between " + least + " and " + most, missing);
     }
 
     public boolean flag(String key, boolean missing) {
@@ -97,7 +98,9 @@
         if (value == null) {
             return missing;
         }
-        return value instanceof Boolean b ? b : wrong(key, "is neither true nor false", missing);
+        return value instanceof Boolean b
+                ? b
+                : reportProblem(key, "is neither true nor false", missing);
     }
 
     /** A list of texts; empty where there is none. */
@@ -113,32 +116,32 @@
                 }
             }
         } else if (has(key)) {
-            wrong(key, "is not a list of texts", texts);
+            reportProblem(key, "is not a list of texts", texts);
         }
         return texts;
     }
 
     /** A table within this one; an empty one where there is none. */
-    public Part part(String key) {
+    public TomlSection section(String key) {
         Object value = value(key);
         if (value instanceof TomlTable t) {
-            return new Part(sheet, t, down(key), where(key));
+            return new TomlSection(sheet, t, down(key), where(key));
         }
         if (value != null) {
-            wrong(key, "is not a table", null);
+            reportProblem(key, "is not a table", null);
         }
-        return new Part(sheet, org.tomlj.Toml.parse(""), down(key), at);
+        return new TomlSection(sheet, org.tomlj.Toml.parse(""), down(key), at);
     }
 
     /** A list of tables, as [[key]] writes it; empty where there is none. */
-    public List<Part> parts(String key) {
-        List<Part> parts = new ArrayList<>();
+    public List<TomlSection> sections(String key) {
+        List<TomlSection> parts = new ArrayList<>();
         Object value = value(key);
         if (value instanceof TomlArray array) {
             for (int i = 0; i < array.size(); i++) {
                 if (array.get(i) instanceof TomlTable t) {
                     parts.add(
-                            new Part(
+                            new TomlSection(
                                     sheet, t, down(key + "[" + i + "]"), array.inputPositionOf(i)));
                 } else {
                     sheet.fault(
@@ -146,19 +149,19 @@
                 }
             }
         } else if (value != null) {
-            wrong(key, "is not a list of tables", null);
+            reportProblem(key, "is not a list of tables", null);
         }
         return parts;
     }
 
     /** The keys as they stand, for tables whose keys are names that the operator chose. */
-    public List<String> names() {
+    public List<String> keys() {
         asked.addAll(table.keySet());
         return List.copyOf(table.keySet());
     }
 
     /** Notes a fault that only the reader can see. */
-    public <T> T wrong(String key, String what, T missing) {
+    public <T> T reportProblem(String key, String what, T missing) {
         sheet.fault(where(key), said(key), what);
         return missing;
     }
--- a/files/src/test/java/asterpulley/files/SheetTest.java
+++ b/files/src/test/java/asterpulley/files/SheetTest.java
@@ -9,17 +9,17 @@
 /** What an operator is told of a file: everything that is wrong, in one pass, with its place. */
 class SheetTest {
     private static List<String> read(String text) {
-        Sheet sheet = Sheet.of("f.toml", text);
-        Part root = sheet.root();
-        root.need("name").text("name", "");
+        TomlDocument sheet = TomlDocument.parse("f.toml", text);
+        TomlSection root = sheet.root();
+        root.require("name").text("name", "");
         root.number("rate", 1, 0, 10);
-        root.whole("count", 1, 1, 5);
+        root.integer("count", 1, 1, 5);
         root.flag("on", false);
         root.oneOf("kind", "a", "a", "b");
         root.texts("zones");
-        for (Part p : root.parts("server")) {
-            p.need("dial").text("dial", "");
-            p.part("warm").number("up_s", 0, 0, 100);
+        for (TomlSection p : root.sections("server")) {
+            p.require("dial").text("dial", "");
+            p.section("warm").number("up_s", 0, 0, 100);
         }
         return sheet.problems();
     }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetReader.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetReader.java
@@ -1,7 +1,7 @@
 package asterpulley.lab.fleet;
 
-import asterpulley.files.Part;
-import asterpulley.files.Sheet;
+import asterpulley.files.TomlDocument;
+import asterpulley.files.TomlSection;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
 
@@ -15,40 +15,41 @@
     private FleetReader() {}
 
     /** True where this file tells sizes: then it is a fleet's, and no other experiment's. */
-    public static boolean isFleet(Sheet sheet) {
+    public static boolean isFleet(TomlDocument sheet) {
         return sheet.root().has("size");
     }
 
     /** Reads the whole of it; ask the sheet for its problems before the plan is used. */
-    public static FleetPlan read(Sheet sheet, String name) {
-        Part root = sheet.root();
+    public static FleetPlan read(TomlDocument sheet, String name) {
+        TomlSection root = sheet.root();
         FleetPlan plan = new FleetPlan();
         plan.name = name;
         plan.title = root.text("title", name);
-        plan.seed = root.whole("seed", 1, 0, Integer.MAX_VALUE);
+        plan.seed = root.integer("seed", 1, 0, Integer.MAX_VALUE);
         plan.length = root.number("length_s", plan.length, 2, LONG);
         plan.settle = root.number("settle_s", plan.settle, 0, LONG);
-        plan.zones = root.whole("zones", plan.zones, 1, 1000);
-        relays(root.part("relays"), plan);
-        Part load = root.part("load");
+        plan.zones = root.integer("zones", plan.zones, 1, 1000);
+        relays(root.section("relays"), plan);
+        TomlSection load = root.section("load");
         plan.tunnels = load.number("tunnels_per_s", plan.tunnels, 0, 1000);
         plan.lifetime = load.number("lifetime_s", plan.lifetime, 0.1, LONG);
         plan.setup = load.number("setup_s", plan.setup, 0, 60);
         plan.reported = load.number("reported", plan.reported, 0, 10);
-        Part fees = root.part("fees");
+        TomlSection fees = root.section("fees");
         plan.crossingFee = fees.number("crossing", plan.crossingFee, 0, 1);
         plan.probeFee = fees.number("probe", plan.probeFee, 0, 1);
-        plan.settingsTold = root.part("settings").flag("told", true);
-        Part list = root.part("list");
+        plan.settingsTold = root.section("settings").flag("told", true);
+        TomlSection list = root.section("list");
         plan.toldLate = list.number("told_s", plan.toldLate, 0, 60);
         plan.deemedTold = list.number("deemed_told_s", plan.deemedTold, 0.5, 600);
-        for (Part p : root.parts("size")) {
-            p.need("relays", "servers");
+        for (TomlSection p : root.sections("size")) {
+            p.require("relays", "servers");
             plan.sizes.add(
                     new FleetPlan.Size(
-                            p.whole("relays", 1, 1, 100_000), p.whole("servers", 1, 1, 100_000)));
+                            p.integer("relays", 1, 1, 100_000),
+                            p.integer("servers", 1, 1, 100_000)));
         }
-        for (Part p : root.parts("entry")) {
+        for (TomlSection p : root.sections("entry")) {
             plan.entries.add(entry(p, plan));
         }
         for (String text : root.texts("expect")) {
@@ -61,23 +62,23 @@
         return plan;
     }
 
-    private static void relays(Part relays, FleetPlan plan) {
-        plan.real = relays.whole("real", plan.real, 0, 20);
+    private static void relays(TomlSection relays, FleetPlan plan) {
+        plan.real = relays.integer("real", plan.real, 0, 20);
         plan.known = relays.flag("known", true);
         plan.startWithin = relays.number("start_within_s", plan.startWithin, 0, LONG);
-        plan.probeConnections = relays.whole("probe_connections", 0, 0, 100_000);
-        plan.sockets = relays.whole("sockets", plan.sockets, 64, 200_000);
-        plan.memory = relays.whole("memory_mb", plan.memory, 64, 4096);
+        plan.probeConnections = relays.integer("probe_connections", 0, 0, 100_000);
+        plan.sockets = relays.integer("sockets", plan.sockets, 64, 200_000);
+        plan.memory = relays.integer("memory_mb", plan.memory, 64, 4096);
     }
 
-    private static FleetPlan.Entry entry(Part p, FleetPlan plan) {
+    private static FleetPlan.Entry entry(TomlSection p, FleetPlan plan) {
         FleetPlan.Entry e = new FleetPlan.Entry();
         FleetPlan.Kind[] kinds = FleetPlan.Kind.values();
         String[] words = new String[kinds.length];
         for (int k = 0; k < kinds.length; k++) {
             words[k] = kinds[k].word();
         }
-        String kind = p.need("kind", "at_s").oneOf("kind", words[0], words);
+        String kind = p.require("kind", "at_s").oneOf("kind", words[0], words);
         e.kind = FleetPlan.Kind.valueOf(kind.toUpperCase().replace('-', '_'));
         e.at = p.number("at_s", 0, 0, LONG);
         e.lasts = p.number("for_s", e.lasts, 0, LONG);
@@ -86,7 +87,7 @@
         e.stepEvery = p.number("step_s", e.stepEvery, 0.01, LONG);
         e.down = p.number("down_s", e.down, 0.01, LONG);
         e.delay = p.number("delay_s", e.delay, 0, LONG);
-        e.zone = p.whole("zone", 1, 1, plan.zones) - 1;
+        e.zone = p.integer("zone", 1, 1, plan.zones) - 1;
         return e;
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/Hollow.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Hollow.java
@@ -1,12 +1,12 @@
 package asterpulley.lab.fleet;
 
-import asterpulley.net.Asked;
-import asterpulley.net.Failure;
-import asterpulley.net.Leg;
-import asterpulley.net.Loop;
-import asterpulley.net.Passage;
-import asterpulley.net.Talk;
-import asterpulley.serve.Control;
+import asterpulley.net.EventLoop;
+import asterpulley.net.PeerConnection;
+import asterpulley.net.Termination;
+import asterpulley.net.TunnelContext;
+import asterpulley.net.TunnelProtocol;
+import asterpulley.net.TunnelRequest;
+import asterpulley.serve.ControlPlane;
 import java.io.IOException;
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
@@ -20,7 +20,7 @@
  * straight to the module at a given rate, and open and end by themselves. It must replace nothing
  * of what it measures.
  */
-final class Hollow implements Talk {
+final class Hollow implements TunnelProtocol {
     /** What all hollow relays of a process share. */
     record Shared(
             MemoryManager<?> memory,
@@ -39,7 +39,8 @@
     }
 
     /** A tunnel as a client would ask for it. */
-    private record Tunnel(String id, String key, String group, double patience) implements Asked {
+    private record Tunnel(String id, String key, String group, double clientTimeout)
+            implements TunnelRequest {
         @Override
         public int profile() {
             return 0;
@@ -51,21 +52,21 @@
         }
 
         @Override
-        public String at() {
+        public String previousServer() {
             return null;
         }
 
         @Override
-        public byte[] opening(double wait) {
+        public byte[] setupMessage(double wait) {
             return new byte[0];
         }
     }
 
     private final int number;
     private final Shared shared;
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final TCPNIOTransport transport;
-    private final Control control;
+    private final ControlPlane control;
     private volatile boolean stopped;
     private volatile long thread;
     private final Arrivals arrivals;
@@ -75,24 +76,24 @@
         this.number = number;
         this.shared = shared;
         this.arrivals = arrivals;
-        transport = Control.transport(loop, shared.memory);
-        control = Control.of(config, this, loop, transport);
-        control.route.whenListed(
-                () -> shared.sights.saw(number, InForce.What.CAME_TO, control.listVersion()));
-        control.whenSettingsInForce(
+        transport = ControlPlane.createTransport(loop, shared.memory);
+        control = ControlPlane.of(config, this, loop, transport);
+        control.decisions.onServerListUpdated(
+                () -> shared.sights.saw(number, InForce.What.CAME_TO, control.serverListVersion()));
+        control.onSettingsApplied(
                 () ->
                         shared.sights.saw(
                                 number,
                                 InForce.What.SETTINGS_CAME_TO,
-                                control.settings().version().seq()));
+                                control.activeSettings().version().seq()));
         transport.start();
-        loop.handIn(
+        loop.submit(
                 () -> {
                     thread = Thread.currentThread().getId();
-                    shared.sights.saw(number, InForce.What.STARTED, control.listVersion());
+                    shared.sights.saw(number, InForce.What.STARTED, control.serverListVersion());
                     control.start();
                     if (arrivals.any()) {
-                        loop.after(arrivals.gap(), this::comes);
+                        loop.schedule(arrivals.gap(), this::comes);
                     }
                 });
     }
@@ -113,17 +114,18 @@
         if (stopped) {
             return;
         }
-        loop.after(arrivals.gap(), this::comes);
+        loop.schedule(arrivals.gap(), this::comes);
         String id = arrivals.id();
-        Passage passage =
-                new Passage(null, new Tunnel(id, id, "c" + id, shared.timeout), this, loop.now());
+        TunnelContext passage =
+                new TunnelContext(
+                        null, new Tunnel(id, id, "c" + id, shared.timeout), this, loop.now());
         shared.taken.increment();
-        control.book.firstSeen(id);
+        control.registry.registerId(id);
         // What a client's connection would take of the relay's room.
-        control.book.sockets++;
-        if (control.admit.admits(passage)) {
+        control.registry.sockets++;
+        if (control.admission.admit(passage)) {
             long from = System.nanoTime();
-            control.route.take(passage);
+            control.decisions.placeTunnel(passage);
             shared.decisions.recordValue(
                     Math.min(
                             shared.decisions.getHighestTrackableValue(),
@@ -134,88 +136,89 @@
     // ---- As a front
 
     @Override
-    public void setup(Passage passage, String host, double timeout) {
-        int n = ++passage.setups;
-        passage.host = host;
-        passage.out = true;
-        passage.reach = Failure.Reach.NOT_CONNECTED;
-        passage.sentAt = loop.now();
-        passage.patience = loop.after(timeout, () -> failed(passage, n, Failure.Cause.GIVEN_UP));
-        control.book.sockets++;
-        loop.after(shared.setup, () -> opens(passage, n));
-    }
-
-    private void opens(Passage passage, int n) {
-        if (passage.over || !passage.out || passage.setups != n) {
+    public void startSetup(TunnelContext passage, String host, double timeout) {
+        int n = ++passage.setupCount;
+        passage.serverName = host;
+        passage.setupPending = true;
+        passage.progress = Termination.Progress.NOT_CONNECTED;
+        passage.setupStartedAt = loop.now();
+        passage.setupTimer =
+                loop.schedule(timeout, () -> failed(passage, n, Termination.Cause.GIVEN_UP));
+        control.registry.sockets++;
+        loop.schedule(shared.setup, () -> opens(passage, n));
+    }
+
+    private void opens(TunnelContext passage, int n) {
+        if (passage.finished || !passage.setupPending || passage.setupCount != n) {
             return;
         }
-        if (!control.route.mayGo(passage)) {
-            failed(passage, n, Failure.Cause.RECALLED);
+        if (!control.decisions.maySend(passage)) {
+            failed(passage, n, Termination.Cause.RECALLED);
             return;
         }
-        passage.out = false;
-        passage.patience.cancel();
-        passage.reach = Failure.Reach.OPENED;
-        passage.standing = true;
+        passage.setupPending = false;
+        passage.setupTimer.cancel();
+        passage.progress = Termination.Progress.OPENED;
+        passage.established = true;
         passage.answered = true;
-        control.book.opened(passage);
+        control.registry.recordOpened(passage);
         shared.opened.increment();
-        control.route.opened(passage);
-        loop.after(arrivals.lifetime(), () -> ends(passage, Failure.Cause.BYE));
+        control.decisions.tunnelOpened(passage);
+        loop.schedule(arrivals.lifetime(), () -> ends(passage, Termination.Cause.BYE));
     }
 
-    private void ends(Passage passage, Failure.Cause cause) {
-        if (!passage.over) {
-            passage.over = true;
-            passage.standing = false;
-            control.book.sockets -= 2;
-            control.route.ended(passage, passage.failure(cause));
-            control.book.leave(passage);
+    private void ends(TunnelContext passage, Termination.Cause cause) {
+        if (!passage.finished) {
+            passage.finished = true;
+            passage.established = false;
+            control.registry.sockets -= 2;
+            control.decisions.serverConnectionEnded(passage, passage.termination(cause));
+            control.registry.remove(passage);
         }
     }
 
-    private void failed(Passage passage, int n, Failure.Cause cause) {
-        if (passage.out && passage.setups == n) {
-            passage.out = false;
-            passage.patience.cancel();
-            control.book.sockets--;
-            control.route.ended(passage, passage.failure(cause));
+    private void failed(TunnelContext passage, int n, Termination.Cause cause) {
+        if (passage.setupPending && passage.setupCount == n) {
+            passage.setupPending = false;
+            passage.setupTimer.cancel();
+            control.registry.sockets--;
+            control.decisions.serverConnectionEnded(passage, passage.termination(cause));
         }
     }
 
     @Override
-    public void reopen(Passage passage) {
+    public void reopen(TunnelContext passage) {
         throw new IllegalStateException("nothing stood before a hollow relay started");
     }
 
     @Override
-    public void abandon(Passage passage) {
-        failed(passage, passage.setups, Failure.Cause.CLIENT_LEFT);
+    public void abandonSetup(TunnelContext passage) {
+        failed(passage, passage.setupCount, Termination.Cause.CLIENT_LEFT);
     }
 
     @Override
-    public void recall(Passage passage) {
-        if (passage.reach == Failure.Reach.NOT_CONNECTED) {
-            failed(passage, passage.setups, Failure.Cause.RECALLED);
+    public void recallSetup(TunnelContext passage) {
+        if (passage.progress == Termination.Progress.NOT_CONNECTED) {
+            failed(passage, passage.setupCount, Termination.Cause.RECALLED);
         }
     }
 
     /** Its client would come again, to whichever relay: here it is gone. */
     @Override
-    public void move(Passage passage) {
+    public void move(TunnelContext passage) {
         passage.moving = true;
-        loop.after(0, () -> ends(passage, Failure.Cause.MOVE));
+        loop.schedule(0, () -> ends(passage, Termination.Cause.MOVE));
     }
 
     @Override
-    public void decline(Leg client, double retryAfter) {
-        control.book.sockets--;
+    public void decline(PeerConnection client, double retryAfter) {
+        control.registry.sockets--;
         shared.declined.increment();
     }
 
     @Override
-    public void closeWithError(Leg client) {
-        control.book.sockets--;
+    public void closeWithError(PeerConnection client) {
+        control.registry.sockets--;
         shared.errors.increment();
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/HollowMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/HollowMain.java
@@ -65,7 +65,8 @@
                                 1 << 16));
         shared =
                 new Hollow.Shared(
-                        new PooledMemoryManager(SocketFilter.BUFFER, 1, 1, 4, 0.03f, 0.25f, false),
+                        new PooledMemoryManager(
+                                SocketFilter.BUFFER_BYTES, 1, 1, 4, 0.03f, 0.25f, false),
                         number("setup"),
                         number("timeout"),
                         decisions,
@@ -147,9 +148,9 @@
         for (int i = 1; i < who.length; i++) {
             long due = from + (long) (who[0] * 1e6 * (i - 1) / (who.length - 1));
             Thread.sleep(Math.max(0, (due - System.nanoTime()) / 1_000_000));
-            Map<String, Object> config = new LinkedHashMap<>(Json.part(told, "config"));
-            config.put("settings", new LinkedHashMap<>(Json.part(config, "settings")));
-            Json.part(config, "settings").put("myZone", who[i] % (int) number("zones"));
+            Map<String, Object> config = new LinkedHashMap<>(Json.objectOrEmpty(told, "config"));
+            config.put("settings", new LinkedHashMap<>(Json.objectOrEmpty(config, "settings")));
+            Json.objectOrEmpty(config, "settings").put("myZone", who[i] % (int) number("zones"));
             config.put("name", "h" + (who[i] + 1));
             config.put(
                     "seed", Long.toHexString(((long) number("seed")) * 1_000_003 + who[i] * 1009L));
--- a/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
@@ -50,7 +50,7 @@
                     new Caller(
                             (String) name,
                             (int) Json.number(told, "servers", 0),
-                            Json.whole(told, "zero")));
+                            Json.integer(told, "zero")));
         }
     }
 
--- a/lab/src/main/java/asterpulley/lab/model/Brain.java
+++ b/lab/src/main/java/asterpulley/lab/model/Brain.java
@@ -1,8 +1,8 @@
 package asterpulley.lab.model;
 
-import asterpulley.Listed;
+import asterpulley.LoadReport;
 import asterpulley.Outcome;
-import asterpulley.Report;
+import asterpulley.ServerEntry;
 import java.util.List;
 
 /**
@@ -25,9 +25,9 @@
 
     Handle take(long id, int profile, int customer, String group, String key, double budget);
 
-    void probed(String server, Outcome outcome, Report report);
+    void probed(String server, Outcome outcome, LoadReport report);
 
-    void list(List<Listed> servers, boolean whole);
+    void list(List<ServerEntry> servers, boolean whole);
 
     void listFailed();
 
--- a/lab/src/main/java/asterpulley/lab/model/Model.java
+++ b/lab/src/main/java/asterpulley/lab/model/Model.java
@@ -7,8 +7,8 @@
 import asterpulley.lab.world.Server;
 import asterpulley.lab.world.Try;
 import asterpulley.lab.world.World;
-import asterpulley.routes.Charter;
-import asterpulley.routes.Guide;
+import asterpulley.routes.PoolRouter;
+import asterpulley.routes.RoutingPolicy;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -72,12 +72,12 @@
                 module
                         ? new ModuleBrain(settings, seed, host)
                         : new PlainBrain(policy, settings, host, Load.random(seed), this::truth);
-        Charter charter = policy.equals(MODULE) ? plan.charter(world.roomOfRelay(r)) : null;
+        RoutingPolicy charter = policy.equals(MODULE) ? plan.charter(world.roomOfRelay(r)) : null;
         host.start(
                 brain,
                 charter == null
                         ? null
-                        : new Guide(charter, host.now(), l -> {}, world.figures::count));
+                        : new PoolRouter(charter, host.now(), l -> {}, world.figures::count));
     }
 
     /** A relay; tests put broken ones in its place, to see them caught. */
--- a/lab/src/main/java/asterpulley/lab/model/ModuleBrain.java
+++ b/lab/src/main/java/asterpulley/lab/model/ModuleBrain.java
@@ -1,10 +1,10 @@
 package asterpulley.lab.model;
 
-import asterpulley.Balance;
-import asterpulley.Front;
-import asterpulley.Listed;
+import asterpulley.Frontend;
+import asterpulley.LoadBalancer;
+import asterpulley.LoadReport;
 import asterpulley.Outcome;
-import asterpulley.Report;
+import asterpulley.ServerEntry;
 import asterpulley.Settings;
 import java.util.List;
 
@@ -13,46 +13,48 @@
  * passes.
  */
 final class ModuleBrain implements Brain {
-    private final Balance balance;
+    private final LoadBalancer balance;
 
     ModuleBrain(Settings settings, long seed, Host host) {
         balance =
-                new Balance(
+                new LoadBalancer(
                         settings,
                         seed,
-                        new Front() {
+                        new Frontend() {
                             @Override
                             public double now() {
                                 return host.now();
                             }
 
                             @Override
-                            public void setup(Balance.Tunnel tun, String ep, double timeout) {
+                            public void sendSetup(
+                                    LoadBalancer.Tunnel tun, String ep, double timeout) {
                                 host.setup(tun.id, ep, timeout);
                             }
 
                             @Override
-                            public void decline(Balance.Tunnel tun, double retryAfter) {
+                            public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
                                 host.decline(tun.id, retryAfter);
                             }
 
                             @Override
-                            public void closeWithError(Balance.Tunnel tun) {
+                            public void closeWithError(LoadBalancer.Tunnel tun) {
                                 host.closeWithError(tun.id);
                             }
 
                             @Override
-                            public void move(Balance.Tunnel tun) {
+                            public void move(LoadBalancer.Tunnel tun) {
                                 host.move(tun.id);
                             }
 
                             @Override
-                            public boolean may(Balance.Tunnel tun, int server, String ep) {
+                            public boolean isEligible(
+                                    LoadBalancer.Tunnel tun, int server, String ep) {
                                 return host.may(tun.id, server, ep);
                             }
 
                             @Override
-                            public boolean widen(Balance.Tunnel tun) {
+                            public boolean widenSelection(LoadBalancer.Tunnel tun) {
                                 return host.widen(tun.id);
                             }
 
@@ -62,12 +64,12 @@
                             }
 
                             @Override
-                            public void watch() {
+                            public void watchServerList() {
                                 host.watch();
                             }
 
                             @Override
-                            public void wake(double after, long token) {
+                            public void scheduleTimer(double after, long token) {
                                 host.wake(after, token);
                             }
 
@@ -82,52 +84,53 @@
     @Override
     public Handle take(
             long id, int profile, int customer, String group, String key, double budget) {
-        Balance.Tunnel tunnel = balance.take(id, profile, customer, group, key, budget, false);
+        LoadBalancer.Tunnel tunnel =
+                balance.openTunnel(id, profile, customer, group, key, budget, false);
         return new Handle() {
             @Override
             public void opened(double lag) {
-                tunnel.opened(0, lag);
+                tunnel.onOpened(0, lag);
             }
 
             @Override
             public void load(double cores) {
-                tunnel.load(cores);
+                tunnel.onLoad(cores);
             }
 
             @Override
             public void delay(double message) {
-                tunnel.delay(message);
+                tunnel.onMessageDelay(message);
             }
 
             @Override
             public void ended(Outcome outcome, double lag, boolean last) {
-                tunnel.ended(0, outcome, lag, last);
+                tunnel.onEnded(0, outcome, lag, last);
             }
 
             @Override
             public void withdrawn() {
-                tunnel.withdrawn();
+                tunnel.cancel();
             }
         };
     }
 
     @Override
-    public void probed(String server, Outcome outcome, Report report) {
-        balance.probed(server, outcome, report);
+    public void probed(String server, Outcome outcome, LoadReport report) {
+        balance.onProbeResult(server, outcome, report);
     }
 
     @Override
-    public void list(List<Listed> servers, boolean whole) {
-        balance.list(servers, whole);
+    public void list(List<ServerEntry> servers, boolean whole) {
+        balance.onServerList(servers, whole);
     }
 
     @Override
     public void listFailed() {
-        balance.listFailed(false);
+        balance.onServerListFailed(false);
     }
 
     @Override
     public void woke(long token) {
-        balance.woke(token);
+        balance.onTimer(token);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/model/PlainBrain.java
+++ b/lab/src/main/java/asterpulley/lab/model/PlainBrain.java
@@ -1,8 +1,8 @@
 package asterpulley.lab.model;
 
-import asterpulley.Listed;
+import asterpulley.LoadReport;
 import asterpulley.Outcome;
-import asterpulley.Report;
+import asterpulley.ServerEntry;
 import asterpulley.Settings;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -44,7 +44,7 @@
      */
     private final ToDoubleFunction<String> truth;
 
-    private final Map<String, Listed> listed = new LinkedHashMap<>();
+    private final Map<String, ServerEntry> listed = new LinkedHashMap<>();
     private final Map<String, Integer> own = new HashMap<>(), failures = new HashMap<>();
     private final Map<String, Double> outUntil = new HashMap<>();
     private final Map<String, List<Plain>> standing = new HashMap<>();
@@ -84,10 +84,12 @@
         private void place() {
             double left = deadline - host.now() - 2 * settings.tick;
             String server =
-                    setups < settings.mostSetups && left > 2 * settings.tick ? pick(tried) : null;
+                    setups < settings.maxSetupsPerTunnel && left > 2 * settings.tick
+                            ? pick(tried)
+                            : null;
             if (server == null) {
                 done = true;
-                host.decline(id, settings.longestRetryAfter * (0.5 + 0.5 * random.nextDouble()));
+                host.decline(id, settings.maxRetryAfter * (0.5 + 0.5 * random.nextDouble()));
                 return;
             }
             setups++;
@@ -131,7 +133,9 @@
             if (done) {
                 return;
             }
-            boolean harmless = outcome.provesNotRun || kind.kind == Settings.Kind.REPEATABLE;
+            boolean harmless =
+                    outcome.provesNoEffect
+                            || kind.repeatability == Settings.Repeatability.REPEATABLE;
             if (harmless) {
                 place();
             } else {
@@ -153,11 +157,11 @@
 
     private String pick(Set<String> not) {
         List<String> may = new ArrayList<>();
-        for (Listed l : listed.values()) {
-            if (l.state() == Listed.State.RUNNING
-                    && !not.contains(l.ep())
-                    && outUntil.getOrDefault(l.ep(), 0.0) <= host.now()) {
-                may.add(l.ep());
+        for (ServerEntry l : listed.values()) {
+            if (l.state() == ServerEntry.State.RUNNING
+                    && !not.contains(l.name())
+                    && outUntil.getOrDefault(l.name(), 0.0) <= host.now()) {
+                may.add(l.name());
             }
         }
         if (may.isEmpty()) {
@@ -186,8 +190,8 @@
      */
     private String priority(List<String> may) {
         double all = 0;
-        for (Listed l : listed.values()) {
-            all += l.zone() == settings.zone && l.state() != Listed.State.GONE ? 1 : 0;
+        for (ServerEntry l : listed.values()) {
+            all += l.zone() == settings.zone && l.state() != ServerEntry.State.GONE ? 1 : 0;
         }
         List<String> home = new ArrayList<>(), others = new ArrayList<>();
         may.forEach(s -> (listed.get(s).zone() == settings.zone ? home : others).add(s));
@@ -222,21 +226,21 @@
     }
 
     @Override
-    public void probed(String server, Outcome outcome, Report report) {
+    public void probed(String server, Outcome outcome, LoadReport report) {
         // None of these policies asks.
     }
 
     @Override
-    public void list(List<Listed> servers, boolean whole) {
+    public void list(List<ServerEntry> servers, boolean whole) {
         if (whole) {
             listed.clear();
         }
-        for (Listed l : servers) {
-            listed.put(l.ep(), l);
-            if (l.state() == Listed.State.DRAINING) {
-                draining.add(l.ep());
+        for (ServerEntry l : servers) {
+            listed.put(l.name(), l);
+            if (l.state() == ServerEntry.State.DRAINING) {
+                draining.add(l.name());
             } else {
-                draining.remove(l.ep());
+                draining.remove(l.name());
             }
         }
     }
--- a/lab/src/main/java/asterpulley/lab/model/RelayHost.java
+++ b/lab/src/main/java/asterpulley/lab/model/RelayHost.java
@@ -1,15 +1,15 @@
 package asterpulley.lab.model;
 
-import asterpulley.Listed;
+import asterpulley.LoadReport;
 import asterpulley.Outcome;
-import asterpulley.Report;
+import asterpulley.ServerEntry;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.world.Registry;
 import asterpulley.lab.world.Server;
 import asterpulley.lab.world.Setup;
 import asterpulley.lab.world.Try;
 import asterpulley.lab.world.World;
-import asterpulley.routes.Guide;
+import asterpulley.routes.PoolRouter;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -66,7 +66,7 @@
      * Null where the plan tells relays nothing of pools, or a baseline decides: then nothing
      * narrows the choice.
      */
-    private Guide guide;
+    private PoolRouter guide;
 
     private Brain brain;
     private boolean dead, watching;
@@ -81,7 +81,7 @@
         this.byName = byName;
     }
 
-    void start(Brain decisions, Guide narrows) {
+    void start(Brain decisions, PoolRouter narrows) {
         brain = decisions;
         guide = narrows;
         List<Registry.Entry> known = world.registry.whole();
@@ -92,9 +92,9 @@
     }
 
     private void list(List<Registry.Entry> entries, boolean whole) {
-        List<Listed> listed = listed(entries);
+        List<ServerEntry> listed = listed(entries);
         if (guide != null) {
-            guide.list(listed, whole, now());
+            guide.updateServerList(listed, whole, now());
         }
         brain.list(listed, whole);
     }
@@ -102,27 +102,27 @@
     /** What its operators say of pools has changed. */
     void reload() {
         if (guide != null && !dead) {
-            guide.change(plan.charter(world.roomOfRelay(number)), now());
+            guide.reload(plan.charter(world.roomOfRelay(number)), now());
         }
     }
 
     @Override
     public boolean may(long id, int server, String name) {
-        return guide == null || guide.may(id, server, name, now());
+        return guide == null || guide.mayUse(id, server, name, now());
     }
 
     @Override
     public boolean widen(long id) {
-        return guide != null && guide.widen(id, now());
+        return guide != null && guide.advanceTier(id, now());
     }
 
-    private static List<Listed> listed(List<Registry.Entry> entries) {
-        List<Listed> listed = new ArrayList<>(entries.size());
+    private static List<ServerEntry> listed(List<Registry.Entry> entries) {
+        List<ServerEntry> listed = new ArrayList<>(entries.size());
         for (Registry.Entry e : entries) {
-            Listed l = e.listed();
+            ServerEntry l = e.listed();
             listed.add(
-                    new Listed(
-                            l.ep(),
+                    new ServerEntry(
+                            l.name(),
                             l.zone(),
                             l.model(),
                             l.cell(),
@@ -150,7 +150,7 @@
         passages.put(p.id, p);
         String key = Long.toHexString(t.client.born.key());
         if (guide != null) {
-            guide.taken(p.id, t.client.born.profile(), key, now());
+            guide.tunnelAccepted(p.id, t.client.born.profile(), key, now());
         }
         int group = t.client.born.group();
         p.handle =
@@ -197,7 +197,7 @@
     private void forget(Passage p) {
         passages.remove(p.id);
         if (guide != null) {
-            guide.over(p.id);
+            guide.tunnelClosed(p.id);
         }
     }
 
@@ -231,7 +231,7 @@
         p.setup = null;
         p.sentAt = line.now();
         if (guide != null) {
-            guide.setup(id, name, now());
+            guide.setupStarted(id, name, now());
         }
         send(p, n, p.server, timeout);
     }
@@ -292,8 +292,8 @@
         p.standing = p.answered = true;
         p.openedAt = line.now();
         if (guide != null) {
-            guide.opened(p.id, now());
-            guide.load(p.id, cores);
+            guide.tunnelOpened(p.id, now());
+            guide.tunnelLoadReported(p.id, cores);
         }
         p.handle.opened(line.now() - p.sentAt);
         p.handle.load(cores);
@@ -323,7 +323,7 @@
     private void ends(Passage p, Outcome outcome, boolean last) {
         p.out = false;
         if (guide != null) {
-            guide.ended(p.id, outcome, true, now());
+            guide.serverConnectionEnded(p.id, outcome, true, now());
         }
         if (p.setup != null) {
             world.gone(p.setup);
@@ -379,7 +379,7 @@
         line.after(
                 way,
                 () -> {
-                    Optional<Report> report = world.asked(number, s);
+                    Optional<LoadReport> report = world.asked(number, s);
                     boolean refused = s.closed();
                     line.after(
                             report.isPresent() || refused ? way : Math.max(0, patience - way),
@@ -393,13 +393,13 @@
                                                             ? Outcome.NO_CONNECTION
                                                             : Outcome.TIMED_OUT;
                                     if (guide != null) {
-                                        guide.probed(
+                                        guide.probeFinished(
                                                 name,
                                                 outcome,
-                                                report.orElseGet(Report::new),
+                                                report.orElseGet(LoadReport::new),
                                                 now());
                                     }
-                                    brain.probed(name, outcome, report.orElseGet(Report::new));
+                                    brain.probed(name, outcome, report.orElseGet(LoadReport::new));
                                 }
                             });
                 });
--- a/lab/src/main/java/asterpulley/lab/plan/Plan.java
+++ b/lab/src/main/java/asterpulley/lab/plan/Plan.java
@@ -1,9 +1,9 @@
 package asterpulley.lab.plan;
 
 import asterpulley.Settings;
-import asterpulley.decode.CharterDecoder;
+import asterpulley.decode.RoutingPolicyDecoder;
 import asterpulley.decode.SettingsDecoder;
-import asterpulley.routes.Charter;
+import asterpulley.routes.RoutingPolicy;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -16,8 +16,8 @@
 public final class Plan {
     public static final class ProfilePlan {
         public String name = "live";
-        public Settings.Kind effect = Settings.Kind.REPEATABLE;
-        public Settings.Reach reach = Settings.Reach.ALL;
+        public Settings.Repeatability effect = Settings.Repeatability.REPEATABLE;
+        public Settings.IdempotencyScope reach = Settings.IdempotencyScope.ALL;
         public double share = 1,
                 setupGoal = 0.5,
                 clientTimeout = 2,
@@ -107,14 +107,14 @@
 
     /** What a relay of this world is told, as the module reads it. */
     public Settings settings(int room) {
-        return SettingsDecoder.settings(Told.settings(this, room));
+        return SettingsDecoder.decode(Told.settings(this, room));
     }
 
     /** The same of pools; null where it is told nothing of them. */
-    public Charter charter(int room) {
+    public RoutingPolicy charter(int room) {
         return routes == null
                 ? null
-                : CharterDecoder.charter(routes, room, Told.settings(this, room));
+                : RoutingPolicyDecoder.decode(routes, room, Told.settings(this, room));
     }
 
     /**
--- a/lab/src/main/java/asterpulley/lab/sock/StandIn.java
+++ b/lab/src/main/java/asterpulley/lab/sock/StandIn.java
@@ -1,6 +1,6 @@
 package asterpulley.lab.sock;
 
-import asterpulley.Report;
+import asterpulley.LoadReport;
 import asterpulley.lab.world.Server;
 import asterpulley.lab.world.Setup;
 import asterpulley.lab.world.Try;
@@ -82,7 +82,7 @@
         public void line(Conn conn, String line) {
             if (line.equals("STATS") || line.equals("PING")) {
                 world.figures.count("probes");
-                Optional<Report> report = world.asked(relay, server);
+                Optional<LoadReport> report = world.asked(relay, server);
                 report.ifPresent(
                         r ->
                                 conn.say(
@@ -90,8 +90,8 @@
                                                 ? "PONG"
                                                 : "PONG x0="
                                                         + plain(r.load)
-                                                        + (r.held >= 0
-                                                                ? ",rif=" + (int) r.held
+                                                        + (r.openTunnels >= 0
+                                                                ? ",rif=" + (int) r.openTunnels
                                                                 : "")));
                 return;
             }
--- a/lab/src/main/java/asterpulley/lab/sock/WorldList.java
+++ b/lab/src/main/java/asterpulley/lab/sock/WorldList.java
@@ -1,6 +1,6 @@
 package asterpulley.lab.sock;
 
-import asterpulley.Listed;
+import asterpulley.ServerEntry;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.world.Registry;
 import asterpulley.lab.world.World;
@@ -70,9 +70,9 @@
             host.put("block", e.server().room);
             host.put(
                     "health",
-                    e.state() == Listed.State.RUNNING
+                    e.state() == ServerEntry.State.RUNNING
                             ? "up"
-                            : e.state() == Listed.State.DRAINING ? "draining" : "removed");
+                            : e.state() == ServerEntry.State.DRAINING ? "draining" : "removed");
             host.put("share", 1.0);
             host.put(
                     "born_ms",
--- a/lab/src/main/java/asterpulley/lab/world/Judge.java
+++ b/lab/src/main/java/asterpulley/lab/world/Judge.java
@@ -139,7 +139,7 @@
             case ONCE_ONLY -> false;
             case REFERENCED ->
                     now - before.arrivedAt <= profile.window + SLACK
-                            && (profile.reach == Settings.Reach.ALL
+                            && (profile.reach == Settings.IdempotencyScope.ALL
                                     || before.server.room == after.server.room);
         };
     }
@@ -179,7 +179,7 @@
         }
         Plan.ProfilePlan profile = plan.profiles.get(t.client.born.profile());
         if (answer == Try.Answer.DECLINED
-                && profile.effect == Settings.Kind.ONCE_ONLY
+                && profile.effect == Settings.Repeatability.ONCE_ONLY
                 && t.setups.stream().anyMatch(s -> !s.provedNotRun)) {
             breaks(
                     Rule.EFFECT,
--- a/lab/src/main/java/asterpulley/lab/world/Registry.java
+++ b/lab/src/main/java/asterpulley/lab/world/Registry.java
@@ -1,6 +1,6 @@
 package asterpulley.lab.world;
 
-import asterpulley.Listed;
+import asterpulley.ServerEntry;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -11,9 +11,9 @@
  */
 public final class Registry {
     /** An entry as it is listed; {@code version} is the one that last changed it. */
-    public record Entry(Server server, Listed.State state, double startedAt, long version) {
-        public Listed listed() {
-            return new Listed(
+    public record Entry(Server server, ServerEntry.State state, double startedAt, long version) {
+        public ServerEntry listed() {
+            return new ServerEntry(
                     server.name, server.room, server.kindIndex, server.room, state, startedAt);
         }
     }
@@ -29,7 +29,7 @@
 
     Registry(List<Server> servers) {
         for (Server s : servers) {
-            entries.add(new Entry(s, Listed.State.RUNNING, s.startedAt, version));
+            entries.add(new Entry(s, ServerEntry.State.RUNNING, s.startedAt, version));
         }
     }
 
@@ -41,13 +41,13 @@
         return down;
     }
 
-    void change(Server server, Listed.State state) {
+    void change(Server server, ServerEntry.State state) {
         entries.set(server.index, new Entry(server, state, server.startedAt, ++version));
     }
 
     /** Every entry that stands. */
     public List<Entry> whole() {
-        return entries.stream().filter(e -> e.state != Listed.State.GONE).toList();
+        return entries.stream().filter(e -> e.state != ServerEntry.State.GONE).toList();
     }
 
     /** What changed after that version. */
--- a/lab/src/main/java/asterpulley/lab/world/Timetable.java
+++ b/lab/src/main/java/asterpulley/lab/world/Timetable.java
@@ -1,6 +1,6 @@
 package asterpulley.lab.world;
 
-import asterpulley.Listed;
+import asterpulley.ServerEntry;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
 import java.util.ArrayList;
@@ -83,7 +83,7 @@
                     servers.forEach(
                             s -> {
                                 world.dies(s, f.lasts, false);
-                                world.list(s, Listed.State.GONE);
+                                world.list(s, ServerEntry.State.GONE);
                             });
             case "drain" -> servers.forEach(s -> drain(s, f));
             case "deploy" -> {
@@ -177,7 +177,7 @@
     private void vanish(Server s, double lasts) {
         s.advance(carrier.now());
         s.silent = s.vanished = true;
-        world.list(s, Listed.State.GONE);
+        world.list(s, ServerEntry.State.GONE);
         carrier.after(lasts, () -> world.dies(s, 0, false));
     }
 
@@ -188,7 +188,7 @@
                 f.drain,
                 () -> {
                     world.dies(s, f.down, true);
-                    world.list(s, Listed.State.GONE);
+                    world.list(s, ServerEntry.State.GONE);
                 });
     }
 
--- a/lab/src/main/java/asterpulley/lab/world/World.java
+++ b/lab/src/main/java/asterpulley/lab/world/World.java
@@ -1,7 +1,7 @@
 package asterpulley.lab.world;
 
-import asterpulley.Listed;
-import asterpulley.Report;
+import asterpulley.LoadReport;
+import asterpulley.ServerEntry;
 import asterpulley.Settings;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
@@ -168,7 +168,7 @@
                 .forEach(
                         s -> {
                             s.starts(by.now());
-                            registry.change(s, Listed.State.RUNNING);
+                            registry.change(s, ServerEntry.State.RUNNING);
                         });
         come(0);
         new Timetable(this, by).start();
@@ -410,7 +410,8 @@
         Client c = t.client;
         c.now = null;
         Plan.ProfilePlan p = plan.profiles.get(c.born.profile());
-        if (mayHaveRun && p.effect == Settings.Kind.ONCE_ONLY || c.failures++ >= p.retries) {
+        if (mayHaveRun && p.effect == Settings.Repeatability.ONCE_ONLY
+                || c.failures++ >= p.retries) {
             end(c);
             return;
         }
@@ -755,19 +756,19 @@
     }
 
     /** What a question for load brings; empty where nothing does. */
-    public Optional<Report> asked(int relay, Server s) {
+    public Optional<LoadReport> asked(int relay, Server s) {
         return reaches(relay, s.room) ? asked(s) : Optional.empty();
     }
 
     /** The same from within its room. */
-    public Optional<Report> asked(Server s) {
+    public Optional<LoadReport> asked(Server s) {
         if (s.silent || s.down) {
             return Optional.empty();
         }
-        Report report = new Report();
+        LoadReport report = new LoadReport();
         report.load = s.factor(carrier.now());
         if (plan.reportsHeld) {
-            report.held = s.standing();
+            report.openTunnels = s.standing();
         }
         return Optional.of(report);
     }
@@ -798,18 +799,18 @@
     private void comesUp(Server s) {
         s.starts(carrier.now());
         carrier.listens(s, true);
-        list(s, Listed.State.RUNNING);
+        list(s, ServerEntry.State.RUNNING);
         hear();
     }
 
     void drains(Server s) {
         s.draining = true;
         s.drainedAt = carrier.now();
-        list(s, Listed.State.DRAINING);
+        list(s, ServerEntry.State.DRAINING);
     }
 
     /** The list comes to know of a server's state, late. */
-    void list(Server s, Listed.State state) {
+    void list(Server s, ServerEntry.State state) {
         double late =
                 plan.toldFrom + (plan.toldTo - plan.toldFrom) * random.nextDouble() + registry.late;
         carrier.after(
@@ -823,7 +824,7 @@
     /** A relay was told these entries. */
     public void told(int relay, List<Registry.Entry> entries) {
         for (Registry.Entry e : entries) {
-            judge.told(relay, e.server(), e.state() == Listed.State.RUNNING, carrier.now());
+            judge.told(relay, e.server(), e.state() == ServerEntry.State.RUNNING, carrier.now());
         }
     }
 
@@ -879,7 +880,7 @@
                                 "server %s was pushed over, cold for %.1f s, at a factor of %.1f",
                                 s.name, now - s.startedAt, s.factor(now)));
                 dies(s, REBOOT, false);
-                list(s, Listed.State.GONE);
+                list(s, ServerEntry.State.GONE);
             }
         }
         spill();
