--- a/lab/src/test/java/asterpulley/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/asterpulley/lab/fleet/FleetTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import asterpulley.files.Sheet;
+import asterpulley.files.TomlDocument;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.ByteArrayOutputStream;
@@ -47,7 +47,7 @@
     private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
 
     private FleetPlan plan(String text) {
-        Sheet sheet = Sheet.of("small.toml", text);
+        TomlDocument sheet = TomlDocument.parse("small.toml", text);
         FleetPlan plan = FleetReader.read(sheet, "small");
         assertEquals(List.of(), sheet.problems());
         return plan;
@@ -181,7 +181,7 @@
         try (Stream<Path> files = Files.list(Path.of("../experiments/fleet"))) {
             Map<String, List<String>> wrong = new TreeMap<>();
             for (Path file : files.filter(f -> f.toString().endsWith(".toml")).toList()) {
-                Sheet sheet = Sheet.read(file);
+                TomlDocument sheet = TomlDocument.read(file);
                 FleetPlan plan = FleetReader.read(sheet, file.getFileName().toString());
                 if (!sheet.problems().isEmpty() || plan.expects.isEmpty() || plan.sizes.isEmpty()) {
                     wrong.put(file.toString(), sheet.problems());
@@ -193,8 +193,8 @@
 
     @Test
     void aWrongFileIsToldWhole() {
-        Sheet sheet =
-                Sheet.of(
+        TomlDocument sheet =
+                TomlDocument.parse(
                         "w.toml",
                         "expect = [\"hollow.bytes < 1\", \"after.roll.told_s < 1\"]\n[[size]]\nrelays = 0\n"
                                 + "[[entry]]\nkind = \"roll-back\"\nat_s = 1\nzone = 12\n");
--- a/lab/src/test/java/asterpulley/lab/fleet/ReckoningTest.java
+++ b/lab/src/test/java/asterpulley/lab/fleet/ReckoningTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import asterpulley.files.Sheet;
+import asterpulley.files.TomlDocument;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Set;
@@ -23,7 +23,7 @@
 
     private static FleetPlan plan(String entries) {
         return FleetReader.read(
-                Sheet.of(
+                TomlDocument.parse(
                         "t.toml",
                         "length_s = 30\nzones = 4\n[[size]]\nrelays = 20\nservers = 12\n"
                                 + entries),
--- a/lab/src/test/java/asterpulley/lab/model/ExperimentsTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/ExperimentsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import asterpulley.files.Sheet;
+import asterpulley.files.TomlDocument;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
 import asterpulley.lab.report.Outcome;
@@ -26,7 +26,7 @@
     private static final int SMALL = 100;
 
     private static Plan plan(Path file) throws IOException {
-        Sheet sheet = Sheet.read(file);
+        TomlDocument sheet = TomlDocument.read(file);
         Plan plan = PlanReader.read(sheet, file.getFileName().toString());
         assertEquals(List.of(), sheet.problems());
         return plan;
--- a/lab/src/test/java/asterpulley/lab/model/JudgeTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/JudgeTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import asterpulley.files.Sheet;
+import asterpulley.files.TomlDocument;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
 import asterpulley.lab.world.Judge;
@@ -228,7 +228,7 @@
                                     }));
 
     private static World play(Flaw flaw) {
-        Sheet sheet = Sheet.of("judge.toml", WORLD);
+        TomlDocument sheet = TomlDocument.parse("judge.toml", WORLD);
         Plan plan = PlanReader.read(sheet, "judge");
         assertEquals(List.of(), sheet.problems());
         return new Model(plan, Model.MODULE) {
--- a/lab/src/test/java/asterpulley/lab/model/ModelTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/ModelTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import asterpulley.files.Sheet;
+import asterpulley.files.TomlDocument;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
 import asterpulley.lab.report.Outcome;
@@ -40,7 +40,7 @@
             """;
 
     private static Plan plan(String text) {
-        Sheet sheet = Sheet.of("model.toml", text);
+        TomlDocument sheet = TomlDocument.parse("model.toml", text);
         Plan plan = PlanReader.read(sheet, "model");
         assertEquals(List.of(), sheet.problems());
         return plan;
@@ -184,7 +184,7 @@
         try (Stream<Path> files = Files.list(Path.of("../experiments"))) {
             Map<String, List<String>> wrong = new java.util.TreeMap<>();
             for (Path file : files.filter(f -> f.toString().endsWith(".toml")).toList()) {
-                Sheet sheet = Sheet.read(file);
+                TomlDocument sheet = TomlDocument.read(file);
                 Plan plan = PlanReader.read(sheet, file.getFileName().toString());
                 if (!sheet.problems().isEmpty() || plan.expects.isEmpty()) {
                     wrong.put(file.toString(), sheet.problems());
--- a/lab/src/test/java/asterpulley/lab/model/RoomTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/RoomTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import asterpulley.files.Sheet;
+import asterpulley.files.TomlDocument;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
 import asterpulley.lab.report.Outcome;
@@ -38,7 +38,7 @@
     private static final int GUESTS = Figures.SERIES.indexOf("guests_load");
 
     private static Outcome play(String text) {
-        Sheet sheet = Sheet.of("room.toml", text);
+        TomlDocument sheet = TomlDocument.parse("room.toml", text);
         Plan plan = PlanReader.read(sheet, "room");
         assertEquals(List.of(), sheet.problems());
         return new Outcome("model", Model.MODULE, new Model(plan, Model.MODULE).play(), null);
--- a/lab/src/test/java/asterpulley/lab/sock/SocketsTest.java
+++ b/lab/src/test/java/asterpulley/lab/sock/SocketsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import asterpulley.files.Sheet;
+import asterpulley.files.TomlDocument;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
 import asterpulley.lab.world.World;
@@ -42,7 +42,7 @@
     @TempDir Path folder;
 
     private static Plan plan(String text) {
-        Sheet sheet = Sheet.of("sockets.toml", text);
+        TomlDocument sheet = TomlDocument.parse("sockets.toml", text);
         Plan plan = PlanReader.read(sheet, "sockets");
         assertEquals(List.of(), sheet.problems());
         return plan;
--- a/relay/src/main/java/asterpulley/door/Door.java
+++ b/relay/src/main/java/asterpulley/door/Door.java
@@ -1,7 +1,7 @@
 package asterpulley.door;
 
-import asterpulley.net.Book;
-import asterpulley.net.Loop;
+import asterpulley.net.EventLoop;
+import asterpulley.net.TunnelRegistry;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URLDecoder;
@@ -72,15 +72,15 @@
     }
 
     private final Desk desk;
-    private final Loop loop;
-    private final Book book;
+    private final EventLoop loop;
+    private final TunnelRegistry book;
 
     /** In the order in which they came. */
     private final Map<Connection<?>, Caller> callers = new LinkedHashMap<>();
 
     private TCPNIOServerConnection listener;
 
-    public Door(Desk desk, Loop loop, Book book) {
+    public Door(Desk desk, EventLoop loop, TunnelRegistry book) {
         this.desk = desk;
         this.loop = loop;
         this.book = book;
@@ -106,7 +106,7 @@
                                         .build())
                         .build()
                         .bind(address);
-        loop.handIn(this::sweep);
+        loop.submit(this::sweep);
     }
 
     public InetSocketAddress address() {
@@ -164,7 +164,7 @@
                                 callers.get(caller).answeredAt > 0
                                         ? "operator_callers_lingered"
                                         : "operator_callers_silent"));
-        loop.after(SWEEP, this::sweep);
+        loop.schedule(SWEEP, this::sweep);
     }
 
     @Override
--- a/relay/src/main/java/asterpulley/door/Figures.java
+++ b/relay/src/main/java/asterpulley/door/Figures.java
@@ -1,8 +1,8 @@
 package asterpulley.door;
 
-import asterpulley.net.Book;
-import asterpulley.net.Route;
-import asterpulley.settings.InForce;
+import asterpulley.net.LoadBalancerFilter;
+import asterpulley.net.TunnelRegistry;
+import asterpulley.settings.ActiveSettings;
 
 /**
  * Owns the figures' names, in the text format of Prometheus. Every figure is read where it stands,
@@ -12,7 +12,8 @@
     private Figures() {}
 
     /** {@code settings}: null where no service tells any; then they have no figures. */
-    public static String text(Book book, Route route, InForce settings) {
+    public static String text(
+            TunnelRegistry book, LoadBalancerFilter route, ActiveSettings settings) {
         StringBuilder text = new StringBuilder(1024);
         head(
                 text,
@@ -20,13 +21,13 @@
                 "counter",
                 "Tunnels answered, by profile: opened, declined, closed with error.");
         for (int p = 0; p < book.profiles().size(); p++) {
-            for (Book.Answer answer : Book.Answer.values()) {
+            for (TunnelRegistry.Answer answer : TunnelRegistry.Answer.values()) {
                 text.append("relay_downstream_requests_total{lane=\"")
                         .append(escaped(book.profiles().get(p)))
                         .append("\",result=\"")
                         .append(result(answer))
                         .append("\"} ")
-                        .append(book.answers(answer, p))
+                        .append(book.answerCount(answer, p))
                         .append('\n');
             }
         }
@@ -35,29 +36,29 @@
                 "upstream_requests_total",
                 "counter",
                 "Setups written whole to servers.",
-                book.counted("setups_written"));
+                book.counterValue("setups_written"));
         figure(text, "pending", "gauge", "Tunnels taken and not ended.", book.held());
-        figure(text, "members", "gauge", "Servers in the list.", route.members(false));
+        figure(text, "members", "gauge", "Servers in the list.", route.listedServerCount(false));
         figure(
                 text,
                 "members_unavailable",
                 "gauge",
                 "Listed servers that get nothing new from here now.",
-                route.members(true));
+                route.listedServerCount(true));
         figure(
                 text,
                 "config_reloads_total",
                 "counter",
                 "Configurations taken on while running.",
-                book.counted("configurations"));
+                book.counterValue("configurations"));
         figure(
                 text,
                 "config_reload_errors_total",
                 "counter",
                 "Configurations that could not be read.",
-                book.counted("configurations_unreadable"));
+                book.counterValue("configurations_unreadable"));
         if (settings != null) {
-            InForce.Version version = settings.version();
+            ActiveSettings.Version version = settings.version();
             figure(
                     text,
                     "settings_epoch",
@@ -75,30 +76,30 @@
                     "settings_since_seconds",
                     "gauge",
                     "Unix time at which it came in force.",
-                    Math.round(settings.since()));
+                    Math.round(settings.activeSince()));
             figure(
                     text,
                     "settings_changes_total",
                     "counter",
                     "Times that other settings came in force.",
-                    book.counted("settings_changes"));
+                    book.counterValue("settings_changes"));
             figure(
                     text,
                     "settings_refused_total",
                     "counter",
                     "Versions that could not be in force.",
-                    settings.refusals());
+                    settings.refusalCount());
             figure(
                     text,
                     "settings_failures_total",
                     "counter",
                     "Calls to the settings service that failed.",
-                    book.counted("settings_failures"));
+                    book.counterValue("settings_failures"));
         }
         return text.toString();
     }
 
-    private static String result(Book.Answer answer) {
+    private static String result(TunnelRegistry.Answer answer) {
         return switch (answer) {
             case OPENED -> "completed";
             case DECLINED -> "rejected";
--- a/relay/src/main/java/asterpulley/line/TakeIn.java
+++ b/relay/src/main/java/asterpulley/line/ClientRequestFilter.java
@@ -1,11 +1,11 @@
 package asterpulley.line;
 
-import asterpulley.net.Book;
-import asterpulley.net.Leg;
-import asterpulley.net.Lobby;
-import asterpulley.net.Loop;
-import asterpulley.net.Passage;
-import asterpulley.net.Talk;
+import asterpulley.net.EventLoop;
+import asterpulley.net.IdleConnections;
+import asterpulley.net.PeerConnection;
+import asterpulley.net.TunnelContext;
+import asterpulley.net.TunnelProtocol;
+import asterpulley.net.TunnelRegistry;
 import java.util.function.BooleanSupplier;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.filterchain.BaseFilter;
@@ -18,17 +18,22 @@
  * answered and ended at once. It must never pass on what is not an opening to the letter, and never
  * wait for a client that does not speak.
  */
-public final class TakeIn extends BaseFilter {
-    private final Loop loop;
-    private Words words;
-    private final Talk talk;
-    private final Book book;
-    private final Lobby lobby;
+public final class ClientRequestFilter extends BaseFilter {
+    private final EventLoop loop;
+    private LineCodec words;
+    private final TunnelProtocol talk;
+    private final TunnelRegistry book;
+    private final IdleConnections lobby;
     private final BooleanSupplier wanted;
 
     /** {@code wanted}: whether the front shall send more clients here. */
-    public TakeIn(
-            Loop loop, Words words, Talk talk, Book book, Lobby lobby, BooleanSupplier wanted) {
+    public ClientRequestFilter(
+            EventLoop loop,
+            LineCodec words,
+            TunnelProtocol talk,
+            TunnelRegistry book,
+            IdleConnections lobby,
+            BooleanSupplier wanted) {
         this.loop = loop;
         this.words = words;
         this.talk = talk;
@@ -41,7 +46,7 @@
      * The names that lines may use from now on; a line in part is read by those of when it is
      * whole.
      */
-    public void words(Words anew) {
+    public void setCodec(LineCodec anew) {
         words = anew;
     }
 
@@ -49,13 +54,13 @@
     public NextAction handleAccept(FilterChainContext ctx) {
         book.count("accepted");
         book.lastAcceptedAt = loop.now();
-        lobby.comes(Leg.of(ctx.getConnection()));
+        lobby.comes(PeerConnection.of(ctx.getConnection()));
         return ctx.getInvokeAction();
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        Leg leg = Leg.of(ctx.getConnection());
+        PeerConnection leg = PeerConnection.of(ctx.getConnection());
         if (leg.passage != null) {
             return ctx.getInvokeAction();
         }
@@ -63,32 +68,32 @@
             leg.close();
             return ctx.getStopAction();
         }
-        String line = Gather.of(leg).next(in);
+        String line = LineAssembler.of(leg).next(in);
         // A client waits for the answer to its line: what has more behind it is none, and nothing
         // of it is heeded.
         boolean wrong =
-                Gather.of(leg).tooLong()
-                        || line != null && (Gather.of(leg).bare() || in.hasRemaining());
+                LineAssembler.of(leg).tooLong()
+                        || line != null && (LineAssembler.of(leg).bare() || in.hasRemaining());
         in.tryDispose();
         leg.spokeAt = loop.now();
         leg.awaited = line == null && !wrong;
         if (leg.awaited) {
             return ctx.getStopAction();
         }
-        if (!wrong && line.equals(Words.PING)) {
+        if (!wrong && line.equals(LineCodec.PING)) {
             book.count("pings");
-            leg.say(Words.line(wanted.getAsBoolean() ? Words.PONG : Words.NO));
+            leg.say(LineCodec.line(wanted.getAsBoolean() ? LineCodec.PONG : LineCodec.NO));
             return ctx.getStopAction();
         }
-        Words.Opening opening = wrong ? null : words.opening(line);
-        if (opening == null || !book.firstSeen(opening.id())) {
+        LineCodec.OpenRequest opening = wrong ? null : words.parseOpen(line);
+        if (opening == null || !book.registerId(opening.id())) {
             book.count(opening == null ? "malformed" : "repeated_ids");
-            leg.say(Words.line(Words.ERR));
+            leg.say(LineCodec.line(LineCodec.ERR));
             leg.linger();
             return ctx.getStopAction();
         }
         book.count("taken");
-        ctx.setMessage(new Passage(leg, opening, talk, loop.now()));
+        ctx.setMessage(new TunnelContext(leg, opening, talk, loop.now()));
         return ctx.getInvokeAction();
     }
 }
--- a/relay/src/main/java/asterpulley/line/Relay.java
+++ b/relay/src/main/java/asterpulley/line/ForwardingFilter.java
@@ -1,12 +1,12 @@
 package asterpulley.line;
 
-import asterpulley.net.Book;
-import asterpulley.net.Failure;
-import asterpulley.net.Leg;
-import asterpulley.net.Loop;
-import asterpulley.net.Passage;
-import asterpulley.net.Route;
+import asterpulley.net.EventLoop;
+import asterpulley.net.LoadBalancerFilter;
+import asterpulley.net.PeerConnection;
 import asterpulley.net.SocketFilter;
+import asterpulley.net.Termination;
+import asterpulley.net.TunnelContext;
+import asterpulley.net.TunnelRegistry;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.filterchain.BaseFilter;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
@@ -18,7 +18,7 @@
  * ended, and moves clients away. It must never change a byte, never speak to a client in the middle
  * of a line, and never hold a line back.
  */
-public final class Relay extends BaseFilter {
+public final class ForwardingFilter extends BaseFilter {
     /** One side has ended and the other says nothing this long: it holds sockets for nobody. */
     private static final double HALF_CLOSED = 10;
 
@@ -43,12 +43,13 @@
      */
     private static final double UNFINISHED = 0.8;
 
-    private final Loop loop;
-    private final Book book;
-    private final Route route;
-    private final Send send;
+    private final EventLoop loop;
+    private final TunnelRegistry book;
+    private final LoadBalancerFilter route;
+    private final SetupFilter send;
 
-    public Relay(Loop loop, Book book, Route route, Send send) {
+    public ForwardingFilter(
+            EventLoop loop, TunnelRegistry book, LoadBalancerFilter route, SetupFilter send) {
         this.loop = loop;
         this.book = book;
         this.route = route;
@@ -60,31 +61,31 @@
      * reports do.
      */
     public void start() {
-        for (Passage passage : book.all()) {
+        for (TunnelContext passage : book.all()) {
             double waits = passage.unansweredSince > 0 ? loop.now() - passage.unansweredSince : 0;
-            if (passage.standing && waits > SILENT) {
+            if (passage.established && waits > SILENT) {
                 book.count("moved_silent");
                 move(passage);
-            } else if (passage.standing && waits > (passage.toldSlow + 1) * SLOW) {
-                passage.toldSlow++;
+            } else if (passage.established && waits > (passage.slowReports + 1) * SLOW) {
+                passage.slowReports++;
                 book.count("lines_unanswered");
                 route.delay(passage, waits);
             }
         }
-        loop.after(SWEEP, this::start);
+        loop.schedule(SWEEP, this::start);
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        Leg leg = Leg.of(ctx.getConnection());
-        Passage passage = leg.passage;
+        PeerConnection leg = PeerConnection.of(ctx.getConnection());
+        TunnelContext passage = leg.passage;
         Object message = ctx.getMessage();
         boolean fromClient = passage.client == leg;
-        if (message instanceof SocketFilter.End end) {
+        if (message instanceof SocketFilter.InputEnd end) {
             end(passage, leg, end);
-        } else if (!passage.standing && (passage.over || !fromClient)) {
+        } else if (!passage.established && (passage.finished || !fromClient)) {
             ((Buffer) message).tryDispose();
-        } else if (!passage.standing) {
+        } else if (!passage.established) {
             // A client waits for its answer: words before it are no client's, and no backend shall
             // have to read them.
             ((Buffer) message).tryDispose();
@@ -100,47 +101,47 @@
 
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
-        Leg leg = Leg.of(ctx.getConnection());
+        PeerConnection leg = PeerConnection.of(ctx.getConnection());
         if (leg.passage != null) {
-            end(leg.passage, leg, SocketFilter.End.RESET);
+            end(leg.passage, leg, SocketFilter.InputEnd.RESET);
         }
         return ctx.getStopAction();
     }
 
-    private void toBackend(Passage passage, Buffer bytes) {
+    private void toBackend(TunnelContext passage, Buffer bytes) {
         if (passage.unansweredSince == 0) {
             passage.unansweredSince = loop.now();
-            passage.toldSlow = 0;
+            passage.slowReports = 0;
         }
         book.add("bytes_to_backends", bytes.remaining());
-        passage.heardAt = loop.now();
+        passage.lastActivityAt = loop.now();
         passage.backend.write(bytes, passage.client);
     }
 
-    private void toClient(Passage passage, Buffer bytes) {
+    private void toClient(TunnelContext passage, Buffer bytes) {
         int from = bytes.position();
-        Gather gather = Gather.of(passage.backend);
+        LineAssembler gather = LineAssembler.of(passage.backend);
         for (String line = gather.next(bytes); line != null; line = gather.next(bytes)) {
             heed(passage, line);
         }
         bytes.position(from);
         book.add("bytes_to_clients", bytes.remaining());
-        passage.heardAt = loop.now();
+        passage.lastActivityAt = loop.now();
         passage.client.write(bytes, passage.backend);
         if (passage.moving && gather.between()) {
             moveNow(passage);
         }
     }
 
-    private void heed(Passage passage, String line) {
-        double cores = Words.load(line);
+    private void heed(TunnelContext passage, String line) {
+        double cores = LineCodec.load(line);
         if (!Double.isNaN(cores)) {
             route.load(passage, cores);
             return;
         }
-        Failure.Cause word = Words.cause(line);
-        if (word == Failure.Cause.BYE || word == Failure.Cause.MOVE) {
-            passage.farewell = word;
+        Termination.Cause word = LineCodec.cause(line);
+        if (word == Termination.Cause.BYE || word == Termination.Cause.MOVE) {
+            passage.backendEndCause = word;
         }
         if (passage.unansweredSince > 0) {
             double message = loop.now() - passage.unansweredSince;
@@ -150,9 +151,9 @@
     }
 
     /** One side ended: so does the other, in the same way. */
-    private void end(Passage passage, Leg leg, SocketFilter.End end) {
+    private void end(TunnelContext passage, PeerConnection leg, SocketFilter.InputEnd end) {
         boolean byClient = passage.client == leg;
-        if (!passage.standing) {
+        if (!passage.established) {
             if (byClient) {
                 left(passage, end);
             } else {
@@ -160,20 +161,22 @@
             }
             return;
         }
-        Leg other = byClient ? passage.backend : passage.client;
-        Failure.Cause cause =
+        PeerConnection other = byClient ? passage.backend : passage.client;
+        Termination.Cause cause =
                 byClient
-                        ? Failure.Cause.CLIENT_LEFT
-                        : passage.farewell != null ? passage.farewell : Failure.Cause.BROKEN;
+                        ? Termination.Cause.CLIENT_LEFT
+                        : passage.backendEndCause != null
+                                ? passage.backendEndCause
+                                : Termination.Cause.BROKEN;
         passage.clientEnded |= byClient;
         passage.backendEnded |= !byClient;
-        if (!byClient && passage.farewell != null) {
+        if (!byClient && passage.backendEndCause != null) {
             // A reset on a client's last line must not destroy the backend's last word to that
             // client.
             finish(passage, cause);
             leg.close();
             other.linger();
-        } else if (end == SocketFilter.End.RESET) {
+        } else if (end == SocketFilter.InputEnd.RESET) {
             finish(passage, cause);
             leg.close();
             other.reset();
@@ -185,28 +188,29 @@
             if (!byClient) {
                 finish(passage, cause);
             }
-            passage.heardAt = loop.now();
+            passage.lastActivityAt = loop.now();
             other.endSending();
-            loop.after(HALF_CLOSED, () -> halfClosed(passage));
+            loop.schedule(HALF_CLOSED, () -> halfClosed(passage));
         }
     }
 
     /**
      * Guards against a side that never ends: a client's machine, or a backend's, that fell silent.
      */
-    private void halfClosed(Passage passage) {
+    private void halfClosed(TunnelContext passage) {
         if (passage.client.closed() && passage.backend.closed()) {
             return;
         }
         double moved =
                 Math.max(
-                        passage.heardAt, Math.max(passage.client.wroteAt, passage.backend.wroteAt));
+                        passage.lastActivityAt,
+                        Math.max(passage.client.wroteAt, passage.backend.wroteAt));
         double quiet = loop.now() - moved;
         if (quiet < HALF_CLOSED) {
-            loop.after(HALF_CLOSED - quiet, () -> halfClosed(passage));
+            loop.schedule(HALF_CLOSED - quiet, () -> halfClosed(passage));
             return;
         }
-        finish(passage, Failure.Cause.CLIENT_LEFT);
+        finish(passage, Termination.Cause.CLIENT_LEFT);
         passage.client.close();
         passage.backend.close();
     }
@@ -216,46 +220,47 @@
      * sent whole may still open and is waited for; nothing is sent on from here, and in any case
      * there is an answer.
      */
-    private void left(Passage passage, SocketFilter.End end) {
-        if (passage.over) {
+    private void left(TunnelContext passage, SocketFilter.InputEnd end) {
+        if (passage.finished) {
             passage.client.close();
             return;
         }
         book.count("left_before_answer");
         passage.clientEnded = true;
         route.withdrawn(passage);
-        if (end == SocketFilter.End.RESET || passage.reach.compareTo(Failure.Reach.SENT) < 0) {
+        if (end == SocketFilter.InputEnd.RESET
+                || passage.progress.compareTo(Termination.Progress.SENT) < 0) {
             send.abandon(passage);
         }
-        if (!passage.out) {
+        if (!passage.setupPending) {
             route.giveUp(passage);
         }
     }
 
-    private void finish(Passage passage, Failure.Cause cause) {
-        if (!passage.over) {
-            passage.over = true;
+    private void finish(TunnelContext passage, Termination.Cause cause) {
+        if (!passage.finished) {
+            passage.finished = true;
             book.count("ended_" + cause.name().toLowerCase());
-            route.ended(passage, passage.failure(cause));
-            book.leave(passage);
+            route.serverConnectionEnded(passage, passage.termination(cause));
+            book.remove(passage);
         }
     }
 
     /** Sends the client elsewhere, as soon as no line is under way to it. */
-    public void move(Passage passage) {
-        if (!passage.standing || passage.over || passage.moving) {
+    public void move(TunnelContext passage) {
+        if (!passage.established || passage.finished || passage.moving) {
             return;
         }
         passage.moving = true;
-        if (Gather.of(passage.backend).between()) {
+        if (LineAssembler.of(passage.backend).between()) {
             moveNow(passage);
         } else {
-            loop.after(
+            loop.schedule(
                     UNFINISHED,
                     () -> {
-                        if (!passage.over) {
+                        if (!passage.finished) {
                             book.count("moved_unfinished");
-                            finish(passage, Failure.Cause.CLIENT_LEFT);
+                            finish(passage, Termination.Cause.CLIENT_LEFT);
                             passage.backend.close();
                             passage.client.linger();
                         }
@@ -263,13 +268,13 @@
         }
     }
 
-    private void moveNow(Passage passage) {
-        if (passage.over) {
+    private void moveNow(TunnelContext passage) {
+        if (passage.finished) {
             return;
         }
         book.count("moved");
-        passage.client.say(Words.line(Words.MOVE));
-        finish(passage, Failure.Cause.CLIENT_LEFT);
+        passage.client.say(LineCodec.line(LineCodec.MOVE));
+        finish(passage, Termination.Cause.CLIENT_LEFT);
         passage.backend.close();
         passage.client.linger();
     }
--- a/relay/src/main/java/asterpulley/line/Gather.java
+++ b/relay/src/main/java/asterpulley/line/LineAssembler.java
@@ -1,6 +1,6 @@
 package asterpulley.line;
 
-import asterpulley.net.Leg;
+import asterpulley.net.PeerConnection;
 import java.util.Arrays;
 import org.glassfish.grizzly.Buffer;
 
@@ -9,17 +9,17 @@
  * however they were split or joined on their way. It must never keep more than the longest line,
  * and never lose a byte behind one.
  */
-public final class Gather {
+public final class LineAssembler {
     private byte[] bytes = new byte[128];
     private int size;
     private boolean tooLong, bare;
 
     /** What has come in part on this connection. */
-    public static Gather of(Leg leg) {
+    public static LineAssembler of(PeerConnection leg) {
         if (leg.partly == null) {
-            leg.partly = new Gather();
+            leg.partly = new LineAssembler();
         }
-        return (Gather) leg.partly;
+        return (LineAssembler) leg.partly;
     }
 
     /**
@@ -32,16 +32,16 @@
             if (b == '\n') {
                 bare = size == 0 || bytes[size - 1] != '\r';
                 int end = bare ? size : size - 1;
-                String line = new String(bytes, 0, end, Words.BYTES);
+                String line = new String(bytes, 0, end, LineCodec.CHARSET);
                 size = 0;
                 return line;
             }
             if (size == bytes.length) {
-                if (size >= Words.LONGEST - 1) {
+                if (size >= LineCodec.MAX_LINE_BYTES - 1) {
                     tooLong = true;
                     continue;
                 }
-                bytes = Arrays.copyOf(bytes, Math.min(2 * size, Words.LONGEST - 1));
+                bytes = Arrays.copyOf(bytes, Math.min(2 * size, LineCodec.MAX_LINE_BYTES - 1));
             }
             bytes[size++] = b;
         }
--- a/relay/src/main/java/asterpulley/line/Words.java
+++ b/relay/src/main/java/asterpulley/line/LineCodec.java
@@ -1,10 +1,10 @@
 package asterpulley.line;
 
+import asterpulley.LoadReport;
 import asterpulley.Outcome;
-import asterpulley.Report;
 import asterpulley.decode.SettingsDecoder;
-import asterpulley.net.Asked;
-import asterpulley.net.Failure;
+import asterpulley.net.Termination;
+import asterpulley.net.TunnelRequest;
 import java.nio.charset.Charset;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -15,12 +15,12 @@
  * Owns the words of the platform's line protocol: lines are read into the relay's terms here and
  * written here, and nowhere else. It must never decide anything, nor touch a socket.
  */
-public final class Words {
+public final class LineCodec {
     /** The longest line that is taken. */
-    public static final int LONGEST = 4096;
+    public static final int MAX_LINE_BYTES = 4096;
 
     /** Lines go on byte for byte, whatever a client wrote in them. */
-    public static final Charset BYTES = StandardCharsets.ISO_8859_1;
+    public static final Charset CHARSET = StandardCharsets.ISO_8859_1;
 
     public static final String PONG = "PONG";
     public static final String MOVE = "MOVE";
@@ -40,20 +40,20 @@
      * A client's first line; {@code patience} is NaN where it names none, as only a standing
      * tunnel's may.
      */
-    public record Opening(
+    public record OpenRequest(
             String id,
             String key,
             int profile,
             int customer,
             String group,
-            double patience,
-            String at,
+            double clientTimeout,
+            String previousServer,
             String beforePatience,
             String afterPatience)
-            implements Asked {
+            implements TunnelRequest {
         /** The line for a backend: unchanged but for how long this relay will wait. */
         @Override
-        public byte[] opening(double wait) {
+        public byte[] setupMessage(double wait) {
             return line(
                     afterPatience == null
                             ? beforePatience
@@ -65,14 +65,14 @@
 
     /** A line as it goes out. */
     public static byte[] line(String text) {
-        return (text + "\r\n").getBytes(BYTES);
+        return (text + "\r\n").getBytes(CHARSET);
     }
 
     private final Map<String, Integer> profiles;
     private final Map<String, Integer> customers;
 
     /** The names that lines may use, by their place in the settings. */
-    public Words(Map<String, Object> settings) {
+    public LineCodec(Map<String, Object> settings) {
         profiles = places(settings, "profiles");
         customers = places(settings, "tenants");
     }
@@ -80,11 +80,11 @@
     /** Names as the bytes of a line have them. */
     private static Map<String, Integer> places(Map<String, Object> settings, String list) {
         Map<String, Integer> places = new HashMap<>();
-        SettingsDecoder.current(settings, list)
+        SettingsDecoder.activeIndexes(settings, list)
                 .forEach(
                         (name, place) ->
                                 places.put(
-                                        new String(name.getBytes(StandardCharsets.UTF_8), BYTES),
+                                        new String(name.getBytes(StandardCharsets.UTF_8), CHARSET),
                                         place));
         return places;
     }
@@ -93,7 +93,7 @@
      * Null where the line is not an opening to the letter: backends close on what they cannot read,
      * and what one client sent must never cost another its tunnel.
      */
-    public Opening opening(String line) {
+    public OpenRequest parseOpen(String line) {
         String[] w = line.split(" ", -1);
         if (w.length != 4
                 || !w[0].equals("OPEN")
@@ -131,7 +131,7 @@
                         || "".equals(at);
         return wrong
                 ? null
-                : new Opening(
+                : new OpenRequest(
                         w[1],
                         w[2],
                         profile,
@@ -152,13 +152,13 @@
     }
 
     /** What a backend's line says of the tunnel's end; null where it says nothing of that. */
-    public static Failure.Cause cause(String line) {
+    public static Termination.Cause cause(String line) {
         int space = line.indexOf(' ');
         return switch (space < 0 ? line : line.substring(0, space)) {
-            case "BYE" -> Failure.Cause.BYE;
-            case MOVE -> Failure.Cause.MOVE;
-            case ERR -> Failure.Cause.ERR;
-            case "BUSY" -> Failure.Cause.BUSY;
+            case "BYE" -> Termination.Cause.BYE;
+            case MOVE -> Termination.Cause.MOVE;
+            case ERR -> Termination.Cause.ERR;
+            case "BUSY" -> Termination.Cause.BUSY;
             default -> null;
         };
     }
@@ -178,11 +178,11 @@
     public static Outcome probed(String line) {
         return line.startsWith(PONG)
                 ? Outcome.OK
-                : Failure.Cause.BUSY == cause(line) ? Outcome.FULL : Outcome.FAILED;
+                : Termination.Cause.BUSY == cause(line) ? Outcome.FULL : Outcome.FAILED;
     }
 
     /** The load report behind an answer's first word, where there is one. */
-    public static Report report(String line) {
+    public static LoadReport report(String line) {
         Map<String, Object> figures = new HashMap<>();
         int space = line.indexOf(' ');
         for (String pair :
@@ -197,7 +197,7 @@
                 continue;
             }
         }
-        return SettingsDecoder.report(figures);
+        return SettingsDecoder.decodeReport(figures);
     }
 
     /** Lines may name figures otherwise than the settings do. */
--- a/relay/src/main/java/asterpulley/line/Probes.java
+++ b/relay/src/main/java/asterpulley/line/ProbeFilter.java
@@ -1,13 +1,13 @@
 package asterpulley.line;
 
-import asterpulley.Report;
+import asterpulley.LoadReport;
 import asterpulley.Settings;
-import asterpulley.net.Book;
 import asterpulley.net.Dialer;
-import asterpulley.net.Failure;
-import asterpulley.net.Leg;
-import asterpulley.net.Loop;
-import asterpulley.net.Route;
+import asterpulley.net.EventLoop;
+import asterpulley.net.LoadBalancerFilter;
+import asterpulley.net.PeerConnection;
+import asterpulley.net.Termination;
+import asterpulley.net.TunnelRegistry;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
@@ -23,7 +23,7 @@
  * questions because a new one costs the backend work and room. It must answer every question
  * exactly once, and never judge by itself.
  */
-public final class Probes extends BaseFilter {
+public final class ProbeFilter extends BaseFilter {
     /**
      * A connection unused this long is of a backend that nobody asks any more, or of a machine that
      * fell silent.
@@ -34,7 +34,7 @@
     private static final class Line {
         private final String host;
         private String address;
-        private Leg leg;
+        private PeerConnection leg;
 
         /**
          * The number of the question that is out, or was: who dialled for an earlier one is not
@@ -44,40 +44,45 @@
 
         private boolean asked, fresh;
         private double askedAt;
-        private Failure.Reach reach;
-        private Loop.Due patience;
+        private Termination.Progress reach;
+        private EventLoop.Timer patience;
 
         private Line(String host) {
             this.host = host;
         }
     }
 
-    private final Loop loop;
-    private final Book book;
+    private final EventLoop loop;
+    private final TunnelRegistry book;
     private final Dialer dialer;
-    private final Route route;
+    private final LoadBalancerFilter route;
     private double patience;
     private final Map<String, Line> lines = new HashMap<>();
-    private final Map<Leg, Line> byLeg = new HashMap<>();
+    private final Map<PeerConnection, Line> byLeg = new HashMap<>();
     private FilterChain chain;
 
-    public Probes(Settings settings, Loop loop, Book book, Dialer dialer, Route route) {
+    public ProbeFilter(
+            Settings settings,
+            EventLoop loop,
+            TunnelRegistry book,
+            Dialer dialer,
+            LoadBalancerFilter route) {
         this.loop = loop;
         this.book = book;
         this.dialer = dialer;
         this.route = route;
-        settings(settings);
+        updateSettings(settings);
     }
 
     /**
      * Counts from the next question on: an answer later than any tunnel's goal says that a tunnel
      * would be too late as well.
      */
-    public void settings(Settings settings) {
+    public void updateSettings(Settings settings) {
         patience = settings.profiles.stream().mapToDouble(p -> p.setupGoal).min().orElse(0.5);
     }
 
-    public void through(FilterChain probes) {
+    public void setFilterChain(FilterChain probes) {
         chain = probes;
     }
 
@@ -92,14 +97,14 @@
                             }
                             return unused;
                         });
-        loop.after(UNUSED / 4, this::start);
+        loop.schedule(UNUSED / 4, this::start);
     }
 
     /**
      * Ends so many connections on which nothing is asked, the longest unused first, for who needs a
      * socket now; ends none and says no where there are fewer. The next question dials anew.
      */
-    public boolean hangUp(int count) {
+    public boolean closeUnused(int count) {
         List<Line> unused =
                 lines.values().stream()
                         .filter(line -> !line.asked && line.leg != null && !line.leg.closed())
@@ -116,7 +121,7 @@
         return true;
     }
 
-    public void ask(String host) {
+    public void probe(String host) {
         Line line = lines.computeIfAbsent(host, Line::new);
         if (line.asked) {
             return;
@@ -125,7 +130,7 @@
         line.asked = true;
         line.askedAt = loop.now();
         int n = ++line.question;
-        line.patience = loop.after(patience, () -> failed(line, n, Failure.Cause.GIVEN_UP));
+        line.patience = loop.schedule(patience, () -> failed(line, n, Termination.Cause.GIVEN_UP));
         String address = dialer.address(host);
         if (line.leg != null
                 && !line.leg.closed()
@@ -146,17 +151,17 @@
     private void dial(Line line) {
         int n = line.question;
         line.fresh = true;
-        line.reach = Failure.Reach.NOT_CONNECTED;
+        line.reach = Termination.Progress.NOT_CONNECTED;
         line.leg =
                 dialer.dial(
                         line.host,
                         chain,
                         patience,
                         leg -> connected(line, n, leg),
-                        () -> failed(line, n, Failure.Cause.BROKEN));
+                        () -> failed(line, n, Termination.Cause.BROKEN));
     }
 
-    private void connected(Line line, int n, Leg leg) {
+    private void connected(Line line, int n, PeerConnection leg) {
         if (!line.asked || line.question != n) {
             leg.close();
             return;
@@ -167,25 +172,25 @@
     }
 
     private void say(Line line) {
-        line.reach = Failure.Reach.SENT;
-        line.leg.say(Words.line(Words.STATS));
+        line.reach = Termination.Progress.SENT;
+        line.leg.say(LineCodec.line(LineCodec.STATS));
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        Leg leg = Leg.of(ctx.getConnection());
+        PeerConnection leg = PeerConnection.of(ctx.getConnection());
         Line line = byLeg.get(leg);
         if (line == null || !(ctx.getMessage() instanceof Buffer in)) {
             broken(leg, line);
             return ctx.getStopAction();
         }
-        for (String answer = Gather.of(leg).next(in);
+        for (String answer = LineAssembler.of(leg).next(in);
                 answer != null;
-                answer = Gather.of(leg).next(in)) {
+                answer = LineAssembler.of(leg).next(in)) {
             if (line.asked) {
                 settle(line);
                 book.count("probes_answered");
-                route.probed(line.host, Words.probed(answer), Words.report(answer));
+                route.probed(line.host, LineCodec.probed(answer), LineCodec.report(answer));
             }
         }
         in.tryDispose();
@@ -194,16 +199,16 @@
 
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
-        Leg leg = Leg.of(ctx.getConnection());
+        PeerConnection leg = PeerConnection.of(ctx.getConnection());
         broken(leg, byLeg.get(leg));
         return ctx.getStopAction();
     }
 
-    private void broken(Leg leg, Line line) {
+    private void broken(PeerConnection leg, Line line) {
         drop(leg);
         if (line != null && line.leg == leg && line.asked) {
             if (line.fresh) {
-                failed(line, line.question, Failure.Cause.BROKEN);
+                failed(line, line.question, Termination.Cause.BROKEN);
             } else {
                 // It was closed as idle just when the question went out: that says nothing of the
                 // backend.
@@ -212,7 +217,7 @@
         }
     }
 
-    private void failed(Line line, int n, Failure.Cause cause) {
+    private void failed(Line line, int n, Termination.Cause cause) {
         if (!line.asked || line.question != n) {
             return;
         }
@@ -221,7 +226,7 @@
             drop(line.leg);
         }
         book.count("probes_" + cause.name().toLowerCase());
-        route.probed(line.host, new Failure(line.reach, cause).outcome(), new Report());
+        route.probed(line.host, new Termination(line.reach, cause).outcome(), new LoadReport());
     }
 
     private void settle(Line line) {
@@ -229,7 +234,7 @@
         line.patience.cancel();
     }
 
-    private void drop(Leg leg) {
+    private void drop(PeerConnection leg) {
         byLeg.remove(leg);
         leg.close();
     }
--- a/relay/src/main/java/asterpulley/list/Discovery.java
+++ b/relay/src/main/java/asterpulley/list/Discovery.java
@@ -1,12 +1,12 @@
 package asterpulley.list;
 
-import asterpulley.Listed;
+import asterpulley.ServerEntry;
 import asterpulley.decode.Json;
-import asterpulley.net.Book;
-import asterpulley.net.LongPoll;
-import asterpulley.net.Loop;
-import asterpulley.net.Pace;
-import asterpulley.net.Route;
+import asterpulley.net.EventLoop;
+import asterpulley.net.LoadBalancerFilter;
+import asterpulley.net.LongPollClient;
+import asterpulley.net.PollThrottle;
+import asterpulley.net.TunnelRegistry;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
@@ -22,7 +22,7 @@
  * lapses. It must never keep a list that it was told is over, never forget one because discovery
  * fails or moves, and never ask again after a failure before the module says so.
  */
-public final class Discovery implements LongPoll.Caller {
+public final class Discovery implements LongPollClient.Callback {
     private static final Logger LOG = Logger.getLogger(Discovery.class.getName());
     private static final String PATH = "/registry/instances";
 
@@ -66,12 +66,12 @@
      */
     private static final double SATED = 2;
 
-    private final Fleet.Names names;
-    private final Loop loop;
-    private final Book book;
-    private final Route route;
-    private final LongPoll poll;
-    private Pace pace = new Pace();
+    private final ServerList.NameIndex names;
+    private final EventLoop loop;
+    private final TunnelRegistry book;
+    private final LoadBalancerFilter route;
+    private final LongPollClient poll;
+    private PollThrottle pace = new PollThrottle();
     private final boolean pushed;
     private final Map<String, String> dials = new HashMap<>();
 
@@ -82,7 +82,7 @@
     private long version, newest;
 
     /** The last answer that said something. */
-    private Fleet last;
+    private ServerList last;
 
     private boolean watching, down, idle;
 
@@ -107,20 +107,20 @@
     public Discovery(
             InetSocketAddress address,
             boolean pushed,
-            Fleet.Names names,
-            Fleet known,
-            Loop loop,
-            Book book,
-            Route route,
+            ServerList.NameIndex names,
+            ServerList known,
+            EventLoop loop,
+            TunnelRegistry book,
+            LoadBalancerFilter route,
             TCPNIOTransport transport) {
         this.names = names;
         this.pushed = pushed;
         this.loop = loop;
         this.book = book;
         this.route = route;
-        poll = new LongPoll(PATH, address, this, loop, book, transport);
+        poll = new LongPollClient(PATH, address, this, loop, book, transport);
         version = newest = known.version();
-        dials.putAll(known.dials());
+        dials.putAll(known.dialAddresses());
     }
 
     /** Where this relay reaches a backend; null when it was never told. */
@@ -157,12 +157,12 @@
         if (to == null || to.equals(poll.address())) {
             return;
         }
-        version = newest = LongPoll.NONE;
+        version = newest = LongPollClient.NO_VERSION;
         // What the old address did says nothing of the new one.
-        pace = new Pace();
+        pace = new PollThrottle();
         last = null;
         behind = idle = false;
-        poll.moveTo(to);
+        poll.setAddress(to);
         watching = true;
         call();
     }
@@ -172,23 +172,23 @@
         calledAt = loop.now();
         calls++;
         if (behind) {
-            poll.call(version, AT_ONCE, TOLD_AFTER_FAILURE - PAUSE - ANEW);
-        } else if (version == LongPoll.NONE || whenCurrent != null) {
-            poll.call(version, AT_ONCE, TOLD_AFTER_MOVE - ANEW);
+            poll.request(version, AT_ONCE, TOLD_AFTER_FAILURE - PAUSE - ANEW);
+        } else if (version == LongPollClient.NO_VERSION || whenCurrent != null) {
+            poll.request(version, AT_ONCE, TOLD_AFTER_MOVE - ANEW);
         } else {
-            poll.call(version, WAIT, WAIT + TOLD_AFTER_WAIT - ANEW);
+            poll.request(version, WAIT, WAIT + TOLD_AFTER_WAIT - ANEW);
         }
     }
 
     @Override
-    public void answered(String body) {
-        Fleet fleet;
+    public void responseReceived(String body) {
+        ServerList fleet;
         try (JsonParser parser = new JsonFactory().createParser(body)) {
             parser.nextToken();
-            fleet = Fleet.read(Json.object(Json.value(parser), "the list"), names);
-        } catch (IOException | Json.Malformed e) {
-            poll.hangUp();
-            failed("malformed: " + e.getMessage().lines().findFirst().orElse(""), false);
+            fleet = ServerList.fromJson(Json.object(Json.read(parser), "the list"), names);
+        } catch (IOException | Json.MalformedException e) {
+            poll.disconnect();
+            requestFailed("malformed: " + e.getMessage().lines().findFirst().orElse(""), false);
             return;
         }
         boolean says = fleet.whole() || !fleet.servers().isEmpty();
@@ -196,11 +196,11 @@
                 !says
                         || last != null
                                 && fleet.servers().equals(last.servers())
-                                && fleet.dials().equals(last.dials());
+                                && fleet.dialAddresses().equals(last.dialAddresses());
         double pause =
                 behind || whenCurrent != null
                         ? 0
-                        : pace.answered(
+                        : pace.delayAfterAnswer(
                                 fleet.version() > newest && !again,
                                 loop.now() - calledAt,
                                 loop.now());
@@ -216,12 +216,12 @@
             LOG.info("discovery back, list " + version + ", backends " + dials.size());
         }
         if (whenCurrent != null) {
-            loop.after(0, whenCurrent);
+            loop.schedule(0, whenCurrent);
             whenCurrent = null;
         }
         next(pause);
         if (!idle || !again) {
-            route.listed(fleet.servers(), fleet.whole());
+            route.updateServerList(fleet.servers(), fleet.whole());
         }
     }
 
@@ -233,7 +233,7 @@
         if (pause > 0) {
             book.count("list_idle");
         }
-        if (idle != pace.givenUp()) {
+        if (idle != pace.isIneffective()) {
             idle = !idle;
             LOG.info(
                     idle
@@ -246,10 +246,10 @@
             call();
         } else if (idle) {
             watching = false;
-            route.listFailed(false);
+            route.serverListFailed(false);
         } else {
             int n = calls;
-            loop.after(
+            loop.schedule(
                     pause,
                     () -> {
                         if (n == calls) {
@@ -260,22 +260,22 @@
     }
 
     /** A list that the configuration brings, where there is no discovery. */
-    public void tell(Fleet fleet) {
+    public void tell(ServerList fleet) {
         note(fleet);
-        route.listed(fleet.servers(), fleet.whole());
+        route.updateServerList(fleet.servers(), fleet.whole());
     }
 
-    private void note(Fleet fleet) {
-        dials.putAll(fleet.dials());
-        for (Listed listed : fleet.servers()) {
-            if (listed.state() == Listed.State.GONE) {
-                dials.remove(listed.ep());
+    private void note(ServerList fleet) {
+        dials.putAll(fleet.dialAddresses());
+        for (ServerEntry listed : fleet.servers()) {
+            if (listed.state() == ServerEntry.State.GONE) {
+                dials.remove(listed.name());
             }
         }
     }
 
     @Override
-    public void failed(String why, boolean silent) {
+    public void requestFailed(String why, boolean silent) {
         watching = false;
         book.count("list_failures");
         if (!down) {
@@ -289,16 +289,16 @@
                             + dials.size());
         }
         boolean tookLong = loop.now() - calledAt > LONG;
-        if (pushed || behind || tookLong || !poll.refused()) {
+        if (pushed || behind || tookLong || !poll.wasRejected()) {
             // A call that took long and then failed has spared discovery as a silent one has.
-            route.listFailed(silent || behind && tookLong);
+            route.serverListFailed(silent || behind && tookLong);
         } else {
             int n = calls;
-            loop.after(
+            loop.schedule(
                     SATED,
                     () -> {
                         if (n == calls) {
-                            route.listFailed(false);
+                            route.serverListFailed(false);
                         }
                     });
         }
--- a/relay/src/main/java/asterpulley/net/Accepting.java
+++ b/relay/src/main/java/asterpulley/net/AcceptStrategy.java
@@ -17,16 +17,16 @@
  * one thread as usual. It must never give an address up, nor leave the queue for longer than an
  * idle client has for its line.
  */
-public final class Accepting implements IOStrategy {
+public final class AcceptStrategy implements IOStrategy {
     private static final SameThreadIOStrategy USUAL = SameThreadIOStrategy.getInstance();
 
     /** Long enough for what gave way to be closed, short for who waits in the queue. */
     private static final double PAUSE = 0.02;
 
-    private final Loop loop;
-    private final Admit admit;
+    private final EventLoop loop;
+    private final AdmissionFilter admit;
 
-    public Accepting(Loop loop, Admit admit) {
+    public AcceptStrategy(EventLoop loop, AdmissionFilter admit) {
         this.loop = loop;
         this.admit = admit;
     }
@@ -43,7 +43,7 @@
             return USUAL.executeIoEvent(connection, event, enabled);
         }
         // The operators' address has sockets of its own.
-        double wait = Listener.isClients(connection) ? admit.queue() : 0;
+        double wait = ClientListener.isClients(connection) ? admit.queue() : 0;
         if (wait <= 0) {
             try {
                 ((TCPNIOServerConnection) connection).onAccept();
@@ -54,7 +54,7 @@
         }
         if (wait > 0) {
             accepts(connection, false);
-            loop.after(wait, () -> accepts(connection, true));
+            loop.schedule(wait, () -> accepts(connection, true));
         }
         return true;
     }
--- a/relay/src/main/java/asterpulley/net/Addresses.java
+++ b/relay/src/main/java/asterpulley/net/Addresses.java
@@ -11,7 +11,7 @@
     private Addresses() {}
 
     /** Empty where the text is no address and port. */
-    public static Optional<InetSocketAddress> read(String text) {
+    public static Optional<InetSocketAddress> parse(String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
@@ -25,7 +25,7 @@
         return Optional.empty();
     }
 
-    public static String text(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
 }
--- a/relay/src/main/java/asterpulley/net/Admit.java
+++ b/relay/src/main/java/asterpulley/net/AdmissionFilter.java
@@ -13,25 +13,31 @@
  * never judge backends: that is the module's; and never decline a client with a whole line while
  * enough idle ones can make room for it.
  */
-public final class Admit extends BaseFilter {
+public final class AdmissionFilter extends BaseFilter {
     /** Who else holds the machine's descriptors may have let them go by then. */
     private static final double SCARCE_FOR = 5;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private Settings settings;
-    private final Talk talk;
-    private final Book book;
-    private final Lobby lobby;
+    private final TunnelProtocol talk;
+    private final TunnelRegistry book;
+    private final IdleConnections lobby;
     private final Random random;
 
     /** As told; less where the machine gave fewer of late. */
     private int told, room;
 
     private int reserve;
-    private Loop.Due scarce;
+    private EventLoop.Timer scarce;
     private boolean crowded;
 
-    public Admit(Loop loop, Settings settings, Talk talk, Book book, Lobby lobby, Random random) {
+    public AdmissionFilter(
+            EventLoop loop,
+            Settings settings,
+            TunnelProtocol talk,
+            TunnelRegistry book,
+            IdleConnections lobby,
+            Random random) {
         this.loop = loop;
         this.settings = settings;
         this.talk = talk;
@@ -41,7 +47,7 @@
     }
 
     /** These count from now on. */
-    public void settings(Settings anew) {
+    public void updateSettings(Settings anew) {
         settings = anew;
     }
 
@@ -49,7 +55,7 @@
      * The sockets that tunnels, probes and newcomers may take together. The bound may change while
      * tunnels stand: what is above a lower one leaves by itself, and nothing new comes meanwhile.
      */
-    public void room(int sockets) {
+    public void setSocketLimit(int sockets) {
         told = sockets;
         bound(told);
     }
@@ -79,7 +85,7 @@
             scarce.cancel();
         }
         scarce =
-                loop.after(
+                loop.schedule(
                         SCARCE_FOR,
                         () -> {
                             scarce = null;
@@ -106,7 +112,7 @@
     @Override
     public NextAction handleAccept(FilterChainContext ctx) {
         if (!lobby.makeRoomForNewcomer(room - reserve / 2)) {
-            Leg leg = Leg.of(ctx.getConnection());
+            PeerConnection leg = PeerConnection.of(ctx.getConnection());
             book.count("declined_no_sockets");
             talk.decline(leg, comeBack());
             // Its line may be on its way: closing on that would destroy the answer.
@@ -118,13 +124,13 @@
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        return ctx.getMessage() instanceof Passage passage && !admits(passage)
+        return ctx.getMessage() instanceof TunnelContext passage && !admit(passage)
                 ? ctx.getStopAction()
                 : ctx.getInvokeAction();
     }
 
     /** False where there is no room for this tunnel: it is declined then. */
-    public boolean admits(Passage passage) {
+    public boolean admit(TunnelContext passage) {
         boolean full = !lobby.makeRoom(room - reserve - 1);
         // Near the bound every tunnel crosses it: the mode is over when half the reserve again is
         // free, or idle ones'.
@@ -147,6 +153,6 @@
     }
 
     private double comeBack() {
-        return settings.longestRetryAfter * (0.5 + 0.5 * random.nextDouble());
+        return settings.maxRetryAfter * (0.5 + 0.5 * random.nextDouble());
     }
 }
--- a/relay/src/main/java/asterpulley/net/Listener.java
+++ b/relay/src/main/java/asterpulley/net/ClientListener.java
@@ -20,14 +20,14 @@
  * and be given up while that one goes on: a connection that waits in the queue then must be taken,
  * never be closed with the queue.
  */
-public final class Listener {
-    private static final Attribute<Listener> LISTENER =
+public final class ClientListener {
+    private static final Attribute<ClientListener> LISTENER =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("listener");
 
     private final TCPNIOServerConnection listening;
     private boolean tookOne, closed;
 
-    private Listener(TCPNIOServerConnection listening) {
+    private ClientListener(TCPNIOServerConnection listening) {
         this.listening = listening;
         LISTENER.set(listening, this);
     }
@@ -41,7 +41,7 @@
      * Listens from now on; {@code shared}: beside other processes of the same user that share it as
      * well.
      */
-    public static Listener open(
+    public static ClientListener open(
             InetSocketAddress address, boolean shared, TCPNIOTransport transport)
             throws IOException {
         ChannelConfigurator usual = transport.getChannelConfigurator();
@@ -49,7 +49,7 @@
             transport.setChannelConfigurator(new Sharing(usual));
         }
         try {
-            return new Listener(transport.bind(address));
+            return new ClientListener(transport.bind(address));
         } finally {
             transport.setChannelConfigurator(usual);
         }
--- a/relay/src/main/java/asterpulley/net/Dialer.java
+++ b/relay/src/main/java/asterpulley/net/Dialer.java
@@ -17,9 +17,9 @@
  */
 public final class Dialer {
     private final TCPNIOTransport transport;
-    private final Loop loop;
-    private final Book book;
-    private final Lobby lobby;
+    private final EventLoop loop;
+    private final TunnelRegistry book;
+    private final IdleConnections lobby;
     private double connectTimeout;
     private final UnaryOperator<String> addresses;
 
@@ -27,9 +27,9 @@
     public Dialer(
             double connectTimeout,
             TCPNIOTransport transport,
-            Loop loop,
-            Book book,
-            Lobby lobby,
+            EventLoop loop,
+            TunnelRegistry book,
+            IdleConnections lobby,
             UnaryOperator<String> addresses) {
         this.connectTimeout = connectTimeout;
         this.transport = transport;
@@ -40,7 +40,7 @@
     }
 
     /** How long a connection may take to come up, from the next dial on. */
-    public void connectTimeout(double seconds) {
+    public void setConnectTimeout(double seconds) {
         connectTimeout = seconds;
     }
 
@@ -50,31 +50,31 @@
     }
 
     /** Starts to connect; null when not even a socket could be had. */
-    public Leg dial(
+    public PeerConnection dial(
             String host,
             FilterChain chain,
             double timeout,
-            Consumer<Leg> connected,
+            Consumer<PeerConnection> connected,
             Runnable failed) {
         InetSocketAddress address =
-                Optional.ofNullable(address(host)).flatMap(Addresses::read).orElse(null);
+                Optional.ofNullable(address(host)).flatMap(Addresses::parse).orElse(null);
         if (address == null) {
-            loop.after(0, failed);
+            loop.schedule(0, failed);
             return null;
         }
         lobby.makeRoom();
         Dial dial = new Dial(transport, connected, failed);
         dial.setProcessor(chain);
-        dial.timer = loop.after(Math.min(connectTimeout, timeout), dial::giveUp);
+        dial.timer = loop.schedule(Math.min(connectTimeout, timeout), dial::giveUp);
         dial.connect(address, dial.result);
         return dial.leg;
     }
 
     private final class Dial extends TCPNIOConnectorHandler {
-        private final Consumer<Leg> connected;
+        private final Consumer<PeerConnection> connected;
         private final Runnable failed;
-        private Loop.Due timer;
-        private Leg leg;
+        private EventLoop.Timer timer;
+        private PeerConnection leg;
         private boolean over;
         private final EmptyCompletionHandler<Connection> result =
                 new EmptyCompletionHandler<>() {
@@ -93,7 +93,7 @@
                     }
                 };
 
-        private Dial(TCPNIOTransport over, Consumer<Leg> connected, Runnable failed) {
+        private Dial(TCPNIOTransport over, Consumer<PeerConnection> connected, Runnable failed) {
             super(over);
             this.connected = connected;
             this.failed = failed;
@@ -101,7 +101,7 @@
 
         @Override
         protected void preConfigure(Connection connection) {
-            leg = new Leg(connection, loop, book, lobby);
+            leg = new PeerConnection(connection, loop, book, lobby);
         }
 
         private void giveUp() {
@@ -111,7 +111,7 @@
                 if (leg != null) {
                     leg.close();
                 }
-                loop.after(0, failed);
+                loop.schedule(0, failed);
             }
         }
     }
--- a/relay/src/main/java/asterpulley/net/Loop.java
+++ b/relay/src/main/java/asterpulley/net/EventLoop.java
@@ -18,16 +18,16 @@
  * timers and decisions never meet on two threads. It must never block, and a timer that throws must
  * never end the thread.
  */
-public final class Loop extends DefaultSelectorHandler {
-    private static final Logger LOG = Logger.getLogger(Loop.class.getName());
+public final class EventLoop extends DefaultSelectorHandler {
+    private static final Logger LOG = Logger.getLogger("asterpulley.net.Loop");
 
     /** A timer that was set; a cancelled one is skipped when its time comes. */
-    public static final class Due implements Comparable<Due> {
+    public static final class Timer implements Comparable<Timer> {
         private final double at;
         private final long order;
         private Runnable what;
 
-        private Due(double at, long order, Runnable what) {
+        private Timer(double at, long order, Runnable what) {
             this.at = at;
             this.order = order;
             this.what = what;
@@ -38,12 +38,12 @@
         }
 
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(Timer other) {
             return at != other.at ? Double.compare(at, other.at) : Long.compare(order, other.order);
         }
     }
 
-    private final PriorityQueue<Due> timers = new PriorityQueue<>();
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final double wallAtStart = System.currentTimeMillis() / 1e3;
     private final long nanosAtStart = System.nanoTime();
     private final Queue<Runnable> handedIn = new ConcurrentLinkedQueue<>();
@@ -69,14 +69,14 @@
     }
 
     /** Runs this after so many seconds; only from the loop's own thread, or before it starts. */
-    public Due after(double seconds, Runnable what) {
-        Due due = new Due(now() + Math.max(0, seconds), order++, what);
+    public Timer schedule(double seconds, Runnable what) {
+        Timer due = new Timer(now() + Math.max(0, seconds), order++, what);
         timers.add(due);
         return due;
     }
 
     /** Runs this on the loop's thread; the one call that other threads may make. */
-    public void handIn(Runnable what) {
+    public void submit(Runnable what) {
         handedIn.add(what);
         Selector asleep = selector;
         if (asleep != null) {
@@ -109,7 +109,7 @@
         // What had arrived before a timer was due is read before it runs, however long this process
         // stood still.
         while (!timers.isEmpty() && timers.peek().at <= looked) {
-            Due due = timers.poll();
+            Timer due = timers.poll();
             if (due.what != null) {
                 run(due.what);
             }
--- a/relay/src/main/java/asterpulley/net/Lobby.java
+++ b/relay/src/main/java/asterpulley/net/IdleConnections.java
@@ -12,7 +12,7 @@
  * may have come with it and was not read yet, nor close on a newcomer that still waits for a first
  * answer without one, nor let an idle one go where that makes no room.
  */
-public final class Lobby {
+public final class IdleConnections {
     /**
      * A client says its line as it connects, and the front asks anew on a connection of its own:
      * who says nothing for this time, or nothing more, holds a socket that another could use.
@@ -37,18 +37,18 @@
 
     private static final double SWEEP = 0.1;
 
-    private final Loop loop;
-    private final Book book;
-    private final Talk talk;
-    private final ArrayDeque<Leg> newcomers = new ArrayDeque<>();
-    private final ArrayDeque<Leg> leavers = new ArrayDeque<>();
+    private final EventLoop loop;
+    private final TunnelRegistry book;
+    private final TunnelProtocol talk;
+    private final ArrayDeque<PeerConnection> newcomers = new ArrayDeque<>();
+    private final ArrayDeque<PeerConnection> leavers = new ArrayDeque<>();
 
     /** So many sockets, and who has no tunnel makes room for what this relay dials. */
     private int most = Integer.MAX_VALUE;
 
     private IntPredicate unused = count -> false;
 
-    public Lobby(Loop loop, Book book, Talk talk) {
+    public IdleConnections(EventLoop loop, TunnelRegistry book, TunnelProtocol talk) {
         this.loop = loop;
         this.book = book;
         this.talk = talk;
@@ -65,15 +65,15 @@
                         leg.closed()
                                 || now - Math.max(leg.lingeringSince, leg.wroteAt) > LINGER
                                         && gone(leg, "lingered"));
-        loop.after(SWEEP, this::start);
+        loop.schedule(SWEEP, this::start);
     }
 
-    public void comes(Leg leg) {
+    public void comes(PeerConnection leg) {
         leg.awaited = true;
         newcomers.add(leg);
     }
 
-    public void leaves(Leg leg) {
+    public void leaves(PeerConnection leg) {
         leavers.add(leg);
     }
 
@@ -81,7 +81,7 @@
      * {@code unused}: ends so many connections that this relay keeps for later, and says yes; where
      * there are fewer, it ends none.
      */
-    public void alsoFrees(IntPredicate unused) {
+    public void setSpareReleaser(IntPredicate unused) {
         this.unused = unused;
     }
 
@@ -125,12 +125,12 @@
         if (over <= 0) {
             return true;
         }
-        List<Leg> idle = idle(over, atOnce);
+        List<PeerConnection> idle = idle(over, atOnce);
         int missing = over - idle.size();
         if (missing > 0 && !((atOnce || idle() <= NEWCOMERS) && unused.test(missing))) {
             return false;
         }
-        for (Leg leg : idle) {
+        for (PeerConnection leg : idle) {
             // Its socket is needed now: the word goes out with the end.
             say(leg);
             gaveWay(leg);
@@ -139,13 +139,13 @@
     }
 
     /** So many idle ones at the most that can give way, in the order in which they do. */
-    private List<Leg> idle(int count, boolean atOnce) {
+    private List<PeerConnection> idle(int count, boolean atOnce) {
         while (!newcomers.isEmpty() && !waits(newcomers.peek())) {
             newcomers.poll();
         }
-        List<Leg> idle = new ArrayList<>();
+        List<PeerConnection> idle = new ArrayList<>();
         for (boolean inPart = false; ; inPart = true) {
-            for (Leg leg : newcomers) {
+            for (PeerConnection leg : newcomers) {
                 if (leg.inPart() == inPart
                         && waits(leg)
                         && (atOnce ? leg.lookedAt() : timeFor(leg) <= 0)) {
@@ -163,7 +163,7 @@
 
     /** How many sockets are held by who has said no line yet, or nothing more. */
     public long idle() {
-        return newcomers.stream().filter(Lobby::waits).count();
+        return newcomers.stream().filter(IdleConnections::waits).count();
     }
 
     /**
@@ -172,36 +172,36 @@
      */
     public double nextIdle() {
         return newcomers.stream()
-                .filter(Lobby::waits)
+                .filter(IdleConnections::waits)
                 .mapToDouble(this::timeFor)
                 .filter(time -> time > 0)
                 .min()
                 .orElse(0);
     }
 
-    private double timeFor(Leg leg) {
+    private double timeFor(PeerConnection leg) {
         return (leg.inPart() ? leg.since + WHOLE_LINE : leg.spokeAt + FIRST_WORDS) - loop.now();
     }
 
-    private int gaveWay(Leg leg) {
+    private int gaveWay(PeerConnection leg) {
         return !leg.closed() && gone(leg, "gave_way") ? 1 : 0;
     }
 
     /** Whether somebody's first line, or the rest of it, may still be on its way. */
-    public boolean awaits() {
+    public boolean hasPendingRequests() {
         return newcomers.stream().anyMatch(leg -> waits(leg) && leg.awaited);
     }
 
     /** Nobody's line can be waited for any longer. */
-    public void turnAway() {
+    public void declinePending() {
         newcomers.removeIf(leg -> !waits(leg) || turnedAway(leg, "turned_away"));
     }
 
-    private static boolean waits(Leg leg) {
+    private static boolean waits(PeerConnection leg) {
         return !leg.closed() && !leg.lingering() && leg.passage == null;
     }
 
-    private boolean turnedAway(Leg leg, String why) {
+    private boolean turnedAway(PeerConnection leg, String why) {
         book.count(why);
         say(leg);
         leg.linger();
@@ -209,14 +209,14 @@
     }
 
     /** Nothing of it was sent on, so it may as well come again; who had its answer needs none. */
-    private void say(Leg leg) {
+    private void say(PeerConnection leg) {
         if (leg.awaited) {
             leg.awaited = false;
             talk.decline(leg, 0);
         }
     }
 
-    private boolean gone(Leg leg, String why) {
+    private boolean gone(PeerConnection leg, String why) {
         book.count(why);
         leg.close();
         return true;
--- a/relay/src/main/java/asterpulley/net/Route.java
+++ b/relay/src/main/java/asterpulley/net/LoadBalancerFilter.java
@@ -1,13 +1,13 @@
 package asterpulley.net;
 
-import asterpulley.Balance;
-import asterpulley.Front;
-import asterpulley.Listed;
+import asterpulley.Frontend;
+import asterpulley.LoadBalancer;
+import asterpulley.LoadReport;
 import asterpulley.Outcome;
-import asterpulley.Report;
+import asterpulley.ServerEntry;
 import asterpulley.Settings;
-import asterpulley.routes.Charter;
-import asterpulley.routes.Guide;
+import asterpulley.routes.PoolRouter;
+import asterpulley.routes.RoutingPolicy;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Set;
@@ -24,13 +24,13 @@
  * fail at once, and that must never reach the module while it is still deciding. It must decide
  * nothing itself.
  */
-public final class Route extends BaseFilter implements Front {
-    private static final Logger LOG = Logger.getLogger(Balance.class.getName());
+public final class LoadBalancerFilter extends BaseFilter implements Frontend {
+    private static final Logger LOG = Logger.getLogger("asterpulley.Balance");
 
     private static final double SWEEP = 0.25;
 
-    private final Loop loop;
-    private final Book book;
+    private final EventLoop loop;
+    private final TunnelRegistry book;
     private final ArrayDeque<Runnable> calls = new ArrayDeque<>();
     private boolean deciding;
 
@@ -38,37 +38,37 @@
      * Null where nothing narrows the module's choice, as on the platform: its classes are not even
      * loaded then.
      */
-    private Guide guide;
+    private PoolRouter guide;
 
-    private Balance balance;
+    private LoadBalancer balance;
     private Consumer<String> probes;
     private Runnable watch;
     private Runnable whenListed = () -> {};
 
-    public Route(Loop loop, Book book) {
+    public LoadBalancerFilter(EventLoop loop, TunnelRegistry book) {
         this.loop = loop;
         this.book = book;
     }
 
     /** Narrows the module's choice from now on; before the start, or never. */
-    public void narrowedBy(Guide routes) {
+    public void setPoolRouter(PoolRouter routes) {
         guide = routes;
-        book.whenLeft(passage -> guide.over(passage.id));
-        loop.after(SWEEP, this::sweep);
+        book.whenLeft(passage -> guide.tunnelClosed(passage.id));
+        loop.schedule(SWEEP, this::sweep);
     }
 
     /** Time passes for the pools; guests whose home is back are moved there. */
     private void sweep() {
         for (long id : guide.tick(loop.now())) {
-            Passage passage = book.find(id);
-            if (passage != null && passage.standing && !passage.moving) {
-                passage.talk.move(passage);
+            TunnelContext passage = book.find(id);
+            if (passage != null && passage.established && !passage.moving) {
+                passage.protocol.move(passage);
             }
         }
-        loop.after(SWEEP, this::sweep);
+        loop.schedule(SWEEP, this::sweep);
     }
 
-    public Guide guide() {
+    public PoolRouter poolRouter() {
         return guide;
     }
 
@@ -79,17 +79,17 @@
     public void start(
             Settings settings,
             long seed,
-            List<Listed> known,
+            List<ServerEntry> known,
             Consumer<String> probes,
             Runnable watch) {
         this.probes = probes;
         this.watch = watch;
         tell(
                 () -> {
-                    balance = new Balance(settings, seed, this);
+                    balance = new LoadBalancer(settings, seed, this);
                     list(known, true);
                 });
-        if (!settings.listMustBeAsked) {
+        if (!settings.subscribesToServerList) {
             // The module asks only where it must; on sockets news always has to be asked for.
             watch.run();
         }
@@ -99,11 +99,11 @@
      * These count from now on, for the module and, where there are pools, for their rules: none may
      * be half changed.
      */
-    public void settings(Settings anew, Charter charter) {
+    public void updateSettings(Settings anew, RoutingPolicy charter) {
         if (guide != null) {
-            guide.change(charter, loop.now());
+            guide.reload(charter, loop.now());
         }
-        tell(() -> balance.settings(anew));
+        tell(() -> balance.updateSettings(anew));
     }
 
     private void tell(Runnable call) {
@@ -131,10 +131,10 @@
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        if (!(ctx.getMessage() instanceof Passage passage)) {
+        if (!(ctx.getMessage() instanceof TunnelContext passage)) {
             return ctx.getInvokeAction();
         }
-        take(passage);
+        placeTunnel(passage);
         return ctx.getStopAction();
     }
 
@@ -142,20 +142,20 @@
      * A tunnel that a front has taken in and that there is room for; what becomes of it, its {@link
      * Talk} is asked.
      */
-    public void take(Passage passage) {
+    public void placeTunnel(TunnelContext passage) {
         passage.id = book.enter(passage);
-        if (passage.asked.at() != null) {
-            passage.talk.reopen(passage);
+        if (passage.request.previousServer() != null) {
+            passage.protocol.reopen(passage);
         } else {
-            Asked o = passage.asked;
+            TunnelRequest o = passage.request;
             if (guide != null) {
-                guide.taken(passage.id, o.profile(), o.key(), loop.now());
+                guide.tunnelAccepted(passage.id, o.profile(), o.key(), loop.now());
             }
-            double budget = Double.isNaN(o.patience()) ? 0 : Math.max(1e-3, o.patience());
+            double budget = Double.isNaN(o.clientTimeout()) ? 0 : Math.max(1e-3, o.clientTimeout());
             tell(
                     () ->
                             passage.handle =
-                                    balance.take(
+                                    balance.openTunnel(
                                             passage.id,
                                             o.profile(),
                                             o.customer(),
@@ -168,7 +168,7 @@
                 book.closeWithError(passage);
             }
             if (budget > 0 && !passage.answered) {
-                passage.overdue = loop.after(budget, () -> overdue(passage));
+                passage.clientTimer = loop.schedule(budget, () -> expire(passage));
             }
         }
     }
@@ -177,11 +177,11 @@
      * Guards against a tunnel that nobody answers: at its client's timeout it is given up, at the
      * latest.
      */
-    public void overdue(Passage passage) {
+    public void expire(TunnelContext passage) {
         if (!passage.answered) {
             book.count("overdue");
             withdrawn(passage);
-            passage.talk.abandon(passage);
+            passage.protocol.abandonSetup(passage);
             giveUp(passage);
         }
     }
@@ -190,9 +190,9 @@
      * No further setup, the one that is out is given up, and the client is told that it is closed
      * with error.
      */
-    public void drop(Passage passage) {
+    public void drop(TunnelContext passage) {
         withdrawn(passage);
-        passage.talk.abandon(passage);
+        passage.protocol.abandonSetup(passage);
         book.closeWithError(passage);
     }
 
@@ -200,7 +200,7 @@
      * The final answer to a tunnel with no setup out that gets no further one: which, the module
      * tells.
      */
-    public void giveUp(Passage passage) {
+    public void giveUp(TunnelContext passage) {
         tell(
                 () -> {
                     if (passage.handle != null) {
@@ -211,47 +211,47 @@
                 });
     }
 
-    public void opened(Passage passage) {
-        Asked o = passage.asked;
+    public void tunnelOpened(TunnelContext passage) {
+        TunnelRequest o = passage.request;
         if (guide != null && passage.handle == null) {
-            guide.standing(passage.id, o.profile(), o.key(), passage.host, loop.now());
+            guide.tunnelRestored(passage.id, o.profile(), o.key(), passage.serverName, loop.now());
         } else if (guide != null) {
-            guide.opened(passage.id, loop.now());
+            guide.tunnelOpened(passage.id, loop.now());
         }
         if (passage.handle == null) {
             tell(
                     () ->
                             passage.handle =
-                                    balance.standing(
+                                    balance.restoreTunnel(
                                             passage.id,
                                             o.profile(),
                                             o.customer(),
                                             o.group(),
                                             o.key(),
-                                            passage.host));
+                                            passage.serverName));
         } else {
-            int setup = passage.setups - 1;
-            double lag = loop.now() - passage.sentAt;
-            tell(() -> passage.handle.opened(setup, lag));
+            int setup = passage.setupCount - 1;
+            double lag = loop.now() - passage.setupStartedAt;
+            tell(() -> passage.handle.onOpened(setup, lag));
         }
     }
 
     /** A setup, or what it opened, has ended. */
-    public void ended(Passage passage, Failure failure) {
+    public void serverConnectionEnded(TunnelContext passage, Termination failure) {
         if (guide != null) {
-            guide.ended(
+            guide.serverConnectionEnded(
                     passage.id,
                     failure.outcome(),
-                    failure.cause() != Failure.Cause.CLIENT_LEFT,
+                    failure.cause() != Termination.Cause.CLIENT_LEFT,
                     loop.now());
         }
-        int setup = passage.setups - 1;
-        double lag = loop.now() - passage.sentAt;
+        int setup = passage.setupCount - 1;
+        double lag = loop.now() - passage.setupStartedAt;
         boolean last = passage.answered;
         tell(
                 () -> {
                     if (passage.handle != null) {
-                        passage.handle.ended(setup, failure.outcome(), lag, last);
+                        passage.handle.onEnded(setup, failure.outcome(), lag, last);
                     }
                 });
     }
@@ -260,42 +260,42 @@
      * Its connection is up: false where what would be written now came too late for its server or
      * its window.
      */
-    public boolean mayGo(Passage passage) {
-        return passage.handle == null || passage.handle.mayGo();
+    public boolean maySend(TunnelContext passage) {
+        return passage.handle == null || passage.handle.maySend();
     }
 
-    public void withdrawn(Passage passage) {
+    public void withdrawn(TunnelContext passage) {
         tell(
                 () -> {
                     if (passage.handle != null) {
-                        passage.handle.withdrawn();
+                        passage.handle.cancel();
                     }
                 });
     }
 
-    public void load(Passage passage, double cores) {
+    public void load(TunnelContext passage, double cores) {
         if (guide != null) {
-            guide.load(passage.id, cores);
+            guide.tunnelLoadReported(passage.id, cores);
         }
         if (passage.handle != null) {
-            tell(() -> passage.handle.load(cores));
+            tell(() -> passage.handle.onLoad(cores));
         }
     }
 
-    public void delay(Passage passage, double message) {
+    public void delay(TunnelContext passage, double message) {
         if (passage.handle != null) {
-            tell(() -> passage.handle.delay(message));
+            tell(() -> passage.handle.onMessageDelay(message));
         }
     }
 
-    public void probed(String host, Outcome outcome, Report report) {
+    public void probed(String host, Outcome outcome, LoadReport report) {
         if (guide != null) {
-            guide.probed(host, outcome, report, loop.now());
+            guide.probeFinished(host, outcome, report, loop.now());
         }
-        tell(() -> balance.probed(host, outcome, report));
+        tell(() -> balance.onProbeResult(host, outcome, report));
     }
 
-    public void listed(List<Listed> servers, boolean whole) {
+    public void updateServerList(List<ServerEntry> servers, boolean whole) {
         tell(
                 () -> {
                     list(servers, whole);
@@ -304,58 +304,60 @@
     }
 
     /** Is told whenever news of the list is in force here. */
-    public void whenListed(Runnable then) {
+    public void onServerListUpdated(Runnable then) {
         whenListed = then;
     }
 
-    private void list(List<Listed> servers, boolean whole) {
+    private void list(List<ServerEntry> servers, boolean whole) {
         if (guide != null) {
-            guide.list(servers, whole, loop.now());
+            guide.updateServerList(servers, whole, loop.now());
         }
-        balance.list(servers, whole);
-        loop.after(0, this::recall);
+        balance.onServerList(servers, whole);
+        loop.schedule(0, this::recall);
     }
 
     /** The servers that operators leave out from now on, all of them; true by when this returns. */
-    public void cordon(Set<String> servers) {
-        tell(() -> balance.cordon(servers));
+    public void setCordonedServers(Set<String> servers) {
+        tell(() -> balance.setCordonedServers(servers));
         recall();
     }
 
     /** Setups still on their way to a server that is to get nothing new are placed elsewhere. */
     private void recall() {
-        for (Passage passage : book.all()) {
-            if (passage.out && passage.asked.at() == null && !balance.allowed(passage.host)) {
-                passage.talk.recall(passage);
+        for (TunnelContext passage : book.all()) {
+            if (passage.setupPending
+                    && passage.request.previousServer() == null
+                    && !balance.isInRotation(passage.serverName)) {
+                passage.protocol.recallSetup(passage);
             }
         }
     }
 
     /** What the module has learned, for another process of this relay; see {@link #learn}. */
-    public double[] learned() {
-        return balance.learned();
+    public double[] exportLearnedState() {
+        return balance.exportLearnedState();
     }
 
     /** Takes on what another process had learned; false where it cannot be used. */
-    public boolean learn(double[] learned) {
-        return balance.learn(learned);
+    public boolean importLearnedState(double[] learned) {
+        return balance.importLearnedState(learned);
     }
 
     /** The module's own view of its servers, to be read and not called on. */
-    public Set<String> cordoned() {
-        return balance.cordoned();
+    public Set<String> cordonedServers() {
+        return balance.cordonedServers();
     }
 
-    public boolean knows(String server) {
-        return balance.knows(server);
+    public boolean isKnown(String server) {
+        return balance.isKnown(server);
     }
 
-    public int members(boolean onlyAvoided) {
-        return balance.members(onlyAvoided);
+    public int listedServerCount(boolean onlyAvoided) {
+        return balance.listedServerCount(onlyAvoided);
     }
 
-    public void listFailed(boolean silent) {
-        tell(() -> balance.listFailed(silent));
+    public void serverListFailed(boolean silent) {
+        tell(() -> balance.onServerListFailed(silent));
     }
 
     // ---- From the module
@@ -366,41 +368,41 @@
     }
 
     @Override
-    public void setup(Balance.Tunnel tun, String ep, double timeout) {
-        Passage passage = book.find(tun.id);
+    public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
+        TunnelContext passage = book.find(tun.id);
         if (passage != null) {
             if (guide != null) {
-                guide.setup(tun.id, ep, loop.now());
+                guide.setupStarted(tun.id, ep, loop.now());
             }
-            passage.talk.setup(passage, ep, timeout);
+            passage.protocol.startSetup(passage, ep, timeout);
         }
     }
 
     @Override
-    public boolean may(Balance.Tunnel tun, int server, String ep) {
-        return guide == null || guide.may(tun.id, server, ep, loop.now());
+    public boolean isEligible(LoadBalancer.Tunnel tun, int server, String ep) {
+        return guide == null || guide.mayUse(tun.id, server, ep, loop.now());
     }
 
     @Override
-    public boolean widen(Balance.Tunnel tun) {
-        return guide != null && guide.widen(tun.id, loop.now());
+    public boolean widenSelection(LoadBalancer.Tunnel tun) {
+        return guide != null && guide.advanceTier(tun.id, loop.now());
     }
 
     @Override
-    public void decline(Balance.Tunnel tun, double retryAfter) {
+    public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
         book.decline(book.find(tun.id), retryAfter);
     }
 
     @Override
-    public void closeWithError(Balance.Tunnel tun) {
+    public void closeWithError(LoadBalancer.Tunnel tun) {
         book.closeWithError(book.find(tun.id));
     }
 
     @Override
-    public void move(Balance.Tunnel tun) {
-        Passage passage = book.find(tun.id);
+    public void move(LoadBalancer.Tunnel tun) {
+        TunnelContext passage = book.find(tun.id);
         if (passage != null) {
-            passage.talk.move(passage);
+            passage.protocol.move(passage);
         }
     }
 
@@ -410,13 +412,13 @@
     }
 
     @Override
-    public void watch() {
+    public void watchServerList() {
         watch.run();
     }
 
     @Override
-    public void wake(double after, long token) {
-        loop.after(after, () -> tell(() -> balance.woke(token)));
+    public void scheduleTimer(double after, long token) {
+        loop.schedule(after, () -> tell(() -> balance.onTimer(token)));
     }
 
     @Override
--- a/relay/src/main/java/asterpulley/net/LongPoll.java
+++ b/relay/src/main/java/asterpulley/net/LongPollClient.java
@@ -28,24 +28,24 @@
  * unless {@link #hangUp} or {@link #moveTo} ended it first: then in neither. Whoever calls decides
  * when the next one goes out, also at once from within either of the two.
  */
-public final class LongPoll extends BaseFilter {
+public final class LongPollClient extends BaseFilter {
     /** Who calls and is told how each call ended. */
-    public interface Caller {
+    public interface Callback {
         /**
          * The whole body of an answer with status 200. The connection stays; the next call goes out
          * on it.
          */
-        void answered(String body);
+        void responseReceived(String body);
 
         /**
          * No such answer came, and the connection is closed. {@code silent}: no whole answer within
          * the patience.
          */
-        void failed(String why, boolean silent);
+        void requestFailed(String why, boolean silent);
     }
 
     /** The version of who has none yet: the whole is asked for, and nothing is waited for. */
-    public static final long NONE = -1;
+    public static final long NO_VERSION = -1;
 
     /** A connection that is not up by now has none coming. */
     private static final double CONNECT = 1.5;
@@ -57,9 +57,9 @@
     private static final double CROSSED = 0.2;
 
     private final String path;
-    private final Caller caller;
-    private final Loop loop;
-    private final Book book;
+    private final Callback caller;
+    private final EventLoop loop;
+    private final TunnelRegistry book;
     private final TCPNIOTransport transport;
     private final FilterChain chain;
     private InetSocketAddress address;
@@ -68,14 +68,14 @@
     private double askedAt;
     private String query, with = "";
     private int call, status;
-    private Loop.Due patience;
+    private EventLoop.Timer patience;
 
-    public LongPoll(
+    public LongPollClient(
             String path,
             InetSocketAddress address,
-            Caller caller,
-            Loop loop,
-            Book book,
+            Callback caller,
+            EventLoop loop,
+            TunnelRegistry book,
             TCPNIOTransport transport) {
         this.path = path;
         this.address = address;
@@ -96,13 +96,13 @@
     }
 
     /** Calls go there from now on; the one that is out is given up and ends in nothing. */
-    public void moveTo(InetSocketAddress to) {
-        hangUp();
+    public void setAddress(InetSocketAddress to) {
+        disconnect();
         address = to;
     }
 
     /** Goes behind the version in the query of each call from now on, as {@code &name=value}. */
-    public void with(String more) {
+    public void setExtraQuery(String more) {
         with = more;
     }
 
@@ -111,16 +111,16 @@
      * #NONE} for the whole, at once. It fails as silent when there is no whole answer {@code
      * patience} seconds from now.
      */
-    public void call(long version, double wait, double patience) {
+    public void request(long version, double wait, double patience) {
         int n = ++call;
         waiting = true;
         status = 0;
         if (this.patience != null) {
             this.patience.cancel();
         }
-        this.patience = loop.after(patience, () -> failed(n, "no answer", true));
+        this.patience = loop.schedule(patience, () -> failed(n, "no answer", true));
         query =
-                version == NONE
+                version == NO_VERSION
                         ? null
                         : "index=" + version + "&wait=" + Math.round(wait * 1000) + with;
         if (connection != null && connection.isOpen()) {
@@ -128,14 +128,14 @@
             ask();
             return;
         }
-        hangUp();
+        disconnect();
         waiting = true;
         dial(n);
     }
 
     private void dial(int n) {
         kept = false;
-        loop.after(
+        loop.schedule(
                 CONNECT,
                 () -> {
                     if (!up && !kept) {
@@ -166,13 +166,14 @@
 
                     @Override
                     public void failed(Throwable why) {
-                        loop.after(0, () -> LongPoll.this.failed(n, "no connection", false));
+                        loop.schedule(
+                                0, () -> LongPollClient.this.failed(n, "no connection", false));
                     }
                 });
     }
 
     /** The last call was answered, and not with 200. */
-    public boolean refused() {
+    public boolean wasRejected() {
         return status != 0 && status != 200;
     }
 
@@ -203,11 +204,11 @@
             return ctx.getStopAction();
         }
         status = answer;
-        if (refused()) {
+        if (wasRejected()) {
             failed(call, "status " + status, false);
         } else {
             waiting = false;
-            caller.answered(body);
+            caller.responseReceived(body);
         }
         return ctx.getStopAction();
     }
@@ -230,13 +231,13 @@
 
     private void failed(int n, String why, boolean silent) {
         if (call == n && waiting) {
-            hangUp();
-            caller.failed(why, silent);
+            disconnect();
+            caller.requestFailed(why, silent);
         }
     }
 
     /** Closes the connection; a call that is out ends in nothing. */
-    public void hangUp() {
+    public void disconnect() {
         waiting = false;
         up = false;
         if (connection != null) {
--- a/relay/src/main/java/asterpulley/net/Leg.java
+++ b/relay/src/main/java/asterpulley/net/PeerConnection.java
@@ -22,7 +22,7 @@
  * other side must still be able to read). It must never block, never keep more than a bounded
  * amount for a slow reader, and be closed only once.
  */
-public final class Leg {
+public final class PeerConnection {
     /**
      * Buffers that wait for a slow reader before its sender is no longer read from, however little
      * each holds.
@@ -33,9 +33,9 @@
      * What a peer still sends after its last word is read so far and no further: it may be without
      * end.
      */
-    private static final int HEEDLESS = 4 * SocketFilter.BUFFER;
+    private static final int HEEDLESS = 4 * SocketFilter.BUFFER_BYTES;
 
-    private static final Attribute<Leg> LEG =
+    private static final Attribute<PeerConnection> LEG =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("leg");
 
     public final Connection<SocketAddress> connection;
@@ -48,9 +48,9 @@
     /** The look at the sockets in which it came; what came with it is found in the next one. */
     private final long cameIn;
 
-    private final Loop loop;
-    private final Book book;
-    private final Lobby lobby;
+    private final EventLoop loop;
+    private final TunnelRegistry book;
+    private final IdleConnections lobby;
 
     /** When it came, or last asked as the front does. */
     public double spokeAt;
@@ -59,7 +59,7 @@
     public boolean awaited;
 
     /** The tunnel that it belongs to, once there is one. */
-    public Passage passage;
+    public TunnelContext passage;
 
     private int waiting, heedless;
     private boolean endWhenWritten, ended, closed, lingering, deaf;
@@ -69,11 +69,12 @@
     public double wroteAt;
 
     public double lingeringSince;
-    private Leg feeder;
+    private PeerConnection feeder;
     private Runnable whenWritten;
 
     @SuppressWarnings("unchecked")
-    public Leg(Connection<?> connection, Loop loop, Book book, Lobby lobby) {
+    public PeerConnection(
+            Connection<?> connection, EventLoop loop, TunnelRegistry book, IdleConnections lobby) {
         this.connection = (Connection<SocketAddress>) connection;
         this.loop = loop;
         this.book = book;
@@ -85,7 +86,7 @@
         LEG.set(connection, this);
     }
 
-    public static Leg of(Connection<?> connection) {
+    public static PeerConnection of(Connection<?> connection) {
         return LEG.get(connection);
     }
 
@@ -121,13 +122,13 @@
     /**
      * Writes these bytes; when too many wait, their sender is not read from until they are gone.
      */
-    public void write(Buffer bytes, Leg from) {
+    public void write(Buffer bytes, PeerConnection from) {
         if (closed || ended || endWhenWritten) {
             bytes.tryDispose();
             return;
         }
         waiting++;
-        book.waiting++;
+        book.pendingWrites++;
         bytes.allowBufferDispose(true);
         connection.write(
                 bytes,
@@ -140,11 +141,11 @@
                     @Override
                     public void failed(Throwable why) {
                         waiting--;
-                        book.waiting--;
+                        book.pendingWrites--;
                         hold(null);
                     }
                 });
-        boolean much = waiting > (book.waiting > book.mostWaiting ? 1 : MOST_WAITING);
+        boolean much = waiting > (book.pendingWrites > book.maxPendingWrites ? 1 : MOST_WAITING);
         if (much && from != null && feeder == null && !closed) {
             book.count("slow_readers");
             hold(from);
@@ -152,7 +153,7 @@
     }
 
     /** Holds this sender back, or lets whom it holds back go on. */
-    private void hold(Leg from) {
+    private void hold(PeerConnection from) {
         if (feeder != null) {
             feeder.reading(true);
         }
@@ -163,7 +164,7 @@
     }
 
     private void written() {
-        book.waiting--;
+        book.pendingWrites--;
         wroteAt = loop.now();
         if (--waiting > 0) {
             return;
--- a/relay/src/main/java/asterpulley/net/Pace.java
+++ b/relay/src/main/java/asterpulley/net/PollThrottle.java
@@ -6,7 +6,7 @@
  * nothing. It must never hold back the call behind some news, never judge what is news, and know
  * nothing of what is watched.
  */
-public final class Pace {
+public final class PollThrottle {
     /** A watch goes on as long as the next call comes within 0.2 s of the last answer. */
     private static final double KEPT_UP = 0.1;
 
@@ -28,7 +28,7 @@
      * Told of each answer to a call that may wait, which came {@code took} seconds after it; how
      * long to wait before the next call.
      */
-    public double answered(boolean news, double took, double now) {
+    public double delayAfterAnswer(boolean news, double took, double now) {
         row = Math.min(ROW, row + A_SECOND * (now - lastAt));
         lastAt = now;
         if (took >= AT_ONCE) {
@@ -47,7 +47,7 @@
      * It came at once and brought nothing new: the last answer, and so many before it that no watch
      * is kept up any more.
      */
-    public boolean givenUp() {
+    public boolean isIneffective() {
         return idle >= ON_END;
     }
 }
--- a/relay/src/main/java/asterpulley/net/SocketFilter.java
+++ b/relay/src/main/java/asterpulley/net/SocketFilter.java
@@ -23,20 +23,21 @@
     private static final Logger LOG = Logger.getLogger(SocketFilter.class.getName());
 
     /** The one size of all buffers. */
-    public static final int BUFFER = 4096;
+    public static final int BUFFER_BYTES = 4096;
 
     /** How the incoming direction ended: in order, or by a reset. */
-    public enum End {
+    public enum InputEnd {
         FIN,
         RESET
     }
 
     private final TCPNIOTransport transport;
-    private final Loop loop;
-    private final Book book;
-    private final Lobby lobby;
+    private final EventLoop loop;
+    private final TunnelRegistry book;
+    private final IdleConnections lobby;
 
-    public SocketFilter(TCPNIOTransport transport, Loop loop, Book book, Lobby lobby) {
+    public SocketFilter(
+            TCPNIOTransport transport, EventLoop loop, TunnelRegistry book, IdleConnections lobby) {
         this.transport = transport;
         this.loop = loop;
         this.book = book;
@@ -45,26 +46,26 @@
 
     @Override
     public NextAction handleAccept(FilterChainContext ctx) {
-        new Leg(ctx.getConnection(), loop, book, lobby);
+        new PeerConnection(ctx.getConnection(), loop, book, lobby);
         return ctx.getInvokeAction();
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
         Connection<?> connection = ctx.getConnection();
-        Leg leg = Leg.of(connection);
+        PeerConnection leg = PeerConnection.of(connection);
         if (leg == null || leg.closed()) {
             return ctx.getStopAction();
         }
-        Buffer buffer = (Buffer) connection.getMemoryManager().allocate(BUFFER);
+        Buffer buffer = (Buffer) connection.getMemoryManager().allocate(BUFFER_BYTES);
         ByteBuffer into = buffer.toByteBuffer();
         int got;
-        End end = End.FIN;
+        InputEnd end = InputEnd.FIN;
         try {
             got = ((SocketChannel) ((NIOConnection) connection).getChannel()).read(into);
         } catch (IOException e) {
             got = -1;
-            end = End.RESET;
+            end = InputEnd.RESET;
         }
         if (got <= 0 || leg.lingering()) {
             buffer.allowBufferDispose(true);
@@ -101,7 +102,7 @@
     /** A connection that broke while it was written to; one that this relay closed tells nobody. */
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
-        Leg leg = Leg.of(ctx.getConnection());
+        PeerConnection leg = PeerConnection.of(ctx.getConnection());
         return leg != null && leg.lost() ? ctx.getInvokeAction() : ctx.getStopAction();
     }
 
--- a/relay/src/main/java/asterpulley/net/Failure.java
+++ b/relay/src/main/java/asterpulley/net/Termination.java
@@ -8,9 +8,9 @@
  * call "known not to have run" what may have run: only a setup whose last byte was not written, or
  * that was turned away, did not run.
  */
-public record Failure(Reach reach, Cause cause) {
+public record Termination(Progress progress, Cause cause) {
     /** How far a setup had come, in the order in which it goes. */
-    public enum Reach {
+    public enum Progress {
         NOT_CONNECTED,
         PARTLY_WRITTEN,
         SENT,
@@ -30,7 +30,7 @@
     }
 
     public Outcome outcome() {
-        boolean sent = reach.compareTo(Reach.SENT) >= 0;
+        boolean sent = progress.compareTo(Progress.SENT) >= 0;
         return switch (cause) {
             case BYE -> Outcome.OK;
             case MOVE -> Outcome.CANCELLED;
--- a/relay/src/main/java/asterpulley/net/Passage.java
+++ b/relay/src/main/java/asterpulley/net/TunnelContext.java
@@ -1,64 +1,65 @@
 package asterpulley.net;
 
-import asterpulley.Balance;
+import asterpulley.LoadBalancer;
 
 /**
  * Owns what the stages know of one tunnel while it passes them: what its client asked and the
  * client's connection, the setup that is out, the backend's connection, and whether the client has
  * its final answer. It must hold no rules of its own: the stages act, this only remembers.
  */
-public final class Passage {
+public final class TunnelContext {
     /**
      * Null where the front has no connection for it, as one that puts tunnels to the module by
      * itself.
      */
-    public final Leg client;
+    public final PeerConnection client;
 
-    public final Talk talk;
-    public final Asked asked;
-    public final double takenAt;
+    public final TunnelProtocol protocol;
+    public final TunnelRequest request;
+    public final double receivedAt;
     public long id;
-    public Balance.Tunnel handle;
+    public LoadBalancer.Tunnel handle;
 
     /** The setup that is out, or the backend that it opened at. */
-    public String host;
+    public String serverName;
 
-    public Leg backend;
-    public int setups;
-    public boolean out;
-    public Failure.Reach reach = Failure.Reach.NOT_CONNECTED;
-    public double sentAt;
-    public Loop.Due patience, overdue;
+    public PeerConnection backend;
+    public int setupCount;
+    public boolean setupPending;
+    public Termination.Progress progress = Termination.Progress.NOT_CONNECTED;
+    public double setupStartedAt;
+    public EventLoop.Timer setupTimer, clientTimer;
 
     /** The client has its final answer; it stands; nothing more can happen to it. */
-    public boolean answered, standing, over;
+    public boolean answered, established, finished;
 
     /** The backend's last word, where it said one. */
-    public Failure.Cause farewell;
+    public Termination.Cause backendEndCause;
 
     public boolean moving;
     public boolean clientEnded, backendEnded;
 
     /** When bytes last came from either side. */
-    public double heardAt;
+    public double lastActivityAt;
 
     /** Since when a client's line has been without any line back; 0: it is not. */
     public double unansweredSince;
 
     /** How often the module was told of that. */
-    public int toldSlow;
+    public int slowReports;
 
-    public Passage(Leg client, Asked asked, Talk talk, double takenAt) {
-        this.talk = talk;
+    public TunnelContext(
+            PeerConnection client, TunnelRequest asked, TunnelProtocol talk, double takenAt) {
+        this.protocol = talk;
         this.client = client;
-        this.asked = asked;
-        this.takenAt = takenAt;
+        this.request = asked;
+        this.receivedAt = takenAt;
         if (client != null) {
             client.passage = this;
         }
     }
 
-    public Failure failure(Failure.Cause cause) {
-        return new Failure(reach, cause);
+    public Termination termination(Termination.Cause cause) {
+        return new Termination(progress, cause);
     }
 }
--- a/relay/src/main/java/asterpulley/net/Talk.java
+++ b/relay/src/main/java/asterpulley/net/TunnelProtocol.java
@@ -5,28 +5,28 @@
  * servers. A front hands one of these in with every passage. It must never decide anything, and
  * never have two setups of a passage out.
  */
-public interface Talk {
+public interface TunnelProtocol {
     /** Sends one setup; its end is told to {@link Route}. */
-    void setup(Passage passage, String host, double timeout);
+    void startSetup(TunnelContext passage, String host, double timeout);
 
     /** Sends a tunnel that stood before the relay started to where it stood. */
-    void reopen(Passage passage);
+    void reopen(TunnelContext passage);
 
     /** Gives up the setup that is out, if any. */
-    void abandon(Passage passage);
+    void abandonSetup(TunnelContext passage);
 
     /**
      * Gives up the setup that is out where nothing of it is written yet: its server is to get
      * nothing new.
      */
-    void recall(Passage passage);
+    void recallSetup(TunnelContext passage);
 
     /** Sends a standing client elsewhere, as soon as nothing is under way to it in part. */
-    void move(Passage passage);
+    void move(TunnelContext passage);
 
     /** Says that the tunnel is declined; come back after so many seconds (0: no advice). */
-    void decline(Leg client, double retryAfter);
+    void decline(PeerConnection client, double retryAfter);
 
     /** Says that the tunnel is closed with error. */
-    void closeWithError(Leg client);
+    void closeWithError(PeerConnection client);
 }
--- a/relay/src/main/java/asterpulley/net/Book.java
+++ b/relay/src/main/java/asterpulley/net/TunnelRegistry.java
@@ -17,14 +17,14 @@
  * What the other stages take in, send and answer is counted here, and a tunnel is let go here,
  * once. It must never change what happens to a tunnel.
  */
-public final class Book {
-    private static final Logger LOG = Logger.getLogger(Book.class.getName());
+public final class TunnelRegistry {
+    private static final Logger LOG = Logger.getLogger("asterpulley.net.Book");
 
     /** Ids of ended tunnels that are remembered: some seconds' worth, in under a megabyte. */
     private static final int ENDED_IDS = 4096;
 
     private final Map<String, Long> counters = new TreeMap<>();
-    private final Map<Long, Passage> passages = new HashMap<>();
+    private final Map<Long, TunnelContext> passages = new HashMap<>();
     private final Set<String> openIds = new HashSet<>();
     private final Map<String, Boolean> endedIds =
             new LinkedHashMap<>() {
@@ -46,7 +46,7 @@
 
     private List<String> profiles = List.of();
     private long lastId;
-    private Consumer<Passage> left = passage -> {};
+    private Consumer<TunnelContext> left = passage -> {};
     public double lastAcceptedAt;
 
     /**
@@ -55,15 +55,15 @@
     public int sockets, lingering;
 
     /** Buffers that wait for slow readers, on all connections together. */
-    public int waiting;
+    public int pendingWrites;
 
     /**
      * So many of them, and every sender is held back at once: slow readers must not fill the
      * memory.
      */
-    public int mostWaiting = Integer.MAX_VALUE;
+    public int maxPendingWrites = Integer.MAX_VALUE;
 
-    public Book(List<String> profiles) {
+    public TunnelRegistry(List<String> profiles) {
         profiles(profiles);
     }
 
@@ -84,17 +84,17 @@
     }
 
     /** How many tunnels of this profile were answered so. */
-    public long answers(Answer answer, int profile) {
+    public long answerCount(Answer answer, int profile) {
         return answers.get(answer)[profile];
     }
 
-    private long answers(Answer answer) {
+    private long answerCount(Answer answer) {
         return Arrays.stream(answers.get(answer)).sum();
     }
 
     /** Final answer: opened; the client is told by whoever owns the tunnel from here on. */
-    public void opened(Passage passage) {
-        answers.get(Answer.OPENED)[passage.asked.profile()]++;
+    public void recordOpened(TunnelContext passage) {
+        answers.get(Answer.OPENED)[passage.request.profile()]++;
     }
 
     public void count(String what) {
@@ -106,10 +106,10 @@
     }
 
     /** What was counted under this name; an answer's name stands for all profiles. */
-    public long counted(String what) {
+    public long counterValue(String what) {
         for (Answer answer : Answer.values()) {
             if (answer.name().toLowerCase().equals(what)) {
-                return answers(answer);
+                return answerCount(answer);
             }
         }
         return counters.getOrDefault(what, 0L);
@@ -120,21 +120,21 @@
      * another's: ids are new with every connection, and two tunnels under one id would be one to
      * the backends.
      */
-    public boolean firstSeen(String id) {
+    public boolean registerId(String id) {
         return !endedIds.containsKey(id) && openIds.add(id);
     }
 
     /** Opens the record of a tunnel; its number is this relay's own, never a client's. */
-    public long enter(Passage passage) {
+    public long enter(TunnelContext passage) {
         passages.put(++lastId, passage);
         return lastId;
     }
 
-    public Passage find(long id) {
+    public TunnelContext find(long id) {
         return passages.get(id);
     }
 
-    public List<Passage> all() {
+    public List<TunnelContext> all() {
         return List.copyOf(passages.values());
     }
 
@@ -145,39 +145,39 @@
     /** How many tunnels have no socket at a backend yet, or none any more, and will need one. */
     public int undialled() {
         int count = 0;
-        for (Passage passage : passages.values()) {
-            count += passage.answered || passage.out ? 0 : 1;
+        for (TunnelContext passage : passages.values()) {
+            count += passage.answered || passage.setupPending ? 0 : 1;
         }
         return count;
     }
 
     /** Is told of every tunnel as it is let go. */
-    public void whenLeft(Consumer<Passage> then) {
+    public void whenLeft(Consumer<TunnelContext> then) {
         left = then;
     }
 
-    public void leave(Passage passage) {
+    public void remove(TunnelContext passage) {
         passages.remove(passage.id);
         left.accept(passage);
-        openIds.remove(passage.asked.id());
-        endedIds.put(passage.asked.id(), true);
-        if (passage.overdue != null) {
-            passage.overdue.cancel();
+        openIds.remove(passage.request.id());
+        endedIds.put(passage.request.id(), true);
+        if (passage.clientTimer != null) {
+            passage.clientTimer.cancel();
         }
     }
 
     /** Final answer: declined, come back after so many seconds (0: no advice). */
-    public void decline(Passage passage, double retryAfter) {
-        if (answers(passage, Answer.DECLINED)) {
-            passage.talk.decline(passage.client, retryAfter);
+    public void decline(TunnelContext passage, double retryAfter) {
+        if (answerCount(passage, Answer.DECLINED)) {
+            passage.protocol.decline(passage.client, retryAfter);
             answered(passage);
         }
     }
 
     /** Final answer: closed with error. */
-    public void closeWithError(Passage passage) {
-        if (answers(passage, Answer.CLOSED_WITH_ERROR)) {
-            passage.talk.closeWithError(passage.client);
+    public void closeWithError(TunnelContext passage) {
+        if (answerCount(passage, Answer.CLOSED_WITH_ERROR)) {
+            passage.protocol.closeWithError(passage.client);
             answered(passage);
         }
     }
@@ -185,21 +185,21 @@
     /**
      * There is one final answer, so a second is dropped, and so is one to a tunnel that is gone.
      */
-    private boolean answers(Passage passage, Answer answer) {
+    private boolean answerCount(TunnelContext passage, Answer answer) {
         if (passage == null || passage.answered) {
             return false;
         }
-        answers.get(answer)[passage.asked.profile()]++;
+        answers.get(answer)[passage.request.profile()]++;
         passage.answered = true;
-        passage.over = true;
+        passage.finished = true;
         return true;
     }
 
-    private void answered(Passage passage) {
+    private void answered(TunnelContext passage) {
         if (passage.client != null) {
             passage.client.linger();
         }
-        leave(passage);
+        remove(passage);
     }
 
     public void log(String line) {
@@ -214,7 +214,7 @@
                     line.append(' ')
                             .append(answer.name().toLowerCase())
                             .append('=')
-                            .append(answers(answer));
+                            .append(answerCount(answer));
                     for (int p = 0; p < by.length; p++) {
                         line.append(p == 0 ? " (" : " ")
                                 .append(profiles.get(p))
--- a/relay/src/main/java/asterpulley/net/Asked.java
+++ b/relay/src/main/java/asterpulley/net/TunnelRequest.java
@@ -4,7 +4,7 @@
  * What a client asks of a relay with its first words, in terms that every protocol has. A front
  * reads it off its own protocol and never changes it; nothing here may name a protocol's words.
  */
-public interface Asked {
+public interface TunnelRequest {
     /** The client's own id of this tunnel, new with every one. */
     String id();
 
@@ -23,11 +23,11 @@
      * Seconds that the client waits for its answer; NaN where it names none, as only a standing
      * tunnel's may.
      */
-    double patience();
+    double clientTimeout();
 
     /** The server that it stood at before the relay started; null for a new tunnel. */
-    String at();
+    String previousServer();
 
     /** The first bytes for a server, which says so that this relay waits for so many seconds. */
-    byte[] opening(double wait);
+    byte[] setupMessage(double wait);
 }
--- a/relay/src/main/java/asterpulley/serve/Config.java
+++ b/relay/src/main/java/asterpulley/serve/Config.java
@@ -1,13 +1,13 @@
 package asterpulley.serve;
 
 import asterpulley.Settings;
-import asterpulley.decode.CharterDecoder;
 import asterpulley.decode.Json;
+import asterpulley.decode.RoutingPolicyDecoder;
 import asterpulley.decode.SettingsDecoder;
-import asterpulley.line.Words;
-import asterpulley.list.Fleet;
+import asterpulley.line.LineCodec;
+import asterpulley.list.ServerList;
 import asterpulley.net.Addresses;
-import asterpulley.routes.Charter;
+import asterpulley.routes.RoutingPolicy;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -44,9 +44,9 @@
     final int sockets;
     final double memory;
     final Settings settings;
-    final Words words;
-    final Fleet.Names names;
-    final Fleet known;
+    final LineCodec lineCodec;
+    final ServerList.NameIndex nameIndex;
+    final ServerList initialServerList;
 
     /** What is told of pools; null where nothing is, as on the platform. */
     private final Map<String, Object> routes;
@@ -62,20 +62,20 @@
         settingsService =
                 in.get(SETTINGS_SERVICE) == null ? null : address(Json.text(in, SETTINGS_SERVICE));
         seed = seed(Json.text(in, "seed"));
-        sockets = (int) Json.number(Json.part(in, "limits"), "sockets", 1024);
-        memory = Json.number(Json.part(in, "limits"), "memory_mb", 192) * (1 << 20);
+        sockets = (int) Json.number(Json.objectOrEmpty(in, "limits"), "sockets", 1024);
+        memory = Json.number(Json.objectOrEmpty(in, "limits"), "memory_mb", 192) * (1 << 20);
         connectTimeout(told);
-        settings = SettingsDecoder.settings(told);
-        words = new Words(told);
-        names = new Fleet.Names(told);
-        known = Fleet.read(Json.object(in.get("known"), "known"), names);
+        settings = SettingsDecoder.decode(told);
+        lineCodec = new LineCodec(told);
+        nameIndex = new ServerList.NameIndex(told);
+        initialServerList = ServerList.fromJson(Json.object(in.get("known"), "known"), nameIndex);
         routes = in.get("routes") == null ? null : Json.object(in.get("routes"), "routes");
         if (routes != null) {
             // What is wrong with it is to be said now, not when it is used.
             charter(told);
         }
         if (settings.profiles.isEmpty()) {
-            throw new Json.Malformed("settings name no profiles");
+            throw new Json.MalformedException("settings name no profiles");
         }
     }
 
@@ -85,15 +85,15 @@
     }
 
     static Config read(Path file) throws IOException {
-        return new Config(json(file));
+        return new Config(readJson(file));
     }
 
-    static Map<String, Object> json(Path file) throws IOException {
+    static Map<String, Object> readJson(Path file) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(Files.newInputStream(file))) {
             parser.nextToken();
-            return Json.object(Json.value(parser), "the configuration");
+            return Json.object(Json.read(parser), "the configuration");
         } catch (JsonProcessingException e) {
-            throw new Json.Malformed(
+            throw new Json.MalformedException(
                     "not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
     }
@@ -103,12 +103,12 @@
     }
 
     /** With the names and credits of these settings, which are those in force. */
-    Charter charter(Map<String, Object> inForce) {
-        return routes == null ? null : CharterDecoder.charter(routes, settings.zone, inForce);
+    RoutingPolicy charter(Map<String, Object> inForce) {
+        return routes == null ? null : RoutingPolicyDecoder.decode(routes, settings.zone, inForce);
     }
 
     static double connectTimeout(Map<String, Object> settings) {
-        return Json.number(Json.part(settings, "limits"), "dialTimeoutMs", 1000) / 1000;
+        return Json.number(Json.objectOrEmpty(settings, "limits"), "dialTimeoutMs", 1000) / 1000;
     }
 
     /** The settings of this reading, by the platform's names. */
@@ -132,13 +132,15 @@
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
-            throw new Json.Malformed("seed '" + hex + "' is not hexadecimal");
+            throw new Json.MalformedException("seed '" + hex + "' is not hexadecimal");
         }
     }
 
     private static InetSocketAddress address(String text) {
-        return Addresses.read(text)
+        return Addresses.parse(text)
                 .orElseThrow(
-                        () -> new Json.Malformed("'" + text + "' is not an address and a port"));
+                        () ->
+                                new Json.MalformedException(
+                                        "'" + text + "' is not an address and a port"));
     }
 }
--- a/relay/src/main/java/asterpulley/serve/Control.java
+++ b/relay/src/main/java/asterpulley/serve/ControlPlane.java
@@ -1,19 +1,19 @@
 package asterpulley.serve;
 
 import asterpulley.Settings;
-import asterpulley.line.Probes;
+import asterpulley.line.ProbeFilter;
 import asterpulley.list.Discovery;
-import asterpulley.net.Admit;
-import asterpulley.net.Book;
+import asterpulley.net.AdmissionFilter;
 import asterpulley.net.Dialer;
-import asterpulley.net.Lobby;
-import asterpulley.net.Loop;
-import asterpulley.net.Route;
+import asterpulley.net.EventLoop;
+import asterpulley.net.IdleConnections;
+import asterpulley.net.LoadBalancerFilter;
 import asterpulley.net.SocketFilter;
-import asterpulley.net.Talk;
-import asterpulley.routes.Charter;
-import asterpulley.routes.Guide;
-import asterpulley.settings.InForce;
+import asterpulley.net.TunnelProtocol;
+import asterpulley.net.TunnelRegistry;
+import asterpulley.routes.PoolRouter;
+import asterpulley.routes.RoutingPolicy;
+import asterpulley.settings.ActiveSettings;
 import java.util.Map;
 import java.util.Random;
 import java.util.function.Consumer;
@@ -30,21 +30,21 @@
  * front (the line protocol in {@link Serve}, or one without sockets) stands on it. It must never
  * know a client's connection.
  */
-public final class Control {
-    public final Loop loop;
-    public final Book book;
-    public final Route route;
-    public final Admit admit;
-    final Lobby lobby;
+public final class ControlPlane {
+    public final EventLoop loop;
+    public final TunnelRegistry registry;
+    public final LoadBalancerFilter decisions;
+    public final AdmissionFilter admission;
+    final IdleConnections lobby;
     final Discovery discovery;
     final Dialer dialer;
     final SocketFilter sockets;
-    private final Probes probes;
+    private final ProbeFilter probes;
 
     /** The watch on the settings; null where no service tells any. */
-    final SettingsWatch settings;
+    final SettingsWatch settingsWatcher;
 
-    private final InForce told;
+    private final ActiveSettings told;
 
     /** What reads the names of profiles and customers besides. */
     private Consumer<Map<String, Object>> front = names -> {};
@@ -57,46 +57,53 @@
     private double longestTimeout;
 
     /** {@code kept}: what outlives this process; null: nothing. */
-    Control(Config config, Kept kept, Talk talk, Loop loop, TCPNIOTransport transport) {
+    ControlPlane(
+            Config config,
+            StateFiles kept,
+            TunnelProtocol talk,
+            EventLoop loop,
+            TCPNIOTransport transport) {
         this.config = config;
         this.loop = loop;
         told =
                 config.settingsService == null
                         ? null
-                        : new InForce(config.told(), all -> this.config.charter(all), loop.now());
+                        : new ActiveSettings(
+                                config.told(), all -> this.config.charter(all), loop.now());
         if (told != null) {
             SettingsWatch.restore(told, kept);
         }
         inForce = told == null ? config.settings : told.settings();
         longestTimeout = longest();
-        book = new Book(inForce.profiles.stream().map(p -> p.name).toList());
-        lobby = new Lobby(loop, book, talk);
-        route = new Route(loop, book);
+        registry = new TunnelRegistry(inForce.profiles.stream().map(p -> p.name).toList());
+        lobby = new IdleConnections(loop, registry, talk);
+        decisions = new LoadBalancerFilter(loop, registry);
         discovery =
                 new Discovery(
                         config.discovery,
-                        !config.settings.listMustBeAsked,
-                        config.names,
-                        config.known,
+                        !config.settings.subscribesToServerList,
+                        config.nameIndex,
+                        config.initialServerList,
                         loop,
-                        book,
-                        route,
+                        registry,
+                        decisions,
                         transport);
         dialer =
                 new Dialer(
                         Config.connectTimeout(names()),
                         transport,
                         loop,
-                        book,
+                        registry,
                         lobby,
                         discovery::dial);
-        probes = new Probes(inForce, loop, book, dialer, route);
-        sockets = new SocketFilter(transport, loop, book, lobby);
-        admit = new Admit(loop, inForce, talk, book, lobby, new Random(config.seed));
-        admit.room(config.sockets);
-        lobby.alsoFrees(probes::hangUp);
-        probes.through(FilterChainBuilder.stateless().add(sockets).add(probes).build());
-        settings =
+        probes = new ProbeFilter(inForce, loop, registry, dialer, decisions);
+        sockets = new SocketFilter(transport, loop, registry, lobby);
+        admission =
+                new AdmissionFilter(loop, inForce, talk, registry, lobby, new Random(config.seed));
+        admission.setSocketLimit(config.sockets);
+        lobby.setSpareReleaser(probes::closeUnused);
+        probes.setFilterChain(FilterChainBuilder.stateless().add(sockets).add(probes).build());
+        settingsWatcher =
                 told == null
                         ? null
                         : new SettingsWatch(
@@ -104,20 +111,23 @@
                                 told,
                                 this::settingsChanged,
                                 loop,
-                                book,
+                                registry,
                                 new Random(config.seed + 1),
                                 transport,
                                 kept);
     }
 
     /** As a configuration of the platform's names tells it. */
-    public static Control of(
-            Map<String, Object> told, Talk talk, Loop loop, TCPNIOTransport transport) {
-        return new Control(Config.of(told), null, talk, loop, transport);
+    public static ControlPlane of(
+            Map<String, Object> told,
+            TunnelProtocol talk,
+            EventLoop loop,
+            TCPNIOTransport transport) {
+        return new ControlPlane(Config.of(told), null, talk, loop, transport);
     }
 
     /** What carries a relay's sockets: one thread, the loop's. */
-    public static TCPNIOTransport transport(Loop loop, MemoryManager<?> memory) {
+    public static TCPNIOTransport createTransport(EventLoop loop, MemoryManager<?> memory) {
         return TCPNIOTransportBuilder.newInstance()
                 .setName("relay")
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
@@ -130,7 +140,7 @@
                 .setSelectorHandler(loop)
                 .setReuseAddress(true)
                 .setTcpNoDelay(true)
-                .setReadBufferSize(SocketFilter.BUFFER)
+                .setReadBufferSize(SocketFilter.BUFFER_BYTES)
                 .setMemoryManager(memory)
                 .build();
     }
@@ -143,13 +153,19 @@
     /** {@code settingsHeard}: told once, where a service tells settings. */
     void start(Runnable settingsHeard) {
         if (config.tellsOfPools()) {
-            route.narrowedBy(
-                    new Guide(config.charter(names()), loop.now(), book::log, book::count));
+            decisions.setPoolRouter(
+                    new PoolRouter(
+                            config.charter(names()), loop.now(), registry::log, registry::count));
         }
-        if (settings != null) {
-            settings.start(settingsHeard);
+        if (settingsWatcher != null) {
+            settingsWatcher.start(settingsHeard);
         }
-        route.start(inForce, config.seed, config.known.servers(), probes::ask, discovery::watch);
+        decisions.start(
+                inForce,
+                config.seed,
+                config.initialServerList.servers(),
+                probes::probe,
+                discovery::watch);
         lobby.start();
         probes.start();
     }
@@ -167,27 +183,27 @@
     }
 
     /** Is told when others are in force, after everybody has them. */
-    public void whenSettingsInForce(Runnable then) {
+    public void onSettingsApplied(Runnable then) {
         settled = then;
     }
 
     /** The settings in force, by the platform's names. */
     Map<String, Object> names() {
-        return told == null ? config.told() : told.effective();
+        return told == null ? config.told() : told.effectiveDocument();
     }
 
     /** Others are in force: what reads them has them all when this returns, between two events. */
     private void settingsChanged() {
-        Map<String, Object> all = told.effective();
-        Charter charter = config.charter(all);
+        Map<String, Object> all = told.effectiveDocument();
+        RoutingPolicy charter = config.charter(all);
         inForce = told.settings();
         front.accept(all);
-        book.profiles(inForce.profiles.stream().map(p -> p.name).toList());
-        admit.settings(inForce);
-        probes.settings(inForce);
-        dialer.connectTimeout(Config.connectTimeout(all));
-        route.settings(inForce, charter);
-        loop.after(longestTimeout, () -> longestTimeout = longest());
+        registry.profiles(inForce.profiles.stream().map(p -> p.name).toList());
+        admission.updateSettings(inForce);
+        probes.updateSettings(inForce);
+        dialer.setConnectTimeout(Config.connectTimeout(all));
+        decisions.updateSettings(inForce, charter);
+        loop.schedule(longestTimeout, () -> longestTimeout = longest());
         longestTimeout = Math.max(longestTimeout, longest());
         settled.run();
     }
@@ -202,12 +218,12 @@
     }
 
     /** The settings in force, where a service tells them; else null. */
-    public InForce settings() {
+    public ActiveSettings activeSettings() {
         return told;
     }
 
     /** The version of the list that is in force here. */
-    public long listVersion() {
+    public long serverListVersion() {
         return discovery.version();
     }
 }
--- a/relay/src/main/java/asterpulley/serve/Farewell.java
+++ b/relay/src/main/java/asterpulley/serve/Farewell.java
@@ -1,11 +1,11 @@
 package asterpulley.serve;
 
-import asterpulley.Exodus;
-import asterpulley.net.Book;
-import asterpulley.net.Lobby;
-import asterpulley.net.Loop;
-import asterpulley.net.Passage;
-import asterpulley.net.Route;
+import asterpulley.DrainScheduler;
+import asterpulley.net.EventLoop;
+import asterpulley.net.IdleConnections;
+import asterpulley.net.LoadBalancerFilter;
+import asterpulley.net.TunnelContext;
+import asterpulley.net.TunnelRegistry;
 import java.util.logging.Logger;
 
 /**
@@ -47,20 +47,25 @@
      */
     private static final double QUIET_FROM = 0.4, QUIET_BY = 2.8;
 
-    private final Loop loop;
-    private final Book book;
-    private final Route route;
-    private final Lobby lobby;
+    private final EventLoop loop;
+    private final TunnelRegistry book;
+    private final LoadBalancerFilter route;
+    private final IdleConnections lobby;
     private final Runnable shut;
 
     /** Null where nobody is sent away. */
-    private Exodus exodus;
+    private DrainScheduler exodus;
 
     private boolean quiet, leaving, isShut;
     private double since, leave;
 
     /** {@code shut}: accepts who waits in the clients' queue, and nobody from then on. */
-    Farewell(Loop loop, Book book, Route route, Lobby lobby, Runnable shut) {
+    Farewell(
+            EventLoop loop,
+            TunnelRegistry book,
+            LoadBalancerFilter route,
+            IdleConnections lobby,
+            Runnable shut) {
         this.loop = loop;
         this.book = book;
         this.route = route;
@@ -81,7 +86,7 @@
         if (!quiet && !leaving) {
             quiet = true;
             LOG.info("quiesced, held " + book.held());
-            exodus = new Exodus(loop.now() + QUIET_FROM, loop.now() + QUIET_BY);
+            exodus = new DrainScheduler(loop.now() + QUIET_FROM, loop.now() + QUIET_BY);
             quieten(exodus);
         }
     }
@@ -95,10 +100,10 @@
         }
     }
 
-    private void quieten(Exodus by) {
+    private void quieten(DrainScheduler by) {
         if (exodus == by) {
             move();
-            loop.after(Exodus.STEP, () -> quieten(by));
+            loop.schedule(DrainScheduler.STEP_SECONDS, () -> quieten(by));
         }
     }
 
@@ -121,7 +126,7 @@
                             + book.held());
             book.count("leaving");
             double moved = since + leave - MOVED_BEFORE;
-            exodus = new Exodus(succeeded ? since : moved - MOVES_OVER, moved);
+            exodus = new DrainScheduler(succeeded ? since : moved - MOVES_OVER, moved);
             leaving(gone);
         }
     }
@@ -131,35 +136,36 @@
         move();
         if (now > leave) {
             // What is still pending now gets its answer before the kill instead of none.
-            book.all().forEach(route::overdue);
-            lobby.turnAway();
+            book.all().forEach(route::expire);
+            lobby.declinePending();
         }
         // A newcomer's line may still be on its way: whoever was accepted of late is waited for.
         boolean alone =
-                Math.min(now, loop.now() - book.lastAcceptedAt) > NEWCOMERS && !lobby.awaits();
-        boolean done = book.held() == 0 && book.lingering == 0 && book.waiting == 0 && alone;
+                Math.min(now, loop.now() - book.lastAcceptedAt) > NEWCOMERS
+                        && !lobby.hasPendingRequests();
+        boolean done = book.held() == 0 && book.lingering == 0 && book.pendingWrites == 0 && alone;
         if (done && !isShut) {
             // Whom the system took in its queue is still a client of this relay.
             isShut = true;
             shut.run();
-            loop.after(Exodus.STEP, () -> leaving(gone));
+            loop.schedule(DrainScheduler.STEP_SECONDS, () -> leaving(gone));
             return;
         }
-        if (done || now > leave + 2 * Exodus.STEP) {
+        if (done || now > leave + 2 * DrainScheduler.STEP_SECONDS) {
             LOG.info("left after " + Math.round(now * 1000) + " ms");
             LOG.info(book.toString());
             gone.run();
             return;
         }
-        loop.after(Exodus.STEP, () -> leaving(gone));
+        loop.schedule(DrainScheduler.STEP_SECONDS, () -> leaving(gone));
     }
 
     private void move() {
         int due = exodus.due(loop.now(), book.held());
-        for (Passage passage : book.all()) {
-            if (due > 0 && passage.standing && !passage.moving) {
+        for (TunnelContext passage : book.all()) {
+            if (due > 0 && passage.established && !passage.moving) {
                 due--;
-                passage.talk.move(passage);
+                passage.protocol.move(passage);
             }
         }
     }
--- a/relay/src/main/java/asterpulley/serve/Main.java
+++ b/relay/src/main/java/asterpulley/serve/Main.java
@@ -17,7 +17,7 @@
         if (args.length == 1 && args[0].equals("--help")) {
             System.out.print(USAGE);
         } else if (args.length == 1 && args[0].equals("serve")) {
-            System.exit(Serve.run(System.err));
+            System.exit(RelayInstance.run(System.err));
         } else {
             System.err.print(USAGE);
             System.exit(2);
--- a/relay/src/main/java/asterpulley/serve/Operators.java
+++ b/relay/src/main/java/asterpulley/serve/Operators.java
@@ -2,9 +2,9 @@
 
 import asterpulley.door.Desk;
 import asterpulley.door.Figures;
-import asterpulley.net.Book;
-import asterpulley.net.Loop;
-import asterpulley.net.Route;
+import asterpulley.net.EventLoop;
+import asterpulley.net.LoadBalancerFilter;
+import asterpulley.net.TunnelRegistry;
 import java.io.IOException;
 import java.util.Set;
 import java.util.TreeSet;
@@ -27,12 +27,12 @@
     private static final double TEACH = 2;
 
     private final Farewell farewell;
-    private final Book book;
-    private final Route route;
-    private final Loop loop;
+    private final TunnelRegistry book;
+    private final LoadBalancerFilter route;
+    private final EventLoop loop;
 
     /** Null where nothing outlives this process. */
-    private final Kept kept;
+    private final StateFiles kept;
 
     /** Null where no service tells settings. */
     private final SettingsWatch settings;
@@ -41,10 +41,10 @@
 
     Operators(
             Farewell farewell,
-            Book book,
-            Route route,
-            Loop loop,
-            Kept kept,
+            TunnelRegistry book,
+            LoadBalancerFilter route,
+            EventLoop loop,
+            StateFiles kept,
             SettingsWatch settings) {
         this.farewell = farewell;
         this.book = book;
@@ -65,31 +65,31 @@
             double[] learned = kept.learned();
             if (learned.length > 0) {
                 LOG.info(
-                        (route.learn(learned) ? "taken over" : "not of this form")
+                        (route.importLearnedState(learned) ? "taken over" : "not of this form")
                                 + ": what another process had learned");
             }
-            loop.after(TEACH, this::teach);
+            loop.schedule(TEACH, this::teach);
         }
     }
 
     private void watch() {
-        if (kept.changed()) {
+        if (kept.cordonsChanged()) {
             adopt();
         }
-        loop.after(LOOK, this::watch);
+        loop.schedule(LOOK, this::watch);
     }
 
     private void teach() {
         if (!farewell.leaving()) {
-            kept.learned(route.learned());
-            loop.after(TEACH, this::teach);
+            kept.learned(route.exportLearnedState());
+            loop.schedule(TEACH, this::teach);
         }
     }
 
     private void adopt() {
         kept.cordons()
-                .filter(servers -> !servers.equals(route.cordoned()))
-                .ifPresent(route::cordon);
+                .filter(servers -> !servers.equals(route.cordonedServers()))
+                .ifPresent(route::setCordonedServers);
     }
 
     /** Clients can be taken from now on. */
@@ -108,7 +108,7 @@
         if (farewell.quiet()) {
             return new Answer(Kind.NOT_NOW, "not ready: quiesced");
         }
-        if (route.members(false) == 0) {
+        if (route.listedServerCount(false) == 0) {
             return new Answer(Kind.NOT_NOW, "not ready: no list of backends yet");
         }
         return Answer.yes("ready");
@@ -139,13 +139,15 @@
     }
 
     private Answer leaveOut(String server, boolean out) {
-        if (!route.knows(server)) {
+        if (!route.isKnown(server)) {
             return new Answer(Kind.UNKNOWN, "no backend " + server);
         }
         // What another process was told a moment ago counts as well.
         Set<String> servers =
                 new TreeSet<>(
-                        kept == null ? route.cordoned() : kept.cordons().orElse(route.cordoned()));
+                        kept == null
+                                ? route.cordonedServers()
+                                : kept.cordons().orElse(route.cordonedServers()));
         if (out ? servers.add(server) : servers.remove(server)) {
             try {
                 if (kept != null) {
@@ -163,8 +165,8 @@
                         "not done: it could not be kept over an upgrade, no room for its file");
             }
         }
-        if (!servers.equals(route.cordoned())) {
-            route.cordon(servers);
+        if (!servers.equals(route.cordonedServers())) {
+            route.setCordonedServers(servers);
         }
         return Answer.yes(
                 server + (out ? " is left out" : " is back") + ", left out now: " + servers.size());
--- a/relay/src/main/java/asterpulley/serve/Serve.java
+++ b/relay/src/main/java/asterpulley/serve/RelayInstance.java
@@ -1,21 +1,21 @@
 package asterpulley.serve;
 
-import static asterpulley.net.Addresses.text;
+import static asterpulley.net.Addresses.format;
 
 import asterpulley.decode.Json;
 import asterpulley.door.Door;
-import asterpulley.line.LineTalk;
-import asterpulley.line.Relay;
-import asterpulley.line.Send;
-import asterpulley.line.TakeIn;
-import asterpulley.line.Words;
+import asterpulley.line.ClientRequestFilter;
+import asterpulley.line.ForwardingFilter;
+import asterpulley.line.LineCodec;
+import asterpulley.line.LineProtocol;
+import asterpulley.line.SetupFilter;
 import asterpulley.list.Discovery;
-import asterpulley.net.Accepting;
-import asterpulley.net.Book;
-import asterpulley.net.Listener;
-import asterpulley.net.Loop;
-import asterpulley.net.Route;
+import asterpulley.net.AcceptStrategy;
+import asterpulley.net.ClientListener;
+import asterpulley.net.EventLoop;
+import asterpulley.net.LoadBalancerFilter;
 import asterpulley.net.SocketFilter;
+import asterpulley.net.TunnelRegistry;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -37,8 +37,8 @@
  * leaves in order when it is told to. Everything after the start happens on the one selector
  * thread. It must never end with a tunnel unanswered or a client unmoved while there is still time.
  */
-public final class Serve {
-    private static final Logger LOG = Logger.getLogger(Serve.class.getName());
+public final class RelayInstance {
+    private static final Logger LOG = Logger.getLogger("asterpulley.serve.Serve");
 
     /** Held here: a logger that nobody holds is collected, and its level with it. */
     private static final Logger GRIZZLY = Logger.getLogger("org.glassfish.grizzly");
@@ -74,17 +74,17 @@
     private static final double READY = 5, MOMENT = 0.5;
 
     /** Before what a relay knows of its pools, in its log. */
-    public static final String ROUTES = "routes ";
+    public static final String ROUTES_LOG_PREFIX = "routes ";
 
     private final long begun = System.nanoTime();
     private Config config;
-    private final Loop loop = new Loop();
-    private final Control control;
-    private final Book book;
-    private final Route route;
+    private final EventLoop loop = new EventLoop();
+    private final ControlPlane control;
+    private final TunnelRegistry book;
+    private final LoadBalancerFilter route;
     private final Discovery discovery;
     private final TCPNIOTransport transport;
-    private Listener listener;
+    private ClientListener listener;
     private final CountDownLatch gone = new CountDownLatch(1);
     private final Farewell farewell;
 
@@ -95,7 +95,7 @@
     private final Operators operators;
 
     private final Door door;
-    private final Kept kept;
+    private final StateFiles kept;
     private final CountDownLatch current = new CountDownLatch(1),
             settingsHeard = new CountDownLatch(1);
 
@@ -109,54 +109,63 @@
      * Decides from now on; nobody is accepted before {@link #open}. {@code folder}: what outlives
      * it; null: nothing.
      */
-    Serve(Config config, Path folder) throws IOException {
+    RelayInstance(Config config, Path folder) throws IOException {
         this.config = config;
         transport =
-                Control.transport(
+                ControlPlane.createTransport(
                         loop,
                         new PooledMemoryManager(
-                                SocketFilter.BUFFER, 1, 1, 1, pooled(config.memory), 0.25f, false));
-        LineTalk talk = new LineTalk();
-        kept = config.operator == null || folder == null ? null : new Kept(folder, config.name);
-        control = new Control(config, kept, talk, loop, transport);
-        book = control.book;
-        route = control.route;
+                                SocketFilter.BUFFER_BYTES,
+                                1,
+                                1,
+                                1,
+                                pooled(config.memory),
+                                0.25f,
+                                false));
+        LineProtocol talk = new LineProtocol();
+        kept =
+                config.operator == null || folder == null
+                        ? null
+                        : new StateFiles(folder, config.name);
+        control = new ControlPlane(config, kept, talk, loop, transport);
+        book = control.registry;
+        route = control.decisions;
         discovery = control.discovery;
-        settings = control.settings;
+        settings = control.settingsWatcher;
         farewell = new Farewell(loop, book, route, control.lobby, this::shut);
         operators =
                 config.operator == null
                         ? null
                         : new Operators(farewell, book, route, loop, kept, settings);
         door = operators == null ? null : new Door(operators, loop, book);
-        Send send = new Send(loop, book, control.dialer, route);
-        Relay relay = new Relay(loop, book, route, send);
-        talk.through(send, relay);
-        transport.setIOStrategy(new Accepting(loop, control.admit));
+        SetupFilter send = new SetupFilter(loop, book, control.dialer, route);
+        ForwardingFilter relay = new ForwardingFilter(loop, book, route, send);
+        talk.setFilters(send, relay);
+        transport.setIOStrategy(new AcceptStrategy(loop, control.admission));
         limits();
-        send.through(
+        send.setFilterChain(
                 FilterChainBuilder.stateless().add(control.sockets).add(send).add(relay).build());
-        TakeIn takeIn =
-                new TakeIn(
+        ClientRequestFilter takeIn =
+                new ClientRequestFilter(
                         loop,
-                        new Words(control.names()),
+                        new LineCodec(control.names()),
                         talk,
                         book,
                         control.lobby,
                         () -> !farewell.quiet());
-        control.whenNamesChange(names -> takeIn.words(new Words(names)));
+        control.whenNamesChange(names -> takeIn.setCodec(new LineCodec(names)));
         transport.setProcessor(
                 FilterChainBuilder.stateless()
                         .add(control.sockets)
                         .add(takeIn)
-                        .add(control.admit)
+                        .add(control.admission)
                         .add(route)
                         .add(relay)
                         .build());
         // Timers and the module start as the loop's first work.
         transport.start();
         CountDownLatch started = new CountDownLatch(1);
-        loop.handIn(
+        loop.submit(
                 () -> {
                     if (catchesUp()) {
                         discovery.whenCurrent(current::countDown);
@@ -181,7 +190,8 @@
      * the first moment of a process.
      */
     private boolean catchesUp() {
-        return config.discovery != null && (operators != null || !config.settings.listMustBeAsked);
+        return config.discovery != null
+                && (operators != null || !config.settings.subscribesToServerList);
     }
 
     /** Serves as soon as this returns; where it has to, it catches up with the list before. */
@@ -190,7 +200,7 @@
             door.open(config.operator, transport);
             LOG.info(
                     "operators are answered at "
-                            + text(door.address())
+                            + format(door.address())
                             + (kept == null
                                     ? "; TMPDIR is not set, so cordons end with this process and an upgrade is not seen"
                                     : ""));
@@ -214,22 +224,22 @@
             if (shut) {
                 return;
             }
-            listener = Listener.open(config.listen, operators != null, transport);
+            listener = ClientListener.open(config.listen, operators != null, transport);
         }
         LOG.info(
                 "serving "
                         + config.name
                         + " at "
-                        + text(address())
+                        + format(address())
                         + ", backends known "
-                        + config.known.servers().size()
+                        + config.initialServerList.servers().size()
                         + ", sockets "
                         + config.sockets);
         if (kept != null) {
-            kept.serve();
+            kept.markServing();
         }
         if (operators != null) {
-            loop.handIn(operators::opened);
+            loop.submit(operators::opened);
         }
     }
 
@@ -253,13 +263,14 @@
 
     private void limits() {
         // At an upgrade two processes share the memory.
-        book.mostWaiting =
+        book.maxPendingWrites =
                 (int)
                         (config.memory
                                 / (operators == null ? 1 : 2)
                                 * FOR_SLOW_READERS
-                                / SocketFilter.BUFFER);
-        control.admit.room(config.sockets - OWN_FILES - (door == null ? 0 : Door.SOCKETS));
+                                / SocketFilter.BUFFER_BYTES);
+        control.admission.setSocketLimit(
+                config.sockets - OWN_FILES - (door == null ? 0 : Door.SOCKETS));
     }
 
     /**
@@ -269,16 +280,16 @@
      */
     synchronized void reload(Source source) {
         try {
-            changeTo(source.read());
+            applyConfig(source.read());
         } catch (IOException | RuntimeException e) {
-            loop.handIn(() -> book.count("configurations_unreadable"));
+            loop.submit(() -> book.count("configurations_unreadable"));
             LOG.warning("configuration kept, the new one cannot be read: " + e.getMessage());
         }
     }
 
     /** From any thread. */
-    void changeTo(Config anew) {
-        loop.handIn(() -> change(anew));
+    void applyConfig(Config anew) {
+        loop.submit(() -> change(anew));
     }
 
     private void change(Config anew) {
@@ -286,13 +297,13 @@
                 "configuration read anew: "
                         + (anew.discovery == null
                                 ? "backends "
-                                        + config.known.servers().size()
+                                        + config.initialServerList.servers().size()
                                         + " to "
-                                        + anew.known.servers().size()
+                                        + anew.initialServerList.servers().size()
                                 : "discovery "
-                                        + text(config.discovery)
+                                        + format(config.discovery)
                                         + " to "
-                                        + text(anew.discovery))
+                                        + format(anew.discovery))
                         + ", sockets "
                         + anew.sockets
                         + ", held "
@@ -301,10 +312,10 @@
                                 ? "; changes of name, listen and settings wait for a restart"
                                 : ""));
         book.count("configurations");
-        if (anew.tellsOfPools() != (route.guide() != null)
+        if (anew.tellsOfPools() != (route.poolRouter() != null)
                 || anew.tellsOfPools()
-                        && !route.guide()
-                                .change(
+                        && !route.poolRouter()
+                                .reload(
                                         anew.charter(
                                                 settings == null ? anew.told() : control.names()),
                                         loop.now())) {
@@ -318,7 +329,7 @@
             settings.moveTo(anew.settingsService);
         }
         if (anew.discovery == null) {
-            discovery.tell(anew.known);
+            discovery.tell(anew.initialServerList);
         } else {
             discovery.moveTo(anew.discovery);
         }
@@ -349,7 +360,7 @@
         return run(
                 file,
                 () -> {
-                    Map<String, Object> told = Config.json(Path.of(file));
+                    Map<String, Object> told = Config.readJson(Path.of(file));
                     // The platform has no such service: only an operator's own file may name one.
                     told.remove(Config.SETTINGS_SERVICE);
                     return told;
@@ -362,11 +373,12 @@
         GRIZZLY.setLevel(Level.WARNING);
         CHAINS.setLevel(Level.SEVERE);
         // What is told before there is a relay to tell is done as soon as there is one.
-        CompletableFuture<Serve> there = new CompletableFuture<>();
-        Signal.handle(new Signal("TERM"), s -> there.thenAccept(Serve::end));
+        CompletableFuture<RelayInstance> there = new CompletableFuture<>();
+        Signal.handle(new Signal("TERM"), s -> there.thenAccept(RelayInstance::beginShutdown));
         Signal.handle(new Signal("HUP"), s -> there.thenAccept(serve -> serve.reload(source)));
         Signal.handle(
-                new Signal("USR1"), s -> there.thenAccept(serve -> serve.counted(serve::tellAll)));
+                new Signal("USR1"),
+                s -> there.thenAccept(serve -> serve.readCounters(serve::tellAll)));
         Config config;
         try {
             config = source.read();
@@ -377,22 +389,23 @@
                             + ": "
                             + e.getClass().getSimpleName());
             return 1;
-        } catch (Json.Malformed e) {
+        } catch (Json.MalformedException e) {
             stderr.println("asterpulley serve: configuration: " + e.getMessage());
             return 1;
         }
         try {
             String folder = System.getenv("TMPDIR");
-            Serve serve =
-                    new Serve(config, folder == null || folder.isEmpty() ? null : Path.of(folder));
+            RelayInstance serve =
+                    new RelayInstance(
+                            config, folder == null || folder.isEmpty() ? null : Path.of(folder));
             there.complete(serve);
             serve.open();
-            serve.await();
+            serve.awaitTermination();
             return 0;
         } catch (IOException e) {
             stderr.println(
                     "asterpulley serve: cannot listen at "
-                            + text(config.listen)
+                            + format(config.listen)
                             + ": "
                             + e.getMessage());
             return 1;
@@ -405,27 +418,27 @@
         return listener.address();
     }
 
-    InetSocketAddress operator() {
+    InetSocketAddress operatorAddress() {
         return door.address();
     }
 
-    private void tellAll(Book counts) {
+    private void tellAll(TunnelRegistry counts) {
         LOG.info(counts.toString());
-        if (route.guide() != null) {
-            LOG.info(ROUTES + Json.text(route.guide().state(loop.now())));
+        if (route.poolRouter() != null) {
+            LOG.info(ROUTES_LOG_PREFIX + Json.text(route.poolRouter().state(loop.now())));
         }
     }
 
     /** What was counted so far, read on the loop's own thread. */
-    void counted(Consumer<Book> reader) {
-        loop.handIn(() -> reader.accept(book));
+    void readCounters(Consumer<TunnelRegistry> reader) {
+        loop.submit(() -> reader.accept(book));
     }
 
     /** Tells it to end, from any thread. */
-    void end() {
-        loop.handIn(
+    void beginShutdown() {
+        loop.submit(
                 () -> {
-                    boolean succeeded = kept != null && kept.succeeded();
+                    boolean succeeded = kept != null && kept.isSuperseded();
                     if (succeeded) {
                         shut();
                     }
@@ -434,7 +447,7 @@
     }
 
     /** Waits until it has left. */
-    void await() throws InterruptedException {
+    void awaitTermination() throws InterruptedException {
         gone.await();
     }
 
--- a/relay/src/main/java/asterpulley/serve/SettingsWatch.java
+++ b/relay/src/main/java/asterpulley/serve/SettingsWatch.java
@@ -1,10 +1,10 @@
 package asterpulley.serve;
 
 import asterpulley.decode.Json;
-import asterpulley.net.Book;
-import asterpulley.net.LongPoll;
-import asterpulley.net.Loop;
-import asterpulley.settings.InForce;
+import asterpulley.net.EventLoop;
+import asterpulley.net.LongPollClient;
+import asterpulley.net.TunnelRegistry;
+import asterpulley.settings.ActiveSettings;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
@@ -21,7 +21,7 @@
  * it. It must never ask again at once after a failure or where nothing came, nor keep silent for
  * longer than settings may take to be in force.
  */
-final class SettingsWatch implements LongPoll.Caller {
+final class SettingsWatch implements LongPollClient.Callback {
     private static final Logger LOG = Logger.getLogger(SettingsWatch.class.getName());
     private static final String PATH = "/registry/settings";
 
@@ -43,45 +43,45 @@
     /** An answer before this that brings nothing is of a service that does not wait. */
     private static final double AT_ONCE = WAIT / 2;
 
-    private final InForce settings;
+    private final ActiveSettings settings;
     private final Runnable changed;
-    private final Loop loop;
-    private final Book book;
+    private final EventLoop loop;
+    private final TunnelRegistry book;
     private final Random random;
-    private final LongPoll poll;
+    private final LongPollClient poll;
 
     /** Null where nothing outlives this process. */
-    private final Kept kept;
+    private final StateFiles kept;
 
     private double backOff = FIRST_BACK_OFF, calledAt;
     private boolean down, askedWhole, keptToo = true;
-    private Loop.Due next;
+    private EventLoop.Timer next;
     private Runnable current = () -> {};
 
     /** {@code changed}: other settings are in force; it returns when the whole relay has them. */
     SettingsWatch(
             InetSocketAddress service,
-            InForce settings,
+            ActiveSettings settings,
             Runnable changed,
-            Loop loop,
-            Book book,
+            EventLoop loop,
+            TunnelRegistry book,
             Random random,
             TCPNIOTransport transport,
-            Kept kept) {
+            StateFiles kept) {
         this.settings = settings;
         this.changed = changed;
         this.loop = loop;
         this.book = book;
         this.random = random;
         this.kept = kept;
-        poll = new LongPoll(PATH, service, this, loop, book, transport);
+        poll = new LongPollClient(PATH, service, this, loop, book, transport);
     }
 
     /**
      * Goes on from what a process before had in force; told in the log where that can't be read.
      * Before the start.
      */
-    static void restore(InForce settings, Kept kept) {
+    static void restore(ActiveSettings settings, StateFiles kept) {
         try {
             Map<String, Object> before = kept == null ? null : kept.settings();
             if (before != null) {
@@ -112,8 +112,8 @@
     /** Asks there from now on; until it answers, what is in force stays. */
     void moveTo(InetSocketAddress service) {
         if (!service.equals(poll.address())) {
-            poll.moveTo(service);
-            settings.moved();
+            poll.setAddress(service);
+            settings.serviceChanged();
             backOff = FIRST_BACK_OFF;
             again(0);
         }
@@ -122,16 +122,17 @@
     private void call() {
         book.count("settings_calls");
         calledAt = loop.now();
-        askedWhole = settings.wholeWanted();
-        poll.with("&epoch=" + settings.told().epoch());
-        poll.call(askedWhole ? LongPoll.NONE : settings.told().seq(), WAIT, PATIENCE);
+        askedWhole = settings.needsFullDocument();
+        poll.setExtraQuery("&epoch=" + settings.received().epoch());
+        poll.request(
+                askedWhole ? LongPollClient.NO_VERSION : settings.received().seq(), WAIT, PATIENCE);
     }
 
     private void again(double seconds) {
         if (next != null) {
             next.cancel();
         }
-        next = loop.after(seconds, this::call);
+        next = loop.schedule(seconds, this::call);
     }
 
     /** Later each time, and not all relays at once. */
@@ -141,24 +142,24 @@
     }
 
     @Override
-    public void answered(String body) {
+    public void responseReceived(String body) {
         // Whatever befalls this relay with that answer, it asks again.
         again(LONGEST_BACK_OFF);
-        InForce.Version before = settings.version();
-        InForce.Verdict verdict;
+        ActiveSettings.Version before = settings.version();
+        ActiveSettings.Verdict verdict;
         book.add("settings_bytes", body.length());
         try (JsonParser parser = new JsonFactory().createParser(body)) {
             parser.nextToken();
-            verdict = settings.told(Json.object(Json.value(parser), "the answer"), loop.now());
-        } catch (IOException | Json.Malformed e) {
-            poll.hangUp();
-            failed("malformed: " + e.getMessage().lines().findFirst().orElse(""), false);
+            verdict = settings.received(Json.object(Json.read(parser), "the answer"), loop.now());
+        } catch (IOException | Json.MalformedException e) {
+            poll.disconnect();
+            requestFailed("malformed: " + e.getMessage().lines().findFirst().orElse(""), false);
             return;
         }
         book.count("settings_" + verdict.kind().name().toLowerCase());
         if (down) {
             down = false;
-            LOG.info("settings service back, told " + settings.told());
+            LOG.info("settings service back, told " + settings.received());
         }
         if (verdict.changed()) {
             changed.run();
@@ -172,15 +173,15 @@
                             + told(settings));
             keep();
         }
-        if (verdict.kind() == InForce.Kind.REFUSED
-                || settings.refused() != null
-                        && verdict.kind() == InForce.Kind.GAP
-                        && settings.refused().version().equals(settings.told())) {
+        if (verdict.kind() == ActiveSettings.Kind.REFUSED
+                || settings.lastRefusal() != null
+                        && verdict.kind() == ActiveSettings.Kind.GAP
+                        && settings.lastRefusal().version().equals(settings.received())) {
             LOG.warning(
                     "settings "
-                            + settings.refused().version()
+                            + settings.lastRefusal().version()
                             + " refused: "
-                            + settings.refused().where()
+                            + settings.lastRefusal().reason()
                             + "; "
                             + settings.version()
                             + " stays in force");
@@ -202,7 +203,7 @@
     }
 
     @Override
-    public void failed(String why, boolean silent) {
+    public void requestFailed(String why, boolean silent) {
         book.count("settings_failures");
         if (!down) {
             down = true;
@@ -213,7 +214,7 @@
                             + settings.version()
                             + " stay in force");
         }
-        if (!settings.version().equals(InForce.Version.NONE)) {
+        if (!settings.version().equals(ActiveSettings.Version.NONE)) {
             // What was kept serves until it is back; without that a start waits a little for its
             // first settings.
             heard();
@@ -229,7 +230,7 @@
     private void keep() {
         try {
             if (kept != null) {
-                kept.settings(settings.kept());
+                kept.settings(settings.snapshot());
             }
             keptToo = true;
         } catch (IOException e) {
@@ -240,11 +241,11 @@
         }
     }
 
-    private static String told(InForce settings) {
+    private static String told(ActiveSettings settings) {
         return "profiles "
                 + settings.settings().profiles.size()
                 + ", customers "
-                + settings.settings().shares.size();
+                + settings.settings().customerShares.size();
     }
 
     /**
@@ -252,25 +253,25 @@
      */
     String state() {
         Map<String, Object> state = new LinkedHashMap<>();
-        InForce.Version version = settings.version();
-        boolean none = version.equals(InForce.Version.NONE);
+        ActiveSettings.Version version = settings.version();
+        boolean none = version.equals(ActiveSettings.Version.NONE);
         state.put("epoch", none ? null : version.epoch());
         state.put("version", none ? null : version.seq());
-        state.put("since", Math.round(settings.since() * 1000) / 1000.0);
+        state.put("since", Math.round(settings.activeSince() * 1000) / 1000.0);
         state.put("service", down ? "down" : "heard");
-        InForce.Refusal refused = settings.refused();
+        ActiveSettings.Refusal refused = settings.lastRefusal();
         if (refused != null) {
             Map<String, Object> last = new LinkedHashMap<>();
             last.put("epoch", refused.version().epoch());
             last.put("version", refused.version().seq());
             last.put("at", Math.round(refused.at() * 1000) / 1000.0);
-            last.put("where", refused.where());
+            last.put("where", refused.reason());
             state.put("refused", last);
         }
         return Json.text(state);
     }
 
-    InForce inForce() {
+    ActiveSettings inForce() {
         return settings;
     }
 }
--- a/relay/src/main/java/asterpulley/serve/Kept.java
+++ b/relay/src/main/java/asterpulley/serve/StateFiles.java
@@ -23,14 +23,14 @@
  * then a rename) or not at all; one that cannot be read is told by its name and must never keep a
  * relay from starting.
  */
-final class Kept {
-    private static final Logger LOG = Logger.getLogger(Kept.class.getName());
+final class StateFiles {
+    private static final Logger LOG = Logger.getLogger("asterpulley.serve.Kept");
     private static final String HEAD = "left out by operators, one a line", END = "end ";
     private final Path cordons, serving, learned, settings;
     private Object seen = "never read";
 
     /** {@code relay}: its name, since several may share a folder. */
-    Kept(Path folder, String relay) {
+    StateFiles(Path folder, String relay) {
         String name = relay.replaceAll("[^A-Za-z0-9._-]", "_");
         cordons = folder.resolve("asterpulley-" + name + ".cordons");
         serving = folder.resolve("asterpulley-" + name + ".serving");
@@ -86,7 +86,7 @@
     /**
      * True where another process has written who is left out since this one last read or wrote it.
      */
-    boolean changed() {
+    boolean cordonsChanged() {
         return !seen.equals(stamp());
     }
 
@@ -125,10 +125,10 @@
     /** The settings that a process before had in force; null where none are kept. */
     Map<String, Object> settings() throws IOException {
         try {
-            return Config.json(settings);
+            return Config.readJson(settings);
         } catch (NoSuchFileException e) {
             return null;
-        } catch (Json.Malformed e) {
+        } catch (Json.MalformedException e) {
             throw new IOException(settings + ", " + e.getMessage());
         }
     }
@@ -138,7 +138,7 @@
     }
 
     /** This process serves from now on. */
-    void serve() {
+    void markServing() {
         try {
             write(serving, ProcessHandle.current().pid() + "\n");
         } catch (IOException e) {
@@ -150,7 +150,7 @@
     }
 
     /** True where another process has taken over and runs. */
-    boolean succeeded() {
+    boolean isSuperseded() {
         try {
             long pid = Long.parseLong(Files.readString(serving).trim());
             return pid != ProcessHandle.current().pid() && ProcessHandle.of(pid).isPresent();
--- a/relay/src/main/java/asterpulley/settings/InForce.java
+++ b/relay/src/main/java/asterpulley/settings/ActiveSettings.java
@@ -21,7 +21,7 @@
  * good one to a bad one, and never give a profile or customer another place while the process
  * lives.
  */
-public final class InForce {
+public final class ActiveSettings {
     /**
      * The history of a service, which only another, higher number replaces, and the version within
      * it.
@@ -59,7 +59,7 @@
     public record Verdict(Kind kind, boolean changed) {}
 
     /** A version that can't be in force: the path of the fault, and what it is. */
-    public record Refusal(Version version, String where, double at) {}
+    public record Refusal(Version version, String reason, double at) {}
 
     /** A list as it was told, and each of its entries at its place. */
     private record Placed(Object told, List<Object> entries) {}
@@ -70,25 +70,25 @@
     private final Consumer<Map<String, Object>> readers;
 
     /** What was told last, good or bad: changes go from there. */
-    private Told told = new Told(Version.NONE, null);
+    private Told received = new Told(Version.NONE, null);
 
-    private boolean wholeWanted = true;
+    private boolean needsFullDocument = true;
 
     /** The last good one. */
-    private Told good = told;
+    private Told good = received;
 
     /** No answer below it counts: what is in force, until another service is asked. */
     private Version floor = Version.NONE;
 
-    private double since;
-    private Refusal refused;
-    private long refusals;
+    private double activeSince;
+    private Refusal lastRefusal;
+    private long refusalCount;
 
     /** By their place, those that were taken away as well. */
     private Set<String> profiles = new LinkedHashSet<>(), customers = new LinkedHashSet<>();
 
     private final Map<String, Placed> placed = new HashMap<>();
-    private Map<String, Object> effective;
+    private Map<String, Object> effectiveDocument;
     private Settings settings;
 
     /**
@@ -96,10 +96,11 @@
      * readers}: who else reads settings, on a copy, and throws {@link Json.Malformed} where it
      * can't.
      */
-    public InForce(Map<String, Object> own, Consumer<Map<String, Object>> readers, double now) {
+    public ActiveSettings(
+            Map<String, Object> own, Consumer<Map<String, Object>> readers, double now) {
         this.own = own;
         this.readers = readers;
-        since = now;
+        activeSince = now;
         adopt(Map.of());
     }
 
@@ -107,17 +108,17 @@
      * An answer of the service; {@link Json.Malformed} where it has not the form of one: then
      * nothing is changed.
      */
-    public Verdict told(Map<String, Object> answer, double now) {
+    public Verdict received(Map<String, Object> answer, double now) {
         Version at =
                 new Version(
-                        answer.get("epoch") == null ? 0 : Json.whole(answer, "epoch"),
-                        Json.whole(answer, "seq"));
+                        answer.get("epoch") == null ? 0 : Json.integer(answer, "epoch"),
+                        Json.integer(answer, "seq"));
         if (at.seq < 0 || at.epoch < 0) {
-            throw new Json.Malformed("seq or epoch is below 0");
+            throw new Json.MalformedException("seq or epoch is below 0");
         }
         boolean whole = Json.flag(answer, "whole");
         if (whole && !answer.containsKey("settings")) {
-            throw new Json.Malformed("field settings is missing");
+            throw new Json.MalformedException("field settings is missing");
         }
         Map<Long, Change> changes = whole ? Map.of() : changes(answer);
         // What was refused bounds nothing: a version that was never anybody's must not shut out
@@ -126,29 +127,29 @@
             return new Verdict(Kind.STALE, false);
         }
         if (whole) {
-            wholeWanted = false;
-            if (at.equals(told.version) || at.equals(floor)) {
-                told = at.equals(floor) ? good : told;
+            needsFullDocument = false;
+            if (at.equals(received.version) || at.equals(floor)) {
+                received = at.equals(floor) ? good : received;
                 return new Verdict(Kind.SAME, false);
             }
             return tried(
                     List.of(new Told(at, MergePatch.apply(null, answer.get("settings")))), now);
         }
-        wholeWanted |= at.epoch != told.version.epoch || at.seq < told.version.seq;
+        needsFullDocument |= at.epoch != received.version.epoch || at.seq < received.version.seq;
         List<Told> steps = new ArrayList<>();
-        long last = told.version.seq;
-        Object document = told.settings;
+        long last = received.version.seq;
+        Object document = received.settings;
         for (Change next = changes.get(last);
-                next != null && !wholeWanted;
+                next != null && !needsFullDocument;
                 next = changes.get(last)) {
             last = next.to;
             document = MergePatch.apply(document, next.patch);
             steps.add(new Told(new Version(at.epoch, last), document));
         }
-        wholeWanted |=
+        needsFullDocument |=
                 last < changes.values().stream().mapToLong(Change::to).reduce(at.seq, Math::max);
         return steps.isEmpty()
-                ? new Verdict(wholeWanted ? Kind.GAP : Kind.SAME, false)
+                ? new Verdict(needsFullDocument ? Kind.GAP : Kind.SAME, false)
                 : tried(steps, now);
     }
 
@@ -163,10 +164,10 @@
         Map<Long, Change> changes = new HashMap<>();
         for (Object o : Json.list(answer, "changes")) {
             Map<String, Object> change = Json.object(o, "a change");
-            long to = Json.whole(change, "seq");
-            long from = change.get("from") == null ? to - 1 : Json.whole(change, "from");
+            long to = Json.integer(change, "seq");
+            long from = change.get("from") == null ? to - 1 : Json.integer(change, "from");
             if (from < 0 || from >= to || !change.containsKey("patch")) {
-                throw new Json.Malformed(
+                throw new Json.MalformedException(
                         "a change has no patch, or not one from an earlier version to a later");
             }
             changes.merge(
@@ -182,17 +183,17 @@
      * refused.
      */
     private Verdict tried(List<Told> steps, double now) {
-        told = steps.get(steps.size() - 1);
-        Kind kind = wholeWanted ? Kind.GAP : Kind.IN_FORCE;
+        received = steps.get(steps.size() - 1);
+        Kind kind = needsFullDocument ? Kind.GAP : Kind.IN_FORCE;
         for (int i = steps.size() - 1; i >= 0; i--) {
             String wrong = taken(steps.get(i));
             if (wrong == null) {
-                since = now;
+                activeSince = now;
                 return new Verdict(kind, true);
             }
-            refusals++;
+            refusalCount++;
             if (i == steps.size() - 1) {
-                refused = new Refusal(told.version, wrong, now);
+                lastRefusal = new Refusal(received.version, wrong, now);
                 kind = Kind.REFUSED;
             }
         }
@@ -209,7 +210,7 @@
         }
         try {
             adopt(Json.object(step.settings, "settings"));
-        } catch (Json.Malformed e) {
+        } catch (Json.MalformedException e) {
             return e.getMessage();
         }
         good = step;
@@ -219,11 +220,11 @@
 
     private void adopt(Map<String, Object> document) {
         Set<String> p = new LinkedHashSet<>(profiles), c = new LinkedHashSet<>(customers);
-        Map<String, Object> all = effective(document, p, c);
-        Settings read = SettingsDecoder.settings(all);
+        Map<String, Object> all = effectiveDocument(document, p, c);
+        Settings read = SettingsDecoder.decode(all);
         readers.accept(all);
         settings = read;
-        effective = all;
+        effectiveDocument = all;
         profiles = p;
         customers = c;
         placed.put(
@@ -242,7 +243,7 @@
      * All settings with the document laid over the relay's own; each profile and customer at its
      * place.
      */
-    private Map<String, Object> effective(
+    private Map<String, Object> effectiveDocument(
             Map<String, Object> document, Set<String> p, Set<String> c) {
         Map<String, Object> plain = new LinkedHashMap<>(document);
         Object profilesTold =
@@ -263,11 +264,11 @@
         }
         Map<String, Map<String, Object>> now = Schema.byName(told);
         if (list.equals("profiles") && now.isEmpty()) {
-            throw new Json.Malformed("profiles: none is left");
+            throw new Json.MalformedException("profiles: none is left");
         }
         places.addAll(now.keySet());
         if (places.size() > most) {
-            throw new Json.Malformed(
+            throw new Json.MalformedException(
                     list
                             + ": more than "
                             + most
@@ -295,21 +296,21 @@
      * Another service is asked from now on: its history is its own, so its whole counts whatever
      * its version.
      */
-    public void moved() {
-        told = new Told(Version.NONE, null);
+    public void serviceChanged() {
+        received = new Told(Version.NONE, null);
         floor = Version.NONE;
-        wholeWanted = true;
+        needsFullDocument = true;
     }
 
     /** What to keep over a restart; null where no service has told anything that is in force. */
-    public Map<String, Object> kept() {
+    public Map<String, Object> snapshot() {
         if (good.version.equals(Version.NONE)) {
             return null;
         }
         Map<String, Object> kept = new LinkedHashMap<>();
         kept.put("epoch", good.version.epoch);
         kept.put("seq", good.version.seq);
-        kept.put("since", since);
+        kept.put("since", activeSince);
         kept.put("profiles", List.copyOf(profiles));
         kept.put("customers", List.copyOf(customers));
         kept.put("settings", good.settings);
@@ -321,8 +322,8 @@
      * be in force.
      */
     public void restore(Map<String, Object> kept) {
-        Version version = new Version(Json.whole(kept, "epoch"), Json.whole(kept, "seq"));
-        double from = Json.number(kept, "since", since);
+        Version version = new Version(Json.integer(kept, "epoch"), Json.integer(kept, "seq"));
+        double from = Json.number(kept, "since", activeSince);
         Set<String> p = places(kept, "profiles", Schema.PROFILES),
                 c = places(kept, "customers", Schema.CUSTOMERS);
         Set<String> ownProfiles = profiles, ownCustomers = customers;
@@ -334,11 +335,11 @@
         if (wrong != null) {
             profiles = ownProfiles;
             customers = ownCustomers;
-            throw new Json.Malformed(wrong);
+            throw new Json.MalformedException(wrong);
         }
-        told = whole;
-        wholeWanted = false;
-        since = from;
+        received = whole;
+        needsFullDocument = false;
+        activeSince = from;
     }
 
     /**
@@ -352,13 +353,13 @@
     }
 
     /** True where only the whole document helps: there is none yet, or changes are missing. */
-    public boolean wholeWanted() {
-        return wholeWanted;
+    public boolean needsFullDocument() {
+        return needsFullDocument;
     }
 
     /** What was told last, good or bad: a service is asked for what is newer. */
-    public Version told() {
-        return told.version;
+    public Version received() {
+        return received.version;
     }
 
     public Version version() {
@@ -366,17 +367,17 @@
     }
 
     /** When the version in force came in force; before any, when this process started. */
-    public double since() {
-        return since;
+    public double activeSince() {
+        return activeSince;
     }
 
     /** The last one that was refused; null: none. */
-    public Refusal refused() {
-        return refused;
+    public Refusal lastRefusal() {
+        return lastRefusal;
     }
 
-    public long refusals() {
-        return refusals;
+    public long refusalCount() {
+        return refusalCount;
     }
 
     /** What is in force, for the module; never changed once it is handed out. */
@@ -388,7 +389,7 @@
      * The same as names and values, as a relay's file has them; those taken away are marked as
      * retired.
      */
-    public Map<String, Object> effective() {
-        return effective;
+    public Map<String, Object> effectiveDocument() {
+        return effectiveDocument;
     }
 }
--- a/relay/src/main/java/asterpulley/settings/Schema.java
+++ b/relay/src/main/java/asterpulley/settings/Schema.java
@@ -143,7 +143,11 @@
         for (Map.Entry<?, ?> e : part.entrySet()) {
             String wrong;
             if (own != null && e.getKey().equals("probes")) {
-                wrong = own(path + ".probes", e.getValue(), Json.part(own, "limits").get("probes"));
+                wrong =
+                        own(
+                                path + ".probes",
+                                e.getValue(),
+                                Json.objectOrEmpty(own, "limits").get("probes"));
             } else {
                 Check check = PARTS.get(path).get(e.getKey());
                 wrong = check == null ? "no such key" : check.wrong(e.getValue());
--- a/relay/src/test/java/asterpulley/serve/CrowdTest.java
+++ b/relay/src/test/java/asterpulley/serve/CrowdTest.java
@@ -154,7 +154,7 @@
 
     private int sockets() throws Exception {
         CompletableFuture<Integer> got = new CompletableFuture<>();
-        serve.counted(book -> got.complete(book.sockets));
+        serve.readCounters(book -> got.complete(book.sockets));
         return got.get(20, TimeUnit.SECONDS);
     }
 
--- a/relay/src/test/java/asterpulley/serve/FuzzTest.java
+++ b/relay/src/test/java/asterpulley/serve/FuzzTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import asterpulley.line.Words;
+import asterpulley.line.LineCodec;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -45,7 +45,7 @@
     private static final long MOST_GROWTH = 16 << 20;
     private static ServerSocket backend;
     private static ExecutorService threads;
-    private static Serve serve;
+    private static RelayInstance serve;
     private static long ids;
     private static int tries;
     private static long heapAtFirst;
@@ -74,7 +74,7 @@
         Map<String, Object> host =
                 Map.of("host", "b", "dial", "127.0.0.1:" + backend.getLocalPort(), "health", "up");
         serve =
-                new Serve(
+                new RelayInstance(
                         Config.of(
                                 Map.of(
                                         "name",
@@ -139,7 +139,7 @@
         assertTrue(wide <= 2, "sockets and tunnels left: " + wide);
         MALFORMED.retainAll(REACHED);
         assertEquals(Set.of(), MALFORMED, "reached a backend though malformed");
-        assertTrue(now(book -> book.counted("opened")) > 100, "good openings open");
+        assertTrue(now(book -> book.counterValue("opened")) > 100, "good openings open");
         long heap = heap();
         assertTrue(heap - heapAtFirst < MOST_GROWTH, "the heap grew by " + (heap - heapAtFirst));
         serve.kill();
@@ -148,10 +148,10 @@
         QUIET.setLevel(null);
     }
 
-    private static long now(java.util.function.ToLongFunction<asterpulley.net.Book> what)
+    private static long now(java.util.function.ToLongFunction<asterpulley.net.TunnelRegistry> what)
             throws Exception {
         CompletableFuture<Long> got = new CompletableFuture<>();
-        serve.counted(book -> got.complete(what.applyAsLong(book)));
+        serve.readCounters(book -> got.complete(what.applyAsLong(book)));
         return got.get(20, TimeUnit.SECONDS);
     }
 
@@ -290,7 +290,7 @@
                         whole
                                 ? new BufferedReader(
                                                 new InputStreamReader(
-                                                        s.getInputStream(), Words.BYTES))
+                                                        s.getInputStream(), LineCodec.CHARSET))
                                         .readLine()
                                 : null;
                 if (sent.good) {
@@ -298,7 +298,7 @@
                             answer != null && (answer.equals("UP r1") || answer.startsWith("BUSY")),
                             answer);
                 } else if (whole) {
-                    assertTrue(answer == null || answer.equals(Words.ERR), answer);
+                    assertTrue(answer == null || answer.equals(LineCodec.ERR), answer);
                 }
             } catch (SocketException e) {
                 assertEquals(false, sent.good, "a good opening was cut off");
--- a/relay/src/test/java/asterpulley/serve/KeptTest.java
+++ b/relay/src/test/java/asterpulley/serve/KeptTest.java
@@ -26,18 +26,18 @@
 
     @Test
     void whatIsKeptIsReadAgainByAnotherProcess() throws IOException {
-        Kept one = new Kept(folder, "n1");
-        Kept two = new Kept(folder, "n1");
+        StateFiles one = new StateFiles(folder, "n1");
+        StateFiles two = new StateFiles(folder, "n1");
         assertEquals(Optional.empty(), one.cordons());
         assertEquals(Optional.empty(), two.cordons());
-        assertFalse(two.changed());
+        assertFalse(two.cordonsChanged());
         one.cordons(new TreeSet<>(Set.of("s-2", "s-1")));
-        assertFalse(one.changed(), "its own change is none");
-        assertTrue(two.changed());
+        assertFalse(one.cordonsChanged(), "its own change is none");
+        assertTrue(two.cordonsChanged());
         assertEquals(Optional.of(Set.of("s-1", "s-2")), two.cordons());
-        assertFalse(two.changed());
+        assertFalse(two.cordonsChanged());
         one.cordons(new TreeSet<>());
-        assertTrue(two.changed());
+        assertTrue(two.cordonsChanged());
         assertEquals(Optional.of(Set.of()), two.cordons());
         try (var files = Files.list(folder)) {
             assertEquals(1, files.count(), "nothing but the file is left");
@@ -46,7 +46,7 @@
 
     @Test
     void cutAtAnyByteTheWholeLinesCountAndNothingCrashes() throws IOException {
-        Kept kept = new Kept(folder, "n1");
+        StateFiles kept = new StateFiles(folder, "n1");
         Set<String> all = new TreeSet<>(Set.of("s-1", "s-22", "s-333"));
         kept.cordons(all);
         byte[] whole = Files.readAllBytes(file("cordons"));
@@ -70,42 +70,43 @@
 
     @Test
     void whatCannotBeReadOrWrittenIsToldAndChangesNothing() throws IOException {
-        Kept kept = new Kept(folder, "n1");
+        StateFiles kept = new StateFiles(folder, "n1");
         Files.createDirectories(file("cordons").resolve("inside"));
         assertEquals(Optional.empty(), kept.cordons());
         assertThrows(IOException.class, () -> kept.cordons(new TreeSet<>(Set.of("s-1"))));
-        Kept nowhere = new Kept(folder.resolve("no such folder"), "n1");
+        StateFiles nowhere = new StateFiles(folder.resolve("no such folder"), "n1");
         assertEquals(Optional.empty(), nowhere.cordons());
         assertThrows(IOException.class, () -> nowhere.cordons(new TreeSet<>(Set.of("s-1"))));
-        nowhere.serve();
-        assertFalse(nowhere.succeeded());
+        nowhere.markServing();
+        assertFalse(nowhere.isSuperseded());
     }
 
     @Test
     void whatWasLearnedIsReadAgainAndAnythingElseIsNothing() throws IOException {
-        Kept kept = new Kept(folder, "n1");
+        StateFiles kept = new StateFiles(folder, "n1");
         assertEquals(0, kept.learned().length);
         kept.learned(new double[] {0, 0.25, 46});
-        assertTrue(Arrays.equals(new double[] {0, 0.25, 46}, new Kept(folder, "n1").learned()));
+        assertTrue(
+                Arrays.equals(new double[] {0, 0.25, 46}, new StateFiles(folder, "n1").learned()));
         Files.writeString(file("learned"), "0.25\nmany\n");
         assertEquals(0, kept.learned().length);
-        new Kept(folder.resolve("no such folder"), "n1").learned(new double[] {1});
+        new StateFiles(folder.resolve("no such folder"), "n1").learned(new double[] {1});
     }
 
     @Test
     void onlyAnotherProcessThatRunsHasTakenOver() throws Exception {
-        Kept kept = new Kept(folder, "n1");
-        assertFalse(kept.succeeded(), "nobody says so");
-        kept.serve();
-        assertFalse(kept.succeeded(), "it is this process");
+        StateFiles kept = new StateFiles(folder, "n1");
+        assertFalse(kept.isSuperseded(), "nobody says so");
+        kept.markServing();
+        assertFalse(kept.isSuperseded(), "it is this process");
         Process other = new ProcessBuilder("sleep", "60").start();
         Files.writeString(file("serving"), other.pid() + "\n");
-        assertTrue(kept.succeeded());
+        assertTrue(kept.isSuperseded());
         other.destroyForcibly().waitFor();
-        assertFalse(kept.succeeded(), "it has died");
+        assertFalse(kept.isSuperseded(), "it has died");
         for (String wrong : new String[] {"", "12", "x\n", "-1\n", "99999999999999999999\n"}) {
             Files.writeString(file("serving"), wrong);
-            assertFalse(kept.succeeded() && wrong.isEmpty(), wrong);
+            assertFalse(kept.isSuperseded() && wrong.isEmpty(), wrong);
         }
     }
 }
--- a/relay/src/test/java/asterpulley/serve/LeavingTest.java
+++ b/relay/src/test/java/asterpulley/serve/LeavingTest.java
@@ -25,11 +25,11 @@
     /** Tells it to end; done once it has left. */
     private CompletableFuture<Void> leaves() throws Exception {
         CompletableFuture<Void> left = new CompletableFuture<>();
-        serve.end();
+        serve.beginShutdown();
         await("leaving", 1);
         background(
                 () -> {
-                    serve.await();
+                    serve.awaitTermination();
                     left.complete(null);
                 });
         return left;
@@ -126,17 +126,17 @@
         End once = client("pay", 9000);
         hangs.taken();
         await("setups_written", 2);
-        serve.end();
-        serve.end();
+        serve.beginShutdown();
+        serve.beginShutdown();
         config(1000);
-        serve.reload(() -> Config.json(folder.resolve("config.json")));
+        serve.reload(() -> Config.readJson(folder.resolve("config.json")));
         long since = System.nanoTime();
         assertEquals("ERR", repeatable.line(), "it was sent on");
         assertEquals("ERR", once.line());
         assertNull(repeatable.line());
         assertNull(once.line());
         assertTrue(System.nanoTime() - since < 3.7e9, "before it may be killed");
-        serve.await();
+        serve.awaitTermination();
         assertEquals(1, counted("leaving"), "told twice, it leaves once");
     }
 
--- a/relay/src/test/java/asterpulley/serve/LeftTest.java
+++ b/relay/src/test/java/asterpulley/serve/LeftTest.java
@@ -210,7 +210,7 @@
     private void awaitHeld(int count) throws Exception {
         for (int held = count + 1; held > count; Thread.yield()) {
             CompletableFuture<Integer> got = new CompletableFuture<>();
-            serve.counted(book -> got.complete(book.held()));
+            serve.readCounters(book -> got.complete(book.held()));
             held = got.get(20, TimeUnit.SECONDS);
         }
     }
