--- a/relay/src/test/java/asterpulley/serve/ListTest.java
+++ b/relay/src/test/java/asterpulley/serve/ListTest.java
@@ -46,7 +46,7 @@
         registry.calls.take();
         config(1000);
         long since = System.nanoTime();
-        serve.reload(() -> Config.json(folder.resolve("config.json")));
+        serve.reload(() -> Config.readJson(folder.resolve("config.json")));
         assertEquals("/registry/instances", registry.calls.take());
         registry.answers.add("HTTP/1.1 200 OK\r\n");
         assertEquals("/registry/instances", registry.calls.poll(20, TimeUnit.SECONDS));
@@ -85,8 +85,8 @@
         Config other = config(1000);
         Registry second = registry;
         Runnable on = pause();
-        serve.changeTo(other);
-        serve.changeTo(old);
+        serve.applyConfig(other);
+        serve.applyConfig(old);
         on.run();
         assertEquals("/registry/instances", first.calls.take());
         // The call that was given up has an answer coming too, and which of the two takes which is
--- a/relay/src/test/java/asterpulley/serve/OperatorsTest.java
+++ b/relay/src/test/java/asterpulley/serve/OperatorsTest.java
@@ -69,14 +69,18 @@
                 file,
                 Files.readString(file)
                         .replace("\"seed\"", "\"operator\":\"127.0.0.1:0\",\"seed\""));
-        serve = new Serve(Config.read(file), kept);
+        serve = new RelayInstance(Config.read(file), kept);
         open.add(serve::kill);
         registry.tells(41);
         serve.open();
     }
 
     End door() throws IOException {
-        End end = new End(new Socket(serve.operator().getAddress(), serve.operator().getPort()));
+        End end =
+                new End(
+                        new Socket(
+                                serve.operatorAddress().getAddress(),
+                                serve.operatorAddress().getPort()));
         open.add(end);
         return end;
     }
@@ -326,7 +330,7 @@
         assertEquals(12, said.figure("relay_pending"));
         assertEquals(1, said.figure("relay_members"));
         assertEquals(0, said.figure("relay_config_reloads_total"));
-        serve.reload(() -> Config.json(folder.resolve("config.json")));
+        serve.reload(() -> Config.readJson(folder.resolve("config.json")));
         await("configurations", 1);
         assertEquals(
                 12,
@@ -518,7 +522,7 @@
         call("POST", "quiesce");
         assertEquals(200, call("POST", "cordon/s1").status, "cordon while quiesced");
         assertEquals(1, stats().figure("relay_members_unavailable"));
-        serve.end();
+        serve.beginShutdown();
         until("health", 503);
         await("leaving", 1);
         assertEquals(503, call("POST", "quiesce").status, "quiesce while leaving");
@@ -534,7 +538,7 @@
         Files.writeString(kept().resolve("asterpulley-n1.serving"), other.pid() + "\n");
         CountDownLatch connected = new CountDownLatch(1);
         // The loop is held, so that nobody is accepted between the clients' connects and the end.
-        serve.counted(
+        serve.readCounters(
                 book -> {
                     try {
                         connected.await();
@@ -546,7 +550,7 @@
         for (int i = 0; i < 6; i++) {
             clients.add(client("chat", 2000));
         }
-        serve.end();
+        serve.beginShutdown();
         connected.countDown();
         for (int i = 0; i < 6; i++) {
             b.opens();
--- a/relay/src/test/java/asterpulley/serve/PaceTest.java
+++ b/relay/src/test/java/asterpulley/serve/PaceTest.java
@@ -71,9 +71,10 @@
                 .formatted(version, whole, String.join(",", entries));
     }
 
-    private Serve relay(Hasty service, boolean pushed, String... entries) throws IOException {
-        Serve relay =
-                new Serve(
+    private RelayInstance relay(Hasty service, boolean pushed, String... entries)
+            throws IOException {
+        RelayInstance relay =
+                new RelayInstance(
                         config(
                                 told -> {
                                     told =
@@ -154,7 +155,7 @@
                                                 + "\""),
                         1000,
                         one.entry("s1", "up"));
-        serve.changeTo(to);
+        serve.applyConfig(to);
         double kept = other.call(6) - other.call(1);
         assertTrue(kept < 5 * 0.2, "its watch is kept up for a while as well: " + kept);
     }
--- a/relay/src/test/java/asterpulley/serve/RelayStage.java
+++ b/relay/src/test/java/asterpulley/serve/RelayStage.java
@@ -343,7 +343,7 @@
 
     int clients;
     Registry registry;
-    Serve serve;
+    RelayInstance serve;
 
     Config config(int sockets, String... entries) throws IOException {
         return config(told -> told, sockets, entries);
@@ -378,7 +378,7 @@
     }
 
     void start(Config config) throws IOException {
-        serve = new Serve(config, null);
+        serve = new RelayInstance(config, null);
         open.add(serve::kill);
         serve.open();
     }
@@ -422,7 +422,7 @@
     Runnable pause() throws InterruptedException {
         CountDownLatch stopped = new CountDownLatch(1);
         CountDownLatch on = new CountDownLatch(1);
-        serve.counted(
+        serve.readCounters(
                 book -> {
                     stopped.countDown();
                     try {
@@ -437,7 +437,7 @@
 
     long counted(String what) throws Exception {
         CompletableFuture<Long> got = new CompletableFuture<>();
-        serve.counted(book -> got.complete(book.counted(what)));
+        serve.readCounters(book -> got.complete(book.counterValue(what)));
         return got.get(20, TimeUnit.SECONDS);
     }
 
--- a/relay/src/test/java/asterpulley/serve/ReturnTest.java
+++ b/relay/src/test/java/asterpulley/serve/ReturnTest.java
@@ -253,18 +253,20 @@
     /** One relay and its discovery. */
     private final class Path implements AutoCloseable {
         final Service service;
-        final Serve relay;
+        final RelayInstance relay;
 
         Path(Worker worker, boolean pushed, String... entries) throws IOException {
             service = new Service(worker);
-            relay = new Serve(config(told -> told(told, service, pushed), 1000, entries), null);
+            relay =
+                    new RelayInstance(
+                            config(told -> told(told, service, pushed), 1000, entries), null);
             open.add(this);
             relay.open();
         }
 
         private long counted(String what) throws Exception {
             CompletableFuture<Long> got = new CompletableFuture<>();
-            relay.counted(book -> got.complete(book.counted(what)));
+            relay.readCounters(book -> got.complete(book.counterValue(what)));
             return got.get(20, TimeUnit.SECONDS);
         }
 
@@ -384,7 +386,7 @@
                                 other.returns(Trouble.NONE, anew);
                             }
                             long moved = System.nanoTime();
-                            path.relay.changeTo(to);
+                            path.relay.applyConfig(to);
                             if (trouble != Trouble.NONE) {
                                 path.meets(other);
                                 moved = other.returns(Trouble.NONE, anew);
--- a/relay/src/test/java/asterpulley/serve/ServeTest.java
+++ b/relay/src/test/java/asterpulley/serve/ServeTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import asterpulley.decode.Json;
-import asterpulley.line.Words;
-import asterpulley.net.Failure;
+import asterpulley.line.LineCodec;
+import asterpulley.net.Termination;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -386,14 +386,14 @@
         client.line();
         client.socket.shutdownOutput();
         assertNull(backend.line());
-        byte[] chunk = new byte[4 * Words.LONGEST];
+        byte[] chunk = new byte[4 * LineCodec.MAX_LINE_BYTES];
         long sent = 0;
         for (boolean waits = false; !waits; ) {
             backend.socket.getOutputStream().write(chunk);
             sent += chunk.length;
             await("bytes_to_clients", sent);
             CompletableFuture<Boolean> waiting = new CompletableFuture<>();
-            serve.counted(book -> waiting.complete(book.waiting > 0));
+            serve.readCounters(book -> waiting.complete(book.pendingWrites > 0));
             waits = waiting.get(20, TimeUnit.SECONDS);
         }
         backend.close();
@@ -416,7 +416,7 @@
         midLine.line();
         backend.say("half a ");
         await("bytes_to_clients", 7);
-        serve.end();
+        serve.beginShutdown();
         await("leaving", 1);
         served.say("still here\r\n");
         assertEquals("still here", idle.line(), "served as long as there is time");
@@ -441,7 +441,7 @@
         b.opens();
         assertEquals("UP r1", last.line());
         assertEquals("MOVE", last.line());
-        serve.await();
+        serve.awaitTermination();
         assertEquals(4, counted("moved"));
     }
 
@@ -548,7 +548,7 @@
         registry.calls.take();
         for (int version = 7; version < 9; version++) {
             config(1000);
-            serve.reload(() -> Config.json(folder.resolve("config.json")));
+            serve.reload(() -> Config.readJson(folder.resolve("config.json")));
             assertEquals(
                     "/registry/instances",
                     registry.calls.take(),
@@ -562,10 +562,10 @@
         }
         for (String unreadable : List.of("", "{", "[]", "{\"settings\":{}}")) {
             Files.writeString(folder.resolve("config.json"), unreadable);
-            serve.reload(() -> Config.json(folder.resolve("config.json")));
+            serve.reload(() -> Config.readJson(folder.resolve("config.json")));
         }
-        serve.reload(() -> Config.json(folder.resolve("none.json")));
-        serve.reload(() -> Config.json(folder));
+        serve.reload(() -> Config.readJson(folder.resolve("none.json")));
+        serve.reload(() -> Config.readJson(folder));
         registry.tells(9, true, two.entry("s2", "up"));
         assertTrue(registry.calls.take().startsWith("/registry/instances?index=9&"));
         End client = client("chat", 2000);
@@ -590,7 +590,9 @@
                     }
                 }) {
             Files.writeString(file, c[0]);
-            String told = assertThrows(Json.Malformed.class, () -> Config.read(file)).getMessage();
+            String told =
+                    assertThrows(Json.MalformedException.class, () -> Config.read(file))
+                            .getMessage();
             assertTrue(told.startsWith(c[1]), told);
         }
     }
@@ -598,30 +600,35 @@
     @Test
     void withoutAConfigurationItSaysSo() {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        assertEquals(1, Serve.run(new PrintStream(err)));
+        assertEquals(1, RelayInstance.run(new PrintStream(err)));
         assertEquals("asterpulley serve: LB_CONFIG names no configuration", err.toString().trim());
     }
 
     @Test
     void howFarASetupHadComeTellsWhetherItMayHaveRun() {
-        for (Failure.Reach reach : Failure.Reach.values()) {
-            boolean sent = reach == Failure.Reach.SENT || reach == Failure.Reach.OPENED;
-            for (Failure.Cause cause :
+        for (Termination.Progress reach : Termination.Progress.values()) {
+            boolean sent =
+                    reach == Termination.Progress.SENT || reach == Termination.Progress.OPENED;
+            for (Termination.Cause cause :
                     List.of(
-                            Failure.Cause.BROKEN,
-                            Failure.Cause.GIVEN_UP,
-                            Failure.Cause.CLIENT_LEFT)) {
+                            Termination.Cause.BROKEN,
+                            Termination.Cause.GIVEN_UP,
+                            Termination.Cause.CLIENT_LEFT)) {
                 assertEquals(
                         !sent,
-                        new Failure(reach, cause).outcome().provesNotRun,
+                        new Termination(reach, cause).outcome().provesNoEffect,
                         reach + " " + cause);
             }
         }
-        assertTrue(new Failure(Failure.Reach.SENT, Failure.Cause.BUSY).outcome().provesNotRun);
-        for (Failure.Cause cause :
-                List.of(Failure.Cause.BYE, Failure.Cause.MOVE, Failure.Cause.ERR)) {
+        assertTrue(
+                new Termination(Termination.Progress.SENT, Termination.Cause.BUSY)
+                        .outcome()
+                        .provesNoEffect);
+        for (Termination.Cause cause :
+                List.of(Termination.Cause.BYE, Termination.Cause.MOVE, Termination.Cause.ERR)) {
             assertTrue(
-                    !new Failure(Failure.Reach.SENT, cause).outcome().provesNotRun, cause.name());
+                    !new Termination(Termination.Progress.SENT, cause).outcome().provesNoEffect,
+                    cause.name());
         }
     }
 }
--- a/relay/src/test/java/asterpulley/serve/SettingsTest.java
+++ b/relay/src/test/java/asterpulley/serve/SettingsTest.java
@@ -67,7 +67,7 @@
                                                         + "\",\"seed\""),
                         sockets,
                         entries);
-        serve = new Serve(config, kept);
+        serve = new RelayInstance(config, kept);
         open.add(serve::kill);
         registry.tells(41);
         serve.open();
@@ -75,7 +75,10 @@
 
     private String call(String path) throws IOException {
         try (End end =
-                new End(new Socket(serve.operator().getAddress(), serve.operator().getPort()))) {
+                new End(
+                        new Socket(
+                                serve.operatorAddress().getAddress(),
+                                serve.operatorAddress().getPort()))) {
             end.say("GET /admin/" + path + " HTTP/1.1\r\nHost: door\r\n\r\n");
             String all = new String(end.in.readAllBytes(), StandardCharsets.UTF_8);
             return all.substring(all.indexOf("\r\n\r\n") + 4);
@@ -85,7 +88,7 @@
     private Map<String, Object> state() throws IOException {
         Path file = folder.resolve("state.json");
         Files.writeString(file, call("settings"));
-        return Config.json(file);
+        return Config.readJson(file);
     }
 
     private long figure(String name) throws IOException {
@@ -123,7 +126,7 @@
         Path file = folder.resolve("config.json");
         Files.writeString(
                 file, Files.readString(file).replace("\"name\":\"pay\"", "\"name\":\"bulk\""));
-        serve.reload(() -> Config.json(file));
+        serve.reload(() -> Config.readJson(file));
         await("configurations", 1);
         assertEquals("ERR", opened("bulk"), "the new class is not there");
         assertEquals("UP r1", opened("pay"), "and the old one is");
@@ -240,7 +243,7 @@
         // settings.
         config(65);
         Config tight = Config.of(withService(folder.resolve("config.json")));
-        serve.changeTo(tight);
+        serve.applyConfig(tight);
         await("configurations", 1);
         service.change(map("limits", map("maxRetryAfterMs", 8)));
         inForce(3);
@@ -250,7 +253,7 @@
     }
 
     private Map<String, Object> withService(Path file) throws IOException {
-        Map<String, Object> told = Config.json(file);
+        Map<String, Object> told = Config.readJson(file);
         told.put("settings_service", way.address());
         told.put("operator", "127.0.0.1:0");
         return told;
@@ -304,7 +307,7 @@
         double since = ((Number) state().get("since")).doubleValue();
         service.change(map("profiles", map("bulk", null), "limits", map("mostSetups", 0)));
         await("settings_refused", 1);
-        Map<String, Object> refused = Json.part(state(), "refused");
+        Map<String, Object> refused = Json.objectOrEmpty(state(), "refused");
         assertEquals(
                 "limits.mostSetups: a whole number from 1 to 100, it is 0", refused.get("where"));
         assertEquals(11, ((Number) refused.get("version")).longValue());
@@ -322,7 +325,7 @@
         service.change(map("zones", List.of("elsewhere")));
         await("settings_refused", 2);
         assertTrue(
-                String.valueOf(Json.part(state(), "refused").get("where"))
+                String.valueOf(Json.objectOrEmpty(state(), "refused").get("where"))
                         .startsWith("zones: counts from a start"));
     }
 
--- a/relay/src/test/java/asterpulley/serve/StartTest.java
+++ b/relay/src/test/java/asterpulley/serve/StartTest.java
@@ -133,7 +133,7 @@
 
     /** Seconds that a start waits for the list which has taken 4.6 s until then. */
     private double slowStart(Config config) throws Exception {
-        serve = new Serve(config, null);
+        serve = new RelayInstance(config, null);
         open.add(serve::kill);
         // The machine is slow: so long it takes until it could listen.
         TimeUnit.MILLISECONDS.sleep(4600);
--- a/relay/src/test/java/asterpulley/serve/ToldRelay.java
+++ b/relay/src/test/java/asterpulley/serve/ToldRelay.java
@@ -12,6 +12,7 @@
     public static void main(String[] args) {
         System.setProperty(
                 "java.util.logging.SimpleFormatter.format", "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n");
-        System.exit(Serve.run(args[0], () -> Config.json(Path.of(args[0])), System.err));
+        System.exit(
+                RelayInstance.run(args[0], () -> Config.readJson(Path.of(args[0])), System.err));
     }
 }
--- a/relay/src/test/java/asterpulley/serve/ToldTest.java
+++ b/relay/src/test/java/asterpulley/serve/ToldTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import asterpulley.decode.Json;
-import asterpulley.line.Words;
-import asterpulley.list.Fleet;
+import asterpulley.line.LineCodec;
+import asterpulley.list.ServerList;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -204,7 +204,7 @@
                     name -> {
                         try {
                             Config.of(told);
-                        } catch (Json.Malformed e) {
+                        } catch (Json.MalformedException e) {
                             if (!e.getMessage().contains(name)
                                     && !e.getMessage().contains(PLACES.getOrDefault(name, name))) {
                                 unplaced.add(name + ": " + e.getMessage());
@@ -215,16 +215,16 @@
                     });
         }
         assertEquals(List.of(), unplaced);
-        assertEquals(4, Config.of(told).known.version(), "as it was");
+        assertEquals(4, Config.of(told).initialServerList.version(), "as it was");
     }
 
     @Test
     void whoNamesNoCustomerIsNoneAndNobodyElses() {
         Config config = Config.of(told());
-        Words words = config.words;
-        assertEquals(1, words.opening("OPEN 1 2 c=chat,t=umbra,d=100").customer());
-        assertEquals(0, words.opening("OPEN 1 2 c=chat,t=acme,d=100").customer());
-        assertEquals(-1, words.opening("OPEN 1 2 c=chat,d=100").customer());
+        LineCodec words = config.lineCodec;
+        assertEquals(1, words.parseOpen("OPEN 1 2 c=chat,t=umbra,d=100").customer());
+        assertEquals(0, words.parseOpen("OPEN 1 2 c=chat,t=acme,d=100").customer());
+        assertEquals(-1, words.parseOpen("OPEN 1 2 c=chat,d=100").customer());
     }
 
     @Test
@@ -246,13 +246,14 @@
                             "up"));
         }
         var servers =
-                Fleet.read(map("seq", 9L, "whole", true, "hosts", hosts), config.names).servers();
+                ServerList.fromJson(map("seq", 9L, "whole", true, "hosts", hosts), config.nameIndex)
+                        .servers();
         assertEquals(List.of(0, 1), servers.stream().map(s -> s.zone()).limit(2).toList());
         assertEquals(4, servers.stream().map(s -> s.zone()).distinct().count());
         assertEquals(servers.get(2).zone(), servers.get(4).zone());
         assertEquals(
                 1,
-                Fleet.read(
+                ServerList.fromJson(
                                 map(
                                         "seq",
                                         9L,
@@ -260,7 +261,7 @@
                                         true,
                                         "hosts",
                                         List.of(map("host", "n", "site", 1L, "health", "up"))),
-                                config.names)
+                                config.nameIndex)
                         .servers()
                         .get(0)
                         .zone());
@@ -268,7 +269,7 @@
         assertNotEquals(servers.get(2).cell(), servers.get(3).cell());
         assertNotEquals(servers.get(0).model(), servers.get(1).model());
         assertTrue(
-                Config.of(told()).names != config.names,
+                Config.of(told()).nameIndex != config.nameIndex,
                 "two relays of one process share nothing of it");
     }
 }
--- a/relay/src/test/java/asterpulley/settings/InForceTest.java
+++ b/relay/src/test/java/asterpulley/settings/InForceTest.java
@@ -9,8 +9,8 @@
 import asterpulley.decode.Json;
 import asterpulley.decode.MergePatch;
 import asterpulley.decode.SettingsDecoder;
-import asterpulley.settings.InForce.Kind;
-import asterpulley.settings.InForce.Version;
+import asterpulley.settings.ActiveSettings.Kind;
+import asterpulley.settings.ActiveSettings.Version;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -56,8 +56,8 @@
                 map("probes", true, "mostSetups", 3, "dialTimeoutMs", 1000.0));
     }
 
-    private static InForce relay() {
-        return new InForce(own(), all -> {}, 0);
+    private static ActiveSettings relay() {
+        return new ActiveSettings(own(), all -> {}, 0);
     }
 
     private static Map<String, Object> whole(long epoch, long seq, Object settings) {
@@ -76,8 +76,8 @@
      * What is in force, by name and without what was taken away: places may differ by the way that
      * led there.
      */
-    private static Map<String, Object> inForce(InForce relay) {
-        Map<String, Object> all = new TreeMap<>(relay.effective());
+    private static Map<String, Object> inForce(ActiveSettings relay) {
+        Map<String, Object> all = new TreeMap<>(relay.effectiveDocument());
         for (String list : List.of("profiles", "tenants")) {
             Map<String, Object> byName = new TreeMap<>();
             Json.list(all, list).stream()
@@ -157,10 +157,10 @@
         List<List<Object>> patches = List.of(history(random, length), history(random, length));
         List<List<Object>> documents = patches.stream().map(InForceTest::documents).toList();
         for (int e = 0; e < 2; e++) {
-            InForce ordered = relay();
+            ActiveSettings ordered = relay();
             for (int v = 0; v <= length; v++) {
                 var verdict =
-                        ordered.told(
+                        ordered.received(
                                 v == 0
                                         ? whole(e + 1, 0, documents.get(e).get(0))
                                         : changes(e + 1, v, v, patches.get(e).get(v - 1)),
@@ -170,19 +170,19 @@
                 }
             }
         }
-        InForce relay = relay();
+        ActiveSettings relay = relay();
         List<String> places = new ArrayList<>();
         for (int i = 0; i <= answers; i++) {
             boolean last = i == answers;
             int e = last ? 1 : random.nextInt(2);
             int from =
-                    last && !relay.wholeWanted() && relay.told().epoch() == 2
-                            ? (int) relay.told().seq()
+                    last && !relay.needsFullDocument() && relay.received().epoch() == 2
+                            ? (int) relay.received().seq()
                             : random.nextInt(length + 1);
             int to = last ? length : from + random.nextInt(length + 1 - from);
             boolean whole =
                     last
-                            ? relay.wholeWanted() || relay.told().epoch() != 2
+                            ? relay.needsFullDocument() || relay.received().epoch() != 2
                             : random.nextInt(3) == 0;
             Map<String, Object> answer;
             if (whole) {
@@ -199,7 +199,7 @@
                 answer = map("epoch", e + 1, "seq", to, "whole", false, "changes", some);
             }
             Version before = relay.version();
-            var verdict = relay.told(answer, i);
+            var verdict = relay.received(answer, i);
             assertEquals(!relay.version().equals(before), verdict.changed());
             assertTrue(
                     relay.version().compareTo(before) >= 0,
@@ -212,11 +212,11 @@
             assertEquals(places, now.subList(0, places.size()), "a place is a name's for good");
             places = now;
         }
-        assertEquals(new Version(2, length), relay.told());
+        assertEquals(new Version(2, length), relay.received());
         if (good.containsKey(new Version(2, length))) {
             assertEquals(new Version(2, length), relay.version());
         } else {
-            assertEquals(new Version(2, length), relay.refused().version());
+            assertEquals(new Version(2, length), relay.lastRefusal().version());
         }
     }
 
@@ -230,18 +230,18 @@
         Random random = new Random(seed);
         List<Object> patches = history(random, length);
         int cut = random.nextInt(length + 1);
-        List<InForce> relays = List.of(relay(), relay(), relay());
-        relays.forEach(relay -> relay.told(whole(1, 0, documents(patches).get(0)), 0));
+        List<ActiveSettings> relays = List.of(relay(), relay(), relay());
+        relays.forEach(relay -> relay.received(whole(1, 0, documents(patches).get(0)), 0));
         Object[] all = new Object[2 * length];
         for (int v = 1; v <= length; v++) {
-            relays.get(0).told(changes(1, v, v, patches.get(v - 1)), v);
+            relays.get(0).received(changes(1, v, v, patches.get(v - 1)), v);
             all[2 * v - 2] = v;
             all[2 * v - 1] = patches.get(v - 1);
         }
-        relays.get(1).told(changes(1, length, all), 1);
-        relays.get(2).told(changes(1, cut, Arrays.copyOf(all, 2 * cut)), 1);
-        relays.get(2).told(changes(1, length, all), 2);
-        for (InForce relay : relays) {
+        relays.get(1).received(changes(1, length, all), 1);
+        relays.get(2).received(changes(1, cut, Arrays.copyOf(all, 2 * cut)), 1);
+        relays.get(2).received(changes(1, length, all), 2);
+        for (ActiveSettings relay : relays) {
             assertEquals(relays.get(0).version(), relay.version());
             assertEquals(inForce(relays.get(0)), inForce(relay));
         }
@@ -251,10 +251,10 @@
 
     @Test
     void whatIsRefusedIsToldByItsPlaceAndTheLastGoodOneStays() {
-        InForce relay = relay();
+        ActiveSettings relay = relay();
         assertEquals(
                 Kind.IN_FORCE,
-                relay.told(whole(1, 5, map("limits", map("mostSetups", 2))), 5).kind());
+                relay.received(whole(1, 5, map("limits", map("mostSetups", 2))), 5).kind());
         Map<String, Object> was = inForce(relay);
         long seq = 5;
         Object[][] wrong = {
@@ -297,77 +297,85 @@
             {"words", "settings: not an object"}
         };
         for (Object[] one : wrong) {
-            var verdict = relay.told(whole(1, ++seq, one[0]), seq);
+            var verdict = relay.received(whole(1, ++seq, one[0]), seq);
             assertEquals(
-                    Kind.REFUSED, verdict.kind(), relay.refused() + " for " + Arrays.toString(one));
+                    Kind.REFUSED,
+                    verdict.kind(),
+                    relay.lastRefusal() + " for " + Arrays.toString(one));
             assertTrue(
-                    relay.refused().where().startsWith((String) one[1]), relay.refused().where());
-            assertEquals(new Version(1, seq), relay.refused().version());
+                    relay.lastRefusal().reason().startsWith((String) one[1]),
+                    relay.lastRefusal().reason());
+            assertEquals(new Version(1, seq), relay.lastRefusal().version());
             assertEquals(new Version(1, 5), relay.version());
             assertEquals(was, inForce(relay));
-            assertEquals(Kind.SAME, relay.told(whole(1, seq, one[0]), seq).kind(), "refused once");
+            assertEquals(
+                    Kind.SAME, relay.received(whole(1, seq, one[0]), seq).kind(), "refused once");
         }
-        assertEquals(wrong.length, relay.refusals());
-        assertEquals(5, relay.since());
+        assertEquals(wrong.length, relay.refusalCount());
+        assertEquals(5, relay.activeSince());
         // A good one after them, as a change from what was refused.
-        relay.told(whole(1, ++seq, map("limits", map("mostSetups", 0))), 30);
+        relay.received(whole(1, ++seq, map("limits", map("mostSetups", 0))), 30);
         assertEquals(
                 Kind.IN_FORCE,
-                relay.told(changes(1, seq + 1, seq + 1, map("limits", map("mostSetups", 4))), 31)
+                relay.received(
+                                changes(1, seq + 1, seq + 1, map("limits", map("mostSetups", 4))),
+                                31)
                         .kind());
-        assertEquals(4, relay.settings().mostSetups);
-        assertEquals(31, relay.since());
+        assertEquals(4, relay.settings().maxSetupsPerTunnel);
+        assertEquals(31, relay.activeSince());
     }
 
     @Test
     void whoElseReadsSettingsMayRefuseThem() {
-        InForce relay =
-                new InForce(
+        ActiveSettings relay =
+                new ActiveSettings(
                         own(),
                         all -> {
                             if (Json.list(all, "tenants").size() > 1) {
-                                throw new Json.Malformed("pools: one customer too many");
+                                throw new Json.MalformedException("pools: one customer too many");
                             }
                         },
                         0);
         assertEquals(
                 Kind.REFUSED,
-                relay.told(whole(1, 1, map("tenants", map("a", map(), "b", map()))), 1).kind());
-        assertEquals("pools: one customer too many", relay.refused().where());
-        assertEquals(List.of(0.5), relay.settings().shares);
+                relay.received(whole(1, 1, map("tenants", map("a", map(), "b", map()))), 1).kind());
+        assertEquals("pools: one customer too many", relay.lastRefusal().reason());
+        assertEquals(List.of(0.5), relay.settings().customerShares);
     }
 
     @Test
     void oldAnswersAndOtherHistoriesAreToldApart() {
-        InForce relay = relay();
+        ActiveSettings relay = relay();
         assertEquals(
-                Kind.GAP, relay.told(changes(3, 9, 9, map()), 1).kind(), "nothing to change yet");
-        assertTrue(relay.wholeWanted());
-        relay.told(whole(3, 9, map("siblings", 4)), 1);
-        assertEquals(Kind.STALE, relay.told(whole(3, 8, map("siblings", 5)), 2).kind());
+                Kind.GAP,
+                relay.received(changes(3, 9, 9, map()), 1).kind(),
+                "nothing to change yet");
+        assertTrue(relay.needsFullDocument());
+        relay.received(whole(3, 9, map("siblings", 4)), 1);
+        assertEquals(Kind.STALE, relay.received(whole(3, 8, map("siblings", 5)), 2).kind());
         assertEquals(
                 Kind.STALE,
-                relay.told(whole(2, 99, map("siblings", 5)), 2).kind(),
+                relay.received(whole(2, 99, map("siblings", 5)), 2).kind(),
                 "an older history");
         assertEquals(
                 Kind.GAP,
-                relay.told(changes(3, 11, 11, map("siblings", 6)), 2).kind(),
+                relay.received(changes(3, 11, 11, map("siblings", 6)), 2).kind(),
                 "10 is missing");
-        assertEquals(Kind.IN_FORCE, relay.told(whole(3, 11, map("siblings", 6)), 2).kind());
+        assertEquals(Kind.IN_FORCE, relay.received(whole(3, 11, map("siblings", 6)), 2).kind());
         assertEquals(
                 Kind.GAP,
-                relay.told(changes(4, 12, 12, map("siblings", 7)), 2).kind(),
+                relay.received(changes(4, 12, 12, map("siblings", 7)), 2).kind(),
                 "of another history");
-        assertEquals(6, relay.settings().siblings);
+        assertEquals(6, relay.settings().relayCount);
         assertEquals(
                 Kind.IN_FORCE,
-                relay.told(whole(4, 2, map("siblings", 8)), 2).kind(),
+                relay.received(whole(4, 2, map("siblings", 8)), 2).kind(),
                 "lower, but of the later one");
-        assertEquals(8, relay.settings().siblings);
-        relay.moved();
+        assertEquals(8, relay.settings().relayCount);
+        relay.serviceChanged();
         assertEquals(
                 Kind.IN_FORCE,
-                relay.told(whole(1, 1, map("siblings", 9)), 2).kind(),
+                relay.received(whole(1, 1, map("siblings", 9)), 2).kind(),
                 "another service's whole counts");
         for (Map<String, Object> malformed :
                 List.of(
@@ -392,9 +400,9 @@
                                 List.of(map("seq", 2, "patch", map("siblings", 1)), 7)),
                         map("epoch", "x", "seq", 5, "whole", true, "settings", map()),
                         whole(1, -1, map()))) {
-            assertThrows(Json.Malformed.class, () -> relay.told(malformed, 3));
-            assertEquals(new Version(1, 1), relay.told());
-            assertEquals(9, relay.settings().siblings);
+            assertThrows(Json.MalformedException.class, () -> relay.received(malformed, 3));
+            assertEquals(new Version(1, 1), relay.received());
+            assertEquals(9, relay.settings().relayCount);
         }
     }
 
@@ -404,22 +412,25 @@
      */
     @Test
     void aRefusedVersionFarAheadShutsNothingOut() {
-        InForce relay = relay();
-        relay.told(whole(1, 5, map("siblings", 5)), 1);
-        assertEquals(Kind.REFUSED, relay.told(whole(9, 999, map("siblings", "many")), 2).kind());
+        ActiveSettings relay = relay();
+        relay.received(whole(1, 5, map("siblings", 5)), 1);
+        assertEquals(
+                Kind.REFUSED, relay.received(whole(9, 999, map("siblings", "many")), 2).kind());
         assertEquals(
-                Kind.GAP, relay.told(changes(1, 5), 3).kind(), "the others know no such version");
-        assertEquals(Kind.SAME, relay.told(whole(1, 5, map("siblings", 5)), 3).kind());
-        assertEquals(Kind.IN_FORCE, relay.told(changes(1, 6, 6, map("siblings", 6)), 4).kind());
-        relay.told(changes(1, 999, 7, map("siblings", "many")), 5);
-        assertEquals(Kind.IN_FORCE, relay.told(whole(1, 8, map("siblings", 8)), 6).kind());
-        assertEquals(8, relay.settings().siblings);
+                Kind.GAP,
+                relay.received(changes(1, 5), 3).kind(),
+                "the others know no such version");
+        assertEquals(Kind.SAME, relay.received(whole(1, 5, map("siblings", 5)), 3).kind());
+        assertEquals(Kind.IN_FORCE, relay.received(changes(1, 6, 6, map("siblings", 6)), 4).kind());
+        relay.received(changes(1, 999, 7, map("siblings", "many")), 5);
+        assertEquals(Kind.IN_FORCE, relay.received(whole(1, 8, map("siblings", 8)), 6).kind());
+        assertEquals(8, relay.settings().relayCount);
     }
 
     @Test
     void whatWasTakenAwayKeepsItsPlaceAndComesBackToIt() {
-        InForce relay = relay();
-        relay.told(
+        ActiveSettings relay = relay();
+        relay.received(
                 whole(
                         1,
                         1,
@@ -434,57 +445,68 @@
                 relay.settings().profiles.stream().map(p -> p.name).toList());
         assertEquals(
                 Map.of("pay", 1, "bulk", 2),
-                SettingsDecoder.current(relay.effective(), "profiles"));
-        assertEquals(Map.of("x", 1), SettingsDecoder.current(relay.effective(), "tenants"));
+                SettingsDecoder.activeIndexes(relay.effectiveDocument(), "profiles"));
+        assertEquals(
+                Map.of("x", 1),
+                SettingsDecoder.activeIndexes(relay.effectiveDocument(), "tenants"));
         assertEquals(
-                List.of(1.0, 0.2), relay.settings().shares, "who was taken away is over no share");
+                List.of(1.0, 0.2),
+                relay.settings().customerShares,
+                "who was taken away is over no share");
         assertEquals(0.3, relay.settings().profiles.get(0).setupGoal, "as it was last");
-        relay.told(
+        relay.received(
                 changes(1, 2, 2, map("profiles", map("pay", null, "chat", map("credit", 5)))), 1);
         assertEquals(
                 Map.of("chat", 0, "bulk", 2),
-                SettingsDecoder.current(relay.effective(), "profiles"));
+                SettingsDecoder.activeIndexes(relay.effectiveDocument(), "profiles"));
         assertEquals(3, relay.settings().profiles.get(1).credit);
         assertEquals(0.5, relay.settings().profiles.get(0).setupGoal, "told anew, as told now");
         for (int i = 3; i < 300; i++) {
-            relay.told(
+            relay.received(
                     changes(1, i, i, map("profiles", map("p" + (i - 1), null, "p" + i, map()))), i);
         }
         assertTrue(
-                relay.refused().where().startsWith("profiles: more than 256 names"),
-                relay.refused().where());
+                relay.lastRefusal().reason().startsWith("profiles: more than 256 names"),
+                relay.lastRefusal().reason());
         assertEquals(256, relay.settings().profiles.size());
     }
 
     @Test
     void whatIsKeptIsGoneOnFromAndWhatIsDamagedIsNot() {
-        InForce relay = relay();
-        assertNull(relay.kept());
-        relay.told(whole(1, 6, map("profiles", map("once", map(), "pay", map("credit", 3)))), 6);
-        relay.told(changes(1, 7, 7, map("profiles", map("once", null))), 7);
-        relay.told(changes(1, 8, 8, map("profiles", map("pay", map("credit", "much")))), 8);
-        InForce next = relay();
-        next.restore(relay.kept());
+        ActiveSettings relay = relay();
+        assertNull(relay.snapshot());
+        relay.received(
+                whole(1, 6, map("profiles", map("once", map(), "pay", map("credit", 3)))), 6);
+        relay.received(changes(1, 7, 7, map("profiles", map("once", null))), 7);
+        relay.received(changes(1, 8, 8, map("profiles", map("pay", map("credit", "much")))), 8);
+        ActiveSettings next = relay();
+        next.restore(relay.snapshot());
         assertEquals(new Version(1, 7), next.version(), "the last good one");
         assertEquals(inForce(relay), inForce(next));
         assertEquals(
                 List.of("chat", "once", "pay"),
                 next.settings().profiles.stream().map(p -> p.name).toList(),
                 "at the same places");
-        assertEquals(7, next.since());
-        assertFalse(next.wholeWanted(), "changes are enough");
+        assertEquals(7, next.activeSince());
+        assertFalse(next.needsFullDocument(), "changes are enough");
         assertEquals(
                 Kind.REFUSED,
-                next.told(changes(1, 8, 8, map("profiles", map("pay", map("credit", "much")))), 9)
+                next.received(
+                                changes(
+                                        1,
+                                        8,
+                                        8,
+                                        map("profiles", map("pay", map("credit", "much")))),
+                                9)
                         .kind());
         for (String part : List.of("epoch", "seq", "profiles", "customers", "settings")) {
             for (Object wrong : Arrays.asList(null, "x", -7L, List.of(3), map("profiles", 1))) {
-                Map<String, Object> kept = new LinkedHashMap<>(relay.kept());
+                Map<String, Object> kept = new LinkedHashMap<>(relay.snapshot());
                 kept.put(part, wrong);
-                InForce other = relay();
+                ActiveSettings other = relay();
                 try {
                     other.restore(kept);
-                } catch (Json.Malformed e) {
+                } catch (Json.MalformedException e) {
                     assertEquals(Version.NONE, other.version());
                     assertEquals(
                             inForce(relay()), inForce(other), "as without: " + part + " " + wrong);
--- a/routes/src/main/java/asterpulley/routes/Pool.java
+++ b/routes/src/main/java/asterpulley/routes/Pool.java
@@ -40,12 +40,12 @@
     private Condition condition = Condition.SOUND;
 
     Pool(
-            PoolHealth.Bounds bounds,
+            PoolHealth.Thresholds bounds,
             double overloadedFrom,
             double overloadedBelow,
             double listedFor) {
         health = new PoolHealth(bounds);
-        load = new PoolLoad(overloadedFrom, overloadedBelow, bounds.confirm());
+        load = new PoolLoad(overloadedFrom, overloadedBelow, bounds.confirmSeconds());
         this.listedFor = listedFor;
     }
 
--- a/routes/src/main/java/asterpulley/routes/PoolHealth.java
+++ b/routes/src/main/java/asterpulley/routes/PoolHealth.java
@@ -20,28 +20,32 @@
     /**
      * When a pool is dark and when it is back: parts of its servers that are silent, and seconds.
      */
-    public record Bounds(
-            double enter, double leave, double confirm, double calm, double longestCalm) {
-        public Bounds {
-            if (!(leave < enter
-                    && enter <= 1
-                    && leave >= 0
-                    && confirm >= 0
-                    && calm > 0
-                    && longestCalm >= calm)) {
+    public record Thresholds(
+            double enterSilentShare,
+            double exitSilentShare,
+            double confirmSeconds,
+            double calmSeconds,
+            double maxCalmSeconds) {
+        public Thresholds {
+            if (!(exitSilentShare < enterSilentShare
+                    && enterSilentShare <= 1
+                    && exitSilentShare >= 0
+                    && confirmSeconds >= 0
+                    && calmSeconds > 0
+                    && maxCalmSeconds >= calmSeconds)) {
                 throw new IllegalArgumentException(
                         "leave < enter, and a calm between 0 and the longest");
             }
         }
     }
 
-    private final Bounds bounds;
+    private final Thresholds bounds;
     private State state = State.SOUND;
     private double since = Double.NEGATIVE_INFINITY, calm, soundSince = Double.NEGATIVE_INFINITY;
 
-    public PoolHealth(Bounds bounds) {
+    public PoolHealth(Thresholds bounds) {
         this.bounds = bounds;
-        calm = bounds.calm;
+        calm = bounds.calmSeconds;
     }
 
     public State state() {
@@ -65,7 +69,7 @@
 
     /** Back, but it was believed too early before. */
     public boolean doubted() {
-        return state == State.RETURNING && calm > bounds.calm;
+        return state == State.RETURNING && calm > bounds.calmSeconds;
     }
 
     /** How long it must stay calm before it counts as sound again. */
@@ -78,33 +82,33 @@
         State was = state;
         switch (state) {
             case SOUND -> {
-                if (silent >= bounds.enter) {
+                if (silent >= bounds.enterSilentShare) {
                     to(State.SUSPECT, now);
-                } else if (now - Math.max(since, soundSince) >= bounds.longestCalm) {
+                } else if (now - Math.max(since, soundSince) >= bounds.maxCalmSeconds) {
                     // So long without trouble: what it did before is forgotten.
-                    calm = bounds.calm;
+                    calm = bounds.calmSeconds;
                 }
             }
             case SUSPECT -> {
-                if (silent < bounds.enter) {
+                if (silent < bounds.enterSilentShare) {
                     to(State.SOUND, now);
-                } else if (now - since >= bounds.confirm) {
+                } else if (now - since >= bounds.confirmSeconds) {
                     // Dark again so soon after it was sound: that was believed too early.
                     calm =
-                            now - soundSince < bounds.longestCalm
-                                    ? Math.min(bounds.longestCalm, 2 * calm)
+                            now - soundSince < bounds.maxCalmSeconds
+                                    ? Math.min(bounds.maxCalmSeconds, 2 * calm)
                                     : calm;
                     to(State.DARK, now);
                 }
             }
             case DARK -> {
-                if (silent <= bounds.leave) {
+                if (silent <= bounds.exitSilentShare) {
                     to(State.RETURNING, now);
                 }
             }
             default -> {
-                if (silent >= bounds.enter) {
-                    calm = Math.min(bounds.longestCalm, 2 * calm);
+                if (silent >= bounds.enterSilentShare) {
+                    calm = Math.min(bounds.maxCalmSeconds, 2 * calm);
                     to(State.DARK, now);
                 } else if (now - since >= calm) {
                     soundSince = now;
@@ -120,7 +124,7 @@
         state = was;
         since = at;
         soundSince = was == State.SOUND ? at : Double.NEGATIVE_INFINITY;
-        calm = Math.max(bounds.calm, Math.min(bounds.longestCalm, wasCalm));
+        calm = Math.max(bounds.calmSeconds, Math.min(bounds.maxCalmSeconds, wasCalm));
     }
 
     private void to(State next, double now) {
--- a/routes/src/main/java/asterpulley/routes/Guide.java
+++ b/routes/src/main/java/asterpulley/routes/PoolRouter.java
@@ -1,8 +1,8 @@
 package asterpulley.routes;
 
-import asterpulley.Listed;
+import asterpulley.LoadReport;
 import asterpulley.Outcome;
-import asterpulley.Report;
+import asterpulley.ServerEntry;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -19,7 +19,7 @@
  * a relay on sockets and in virtual time alike. It must decide nothing that {@link Routes} or
  * {@link WayBack} decide, and never hold a tunnel that is over.
  */
-public final class Guide {
+public final class PoolRouter {
     /** Reports that make up a mean, at most. */
     private static final double MEAN_OF = 1000;
 
@@ -64,7 +64,8 @@
     private double[] means = {}, seens = {};
 
     /** {@code count}: adds one to the counter of that name. */
-    public Guide(Charter charter, double now, Consumer<String> log, Consumer<String> count) {
+    public PoolRouter(
+            RoutingPolicy charter, double now, Consumer<String> log, Consumer<String> count) {
         routes = new Routes(charter, now, log);
         wayBack = new WayBack(now);
         spilling = new boolean[charter.pools.size()];
@@ -73,7 +74,7 @@
     }
 
     /** A reload: false, and nothing is changed, where only a new start can bring that charter. */
-    public boolean change(Charter anew, double now) {
+    public boolean reload(RoutingPolicy anew, double now) {
         if (routes.charter().needsStart(anew)) {
             return false;
         }
@@ -83,23 +84,24 @@
 
     // ---- The list and the servers
 
-    public void list(List<Listed> servers, boolean whole, double now) {
+    public void updateServerList(List<ServerEntry> servers, boolean whole, double now) {
         boolean[] named = new boolean[names.size() + servers.size()];
-        for (Listed l : servers) {
+        for (ServerEntry l : servers) {
             int s =
                     index.computeIfAbsent(
-                            l.ep(),
+                            l.name(),
                             name -> {
                                 names.add(name);
                                 return names.size() - 1;
                             });
             named[s] = true;
-            int pool = routes.charter().by == Charter.By.ZONE ? l.zone() : l.model();
+            int pool =
+                    routes.charter().groupBy == RoutingPolicy.GroupBy.ZONE ? l.zone() : l.model();
             routes.listed(
                     s,
                     Math.min(pool, spilling.length - 1),
-                    l.state() != Listed.State.GONE,
-                    l.state() == Listed.State.RUNNING,
+                    l.state() != ServerEntry.State.GONE,
+                    l.state() == ServerEntry.State.RUNNING,
                     l.startedAt(),
                     now);
         }
@@ -110,7 +112,7 @@
         }
     }
 
-    public void probed(String server, Outcome outcome, Report report, double now) {
+    public void probeFinished(String server, Outcome outcome, LoadReport report, double now) {
         Integer s = index.get(server);
         if (s == null) {
             return;
@@ -128,26 +130,26 @@
 
     // ---- Tunnels
 
-    public void taken(long id, int profile, String key, double now) {
+    public void tunnelAccepted(long id, int profile, String key, double now) {
         Tun tun = new Tun(profile, key);
         tun.turn = routes.first(profile, units(profile), now);
         tunnels.put(id, tun);
         asked = tun;
         askedId = id;
-        if (any(routes.charter().sparedInRush)) {
+        if (any(routes.charter().failbackExemptInSurge)) {
             rush(profile, now).comes(now);
         }
     }
 
     /** A tunnel that stood there before this relay started: it counts as any other that stands. */
-    public void standing(long id, int profile, String key, String server, double now) {
+    public void tunnelRestored(long id, int profile, String key, String server, double now) {
         Integer s = index.get(server);
         if (s != null) {
             Tun tun = new Tun(profile, key);
             tunnels.put(id, tun);
             tun.server = s;
             tun.guest = routes.stands(s, profile, tun.units);
-            opened(id, now);
+            tunnelOpened(id, now);
         }
     }
 
@@ -175,7 +177,7 @@
      * What the module asks: whether this tunnel may go to that server now; {@code number}: the
      * module's own for it.
      */
-    public boolean may(long id, int number, String server, double now) {
+    public boolean mayUse(long id, int number, String server, double now) {
         if (number >= byNumber.length) {
             int from = byNumber.length;
             byNumber = Arrays.copyOf(byNumber, Math.max(number + 1, 2 * from));
@@ -217,7 +219,7 @@
     }
 
     /** What the module asks where it found nobody: whether more is open now than was. */
-    public boolean widen(long id, double now) {
+    public boolean advanceTier(long id, double now) {
         Tun tun = find(id);
         int next =
                 tun == null
@@ -251,7 +253,7 @@
         }
     }
 
-    public void setup(long id, String server, double now) {
+    public void setupStarted(long id, String server, double now) {
         Tun tun = find(id);
         Integer s = index.get(server);
         if (tun == null || s == null) {
@@ -269,7 +271,7 @@
                         "spill to "
                                 + routes.charter().pools.get(pool)
                                 + " begins, home "
-                                + routes.pool(routes.charter().home).condition().text()
+                                + routes.pool(routes.charter().homePool).condition().text()
                                 + ", at most "
                                 + Math.round(routes.spill(pool).most())
                                 + " mean loads from here");
@@ -277,7 +279,7 @@
         }
     }
 
-    public void opened(long id, double now) {
+    public void tunnelOpened(long id, double now) {
         Tun tun = find(id);
         if (tun != null && tun.server >= 0) {
             tun.stands = true;
@@ -290,7 +292,7 @@
     }
 
     /** A server tells what this tunnel loads it. */
-    public void load(long id, double told) {
+    public void tunnelLoadReported(long id, double told) {
         Tun tun = find(id);
         if (tun == null || !(told > 0)) {
             return;
@@ -316,7 +318,7 @@
     }
 
     /** A setup, or what it opened, has ended; {@code told}: that says something of its server. */
-    public void ended(long id, Outcome outcome, boolean told, double now) {
+    public void serverConnectionEnded(long id, Outcome outcome, boolean told, double now) {
         Tun tun = find(id);
         if (tun == null || tun.server < 0) {
             return;
@@ -348,7 +350,7 @@
     }
 
     /** A tunnel is over, however it came to that. */
-    public void over(long id) {
+    public void tunnelClosed(long id) {
         Tun tun = tunnels.remove(id);
         asked = null;
         if (tun != null && tun.server >= 0) {
@@ -361,7 +363,7 @@
     /** Time passes; who is to be sent home now, each to be moved by the caller. */
     public List<Long> tick(double now) {
         routes.tick(now);
-        Charter charter = routes.charter();
+        RoutingPolicy charter = routes.charter();
         for (int p = 0; p < spilling.length; p++) {
             if (spilling[p] && routes.spill(p).guests() <= 0) {
                 spilling[p] = false;
@@ -396,16 +398,16 @@
                             tun.openedAt,
                             spared(charter, tun.profile, now)));
         }
-        List<Long> leave = wayBack.leave(away, charter.stay, returning ? bears : 0, now);
+        List<Long> leave = wayBack.leave(away, charter.minStaySeconds, returning ? bears : 0, now);
         sentHome += leave.size();
         leave.forEach(id -> count.accept("sent_home"));
         return leave;
     }
 
-    private boolean spared(Charter charter, int profile, double now) {
-        return profile < charter.spared.length && charter.spared[profile]
-                || profile < charter.sparedInRush.length
-                        && charter.sparedInRush[profile]
+    private boolean spared(RoutingPolicy charter, int profile, double now) {
+        return profile < charter.failbackExempt.length && charter.failbackExempt[profile]
+                || profile < charter.failbackExemptInSurge.length
+                        && charter.failbackExemptInSurge[profile]
                         && rush(profile, now).on(now);
     }
 
@@ -427,9 +429,9 @@
      * #restore} reads it.
      */
     public Map<String, Object> state(double now) {
-        Charter charter = routes.charter();
+        RoutingPolicy charter = routes.charter();
         Map<String, Object> state = new LinkedHashMap<>();
-        state.put("home", charter.pools.get(charter.home));
+        state.put("home", charter.pools.get(charter.homePool));
         List<Object> of = new ArrayList<>();
         for (int p = 0; p < charter.pools.size(); p++) {
             Pool pool = routes.pool(p);
@@ -444,7 +446,7 @@
             one.put("turn", routes.turn(p));
             one.put("guests_most", routes.spill(p).most());
             List<Object> guestsBy = new ArrayList<>();
-            for (int q = 0; q < charter.guestsKept.length; q++) {
+            for (int q = 0; q < charter.spillReservedShares.length; q++) {
                 guestsBy.add(routes.spill(p).guests(q));
             }
             one.put("guests", guestsBy);
@@ -472,9 +474,9 @@
     }
 
     /** The servers that such a state names, as a list would; the charter must name their pools. */
-    public List<Listed> listed(Map<String, Object> state, double now) {
+    public List<ServerEntry> listed(Map<String, Object> state, double now) {
         List<String> pools = routes.charter().pools;
-        List<Listed> listed = new ArrayList<>();
+        List<ServerEntry> listed = new ArrayList<>();
         for (Map<String, Object> one : tables(state, "servers")) {
             int p = pools.indexOf(String.valueOf(one.get("pool")));
             if (p < 0) {
@@ -482,15 +484,15 @@
                         "'" + one.get("pool") + "' is a pool of the state and none of the file's");
             }
             listed.add(
-                    new Listed(
+                    new ServerEntry(
                             String.valueOf(one.get("name")),
                             p,
                             p,
                             0,
                             switch (String.valueOf(one.get("state"))) {
-                                case "up" -> Listed.State.RUNNING;
-                                case "draining" -> Listed.State.DRAINING;
-                                default -> Listed.State.GONE;
+                                case "up" -> ServerEntry.State.RUNNING;
+                                case "draining" -> ServerEntry.State.DRAINING;
+                                default -> ServerEntry.State.GONE;
                             },
                             now - number(one, "age_s", Double.POSITIVE_INFINITY)));
         }
@@ -500,7 +502,7 @@
     /** Takes what another relay knew for its own, in a guide that knows nothing yet. */
     public void restore(Map<String, Object> state, double now) {
         List<String> pools = routes.charter().pools;
-        list(listed(state, now), true, now);
+        updateServerList(listed(state, now), true, now);
         for (Map<String, Object> one : tables(state, "servers")) {
             routes.restore(
                     index.get(String.valueOf(one.get("name"))),
--- a/routes/src/main/java/asterpulley/routes/Routes.java
+++ b/routes/src/main/java/asterpulley/routes/Routes.java
@@ -28,7 +28,7 @@
      */
     private static final double OF_COLD_BUDGET = 0.5;
 
-    private Charter charter;
+    private RoutingPolicy charter;
     private final Pool[] pools;
     private final SpillLimit[] spill;
     private final RetryBudget retries;
@@ -48,7 +48,7 @@
     private long verdictOf = Long.MIN_VALUE;
     private int verdictTurn;
 
-    public Routes(Charter charter, double now, Consumer<String> log) {
+    public Routes(RoutingPolicy charter, double now, Consumer<String> log) {
         this.charter = charter;
         this.log = log;
         int n = charter.pools.size();
@@ -59,13 +59,13 @@
         for (int p = 0; p < n; p++) {
             pools[p] =
                     new Pool(
-                            charter.health,
-                            charter.overloadedFrom,
-                            charter.overloadedBelow,
-                            charter.listedFor);
+                            charter.healthThresholds,
+                            charter.overloadEnterLoad,
+                            charter.overloadExitLoad,
+                            charter.cutOffAfterSeconds);
             spill[p] = new SpillLimit(charter, 0, 0, now);
         }
-        retries = new RetryBudget(charter.retryShare, charter.retryLeast, now);
+        retries = new RetryBudget(charter.retryShare, charter.retryMinPerSecond, now);
         limits(now);
     }
 
@@ -73,17 +73,17 @@
      * Other figures from now on; what stands stays, and what is above a lower limit leaves by
      * itself.
      */
-    public void change(Charter anew, double now) {
+    public void change(RoutingPolicy anew, double now) {
         // The bounds of a pool's darkness count from a new start on: a state is not to be read by
         // two rules.
-        anew.health = charter.health;
+        anew.healthThresholds = charter.healthThresholds;
         charter = anew;
         for (int p = 0; p < pools.length; p++) {
-            pools[p].bounds(anew.overloadedFrom, anew.overloadedBelow, anew.listedFor);
+            pools[p].bounds(anew.overloadEnterLoad, anew.overloadExitLoad, anew.cutOffAfterSeconds);
             spill[p].charter(anew);
         }
-        retries.change(anew.retryShare, anew.retryLeast);
-        turns = anew.turns(pools[anew.home].doubted());
+        retries.change(anew.retryShare, anew.retryMinPerSecond);
+        turns = anew.turns(pools[anew.homePool].doubted());
         limits(now);
     }
 
@@ -198,7 +198,7 @@
                             + (pool.known == 0 ? "-" : Math.round(pool.meanLoad() * 100) / 100.0)
                             + ", guests "
                             + Math.round(spill[p].guests()));
-            turns = charter.turns(pools[charter.home].doubted());
+            turns = charter.turns(pools[charter.homePool].doubted());
             limits(now);
         }
     }
@@ -219,25 +219,26 @@
     private void limits(double now) {
         int away = 0;
         for (Pool pool : pools) {
-            away += pool.away(charter.warmUp, now) ? 1 : 0;
+            away += pool.away(charter.warmUpSeconds, now) ? 1 : 0;
         }
         for (int p = 0; p < pools.length; p++) {
-            if (p == charter.home) {
+            if (p == charter.homePool) {
                 continue;
             }
             int others = pools.length - 1;
-            int awayOthers = away - (pools[p].away(charter.warmUp, now) ? 1 : 0);
+            int awayOthers = away - (pools[p].away(charter.warmUpSeconds, now) ? 1 : 0);
             double part;
             if (awayOthers == 0) {
                 part = 1.0 / others;
-            } else if (pools[charter.home].away(charter.warmUp, now)) {
+            } else if (pools[charter.homePool].away(charter.warmUpSeconds, now)) {
                 part = (awayOthers == others ? 1 : 1 - SOUND_PART) / awayOthers;
             } else {
                 part = SOUND_PART / (others - awayOthers);
             }
             part /= charter.relaysPerPool;
             spill[p].limits(
-                    charter.share * charter.holds * pools[p].heard() * part, charter.rate * part);
+                    charter.spillShare * charter.serverCapacity * pools[p].heard() * part,
+                    charter.spillRatePerSecond * part);
         }
         verdictOf = Long.MIN_VALUE;
     }
@@ -276,18 +277,20 @@
         if (verdict != Why.OPEN) {
             return verdict;
         }
-        if (p == charter.home && lost(server)) {
+        if (p == charter.homePool && lost(server)) {
             return Why.POOL_DARK;
         }
-        if (p == charter.home && charter.kept.length == 0) {
+        if (p == charter.homePool && charter.reservedServerShares.length == 0) {
             return Why.OPEN;
         }
         double load = estimate(server, now);
         // Guests stop lower than whoever is at home, and those of less credit lower still.
-        if (p != charter.home && load >= charter.guestsBelow - charter.keptFromBelow(profile)) {
+        if (p != charter.homePool
+                && load >= charter.spillMaxServerLoad - charter.keptFromBelow(profile)) {
             return Why.NEAR_FULL;
         }
-        return charter.kept.length > 0 && load >= charter.full - charter.keptFromBelow(profile)
+        return charter.reservedServerShares.length > 0
+                        && load >= charter.full - charter.keptFromBelow(profile)
                 ? Why.KEPT
                 : Why.OPEN;
     }
@@ -302,7 +305,7 @@
     }
 
     private Why pool(int p, int profile, double units, double now) {
-        if (p == charter.home) {
+        if (p == charter.homePool) {
             return Why.OPEN;
         }
         return switch (pools[p].condition()) {
@@ -319,14 +322,15 @@
      */
     private double estimate(int server, double now) {
         double known = Double.isNaN(load[server]) ? 0 : load[server];
-        return Math.max(0, known + placed[server] / (charter.holds * warmth(server, now)));
+        return Math.max(0, known + placed[server] / (charter.serverCapacity * warmth(server, now)));
     }
 
     private double warmth(int server, double now) {
         double age = now - startedAt[server];
-        return age >= charter.warmUp
+        return age >= charter.warmUpSeconds
                 ? 1
-                : charter.coldFrom + (1 - charter.coldFrom) * Math.max(0, age) / charter.warmUp;
+                : charter.coldStartShare
+                        + (1 - charter.coldStartShare) * Math.max(0, age) / charter.warmUpSeconds;
     }
 
     /**
@@ -350,7 +354,7 @@
      * its own.
      */
     public int first(int profile, double units, double now) {
-        int next = pools[charter.home].dark() ? wider(0, profile, units, false, now) : 0;
+        int next = pools[charter.homePool].dark() ? wider(0, profile, units, false, now) : 0;
         return Math.max(0, next);
     }
 
@@ -361,7 +365,7 @@
         retries.goes(further, now);
         placed[server] += units;
         verdictOf = Long.MIN_VALUE;
-        if (poolOf[server] != charter.home) {
+        if (poolOf[server] != charter.homePool) {
             spill[poolOf[server]].spends(now);
         }
         return stands(server, profile, units);
@@ -369,7 +373,7 @@
 
     /** A tunnel is at that server; true where it is a guest there. */
     boolean stands(int server, int profile, double units) {
-        boolean guest = poolOf[server] != charter.home;
+        boolean guest = poolOf[server] != charter.homePool;
         if (guest) {
             guestChanges(poolOf[server], profile, units);
         }
@@ -397,27 +401,31 @@
      * more than stated.
      */
     double bears(double now) {
-        Pool home = pools[charter.home];
-        if (home.condition() != Pool.Condition.SOUND || home.meanLoad() >= charter.guestsBelow) {
+        Pool home = pools[charter.homePool];
+        if (home.condition() != Pool.Condition.SOUND
+                || home.meanLoad() >= charter.spillMaxServerLoad) {
             return 0;
         }
         double bears = 0;
         for (int s = 0; s < running.length; s++) {
-            if (!running[s] || silent[s] || poolOf[s] != charter.home) {
+            if (!running[s] || silent[s] || poolOf[s] != charter.homePool) {
                 continue;
             }
-            if (now - startedAt[s] >= charter.warmUp) {
-                bears += charter.returnWarm * charter.holds;
+            if (now - startedAt[s] >= charter.warmUpSeconds) {
+                bears += charter.failbackWarmShare * charter.serverCapacity;
             } else {
                 // The budgets of all relays make up what a cold server bears; at home only those of
                 // this pool's place.
                 double budget =
                         charter.fallMultiple
-                                * charter.holds
+                                * charter.serverCapacity
                                 * warmth(s, now)
-                                / charter.warmUp
+                                / charter.warmUpSeconds
                                 / pools.length;
-                bears += Math.min(charter.returnShare * charter.holds, OF_COLD_BUDGET * budget);
+                bears +=
+                        Math.min(
+                                charter.failbackColdShare * charter.serverCapacity,
+                                OF_COLD_BUDGET * budget);
             }
         }
         return bears / charter.relaysPerPool;
@@ -435,7 +443,7 @@
         return retries;
     }
 
-    Charter charter() {
+    RoutingPolicy charter() {
         return charter;
     }
 
@@ -462,7 +470,7 @@
         for (int q = 0; q < guests.length; q++) {
             spill[p].changes(q, guests[q]);
         }
-        turns = charter.turns(pools[charter.home].doubted());
+        turns = charter.turns(pools[charter.homePool].doubted());
         limits(now);
     }
 
--- a/routes/src/main/java/asterpulley/routes/Charter.java
+++ b/routes/src/main/java/asterpulley/routes/RoutingPolicy.java
@@ -8,50 +8,51 @@
  * often setups may be tried again, and how guests go home. Plain values, read once; a reload brings
  * another one. Seconds, mean loads of a tunnel, and parts of one.
  */
-public final class Charter {
+public final class RoutingPolicy {
     /** By what a server belongs to a pool. */
-    public enum By {
+    public enum GroupBy {
         ZONE,
         MODEL
     }
 
-    public By by = By.ZONE;
+    public GroupBy groupBy = GroupBy.ZONE;
     public List<String> pools = new ArrayList<>();
 
     /** This relay's own pool, and how many relays are at home in each. */
-    public int home, relaysPerPool = 1;
+    public int homePool, relaysPerPool = 1;
 
     /**
      * For each pool, the others in the order in which its tunnels may go there; those that are not
      * named come last, together.
      */
-    public List<List<Integer>> prefer = new ArrayList<>();
+    public List<List<Integer>> poolPreferences = new ArrayList<>();
 
-    public PoolHealth.Bounds health = new PoolHealth.Bounds(0.7, 0.35, 0.5, 4, 32);
+    public PoolHealth.Thresholds healthThresholds =
+            new PoolHealth.Thresholds(0.7, 0.35, 0.5, 4, 32);
 
     /** A mean load from which a pool is overloaded, and below which it is no more. */
-    public double overloadedFrom = 0.85, overloadedBelow = 0.7;
+    public double overloadEnterLoad = 0.85, overloadExitLoad = 0.7;
 
     /** A dark pool that the list still names after this is taken for cut off from here. */
-    public double listedFor = 6;
+    public double cutOffAfterSeconds = 6;
 
     /**
      * Guests: the part of a pool's room, new ones a second (0: no bound), mean loads a server
      * holds.
      */
-    public double share = 0.2, rate, holds = 60;
+    public double spillShare = 0.2, spillRatePerSecond, serverCapacity = 60;
 
     /** Guests go only to servers whose load is below this. */
-    public double guestsBelow = 0.75;
+    public double spillMaxServerLoad = 0.75;
 
     /** By profile: the part of the guests' room that is kept for it. */
-    public double[] guestsKept = {};
+    public double[] spillReservedShares = {};
 
     /**
      * By profile: the part of every server that is kept for it from those of less credit, and that
      * credit.
      */
-    public double[] kept = {}, credit = {};
+    public double[] reservedServerShares = {}, credit = {};
 
     /** A load from which the module takes a server for full: what is kept is kept below it. */
     public double full = 0.8;
@@ -60,33 +61,33 @@
      * Further setups as a part of first ones, and so many a second at the least; a share of 0 or
      * more bounds them.
      */
-    public double retryShare = -1, retryLeast = 1;
+    public double retryShare = -1, retryMinPerSecond = 1;
 
     /**
      * How guests go home: the part of a cold pool's room a second, of a warm one's, seconds that a
      * guest stays; none: they stay.
      */
-    public double returnShare = -1, returnWarm = 0.08, stay = 5;
+    public double failbackColdShare = -1, failbackWarmShare = 0.08, minStaySeconds = 5;
 
     /** Profiles that are never sent home, and those that are not while they come in a rush. */
-    public boolean[] spared = {}, sparedInRush = {};
+    public boolean[] failbackExempt = {}, failbackExemptInSurge = {};
 
     /** What a cold server can do at first, when it is warm, and what pushes it over. */
-    public double coldFrom = 0.1, warmUp = 20, fallMultiple = 2;
+    public double coldStartShare = 0.1, warmUpSeconds = 20, fallMultiple = 2;
 
     public boolean returns() {
-        return returnShare >= 0;
+        return failbackColdShare >= 0;
     }
 
     public double keptForGuests(int profile) {
-        return profile < guestsKept.length ? guestsKept[profile] : 0;
+        return profile < spillReservedShares.length ? spillReservedShares[profile] : 0;
     }
 
     /** What this profile has to leave of every server to those of more credit. */
     double keptFromBelow(int profile) {
         double left = 0;
-        for (int q = 0; q < kept.length; q++) {
-            left += q != profile && credit(q) > credit(profile) ? kept[q] : 0;
+        for (int q = 0; q < reservedServerShares.length; q++) {
+            left += q != profile && credit(q) > credit(profile) ? reservedServerShares[q] : 0;
         }
         return left;
     }
@@ -102,24 +103,25 @@
      */
     int[] turns(boolean homeDoubted) {
         int[] turns = new int[pools.size()];
-        List<Integer> order = home < prefer.size() ? prefer.get(home) : List.of();
+        List<Integer> order =
+                homePool < poolPreferences.size() ? poolPreferences.get(homePool) : List.of();
         for (int p = 0; p < turns.length; p++) {
             int at = order.indexOf(p);
-            turns[p] = p == home ? 0 : 1 + (at >= 0 ? at : order.size());
+            turns[p] = p == homePool ? 0 : 1 + (at >= 0 ? at : order.size());
         }
         if (homeDoubted) {
             int last = 0;
             for (int p = 0; p < turns.length; p++) {
-                turns[p] -= p == home ? 0 : 1;
+                turns[p] -= p == homePool ? 0 : 1;
                 last = Math.max(last, turns[p]);
             }
-            turns[home] = last + 1;
+            turns[homePool] = last + 1;
         }
         return turns;
     }
 
     /** True where that charter differs in what only a new start can change. */
-    public boolean needsStart(Charter anew) {
-        return by != anew.by || home != anew.home || !pools.equals(anew.pools);
+    public boolean needsStart(RoutingPolicy anew) {
+        return groupBy != anew.groupBy || homePool != anew.homePool || !pools.equals(anew.pools);
     }
 }
--- a/routes/src/main/java/asterpulley/routes/SpillLimit.java
+++ b/routes/src/main/java/asterpulley/routes/SpillLimit.java
@@ -15,7 +15,7 @@
     /** Sums of loads that came and left leave this much of nothing. */
     private static final double NOTHING = 1e-6;
 
-    private Charter charter;
+    private RoutingPolicy charter;
     private double most, rate, credit, at;
     private double guests;
     private double[] by = {};
@@ -24,14 +24,14 @@
      * {@code most}: mean loads of guests that may stand here, of this relay; {@code rate}: new ones
      * a second, 0 for no bound.
      */
-    public SpillLimit(Charter charter, double most, double rate, double now) {
+    public SpillLimit(RoutingPolicy charter, double most, double rate, double now) {
         this.charter = charter;
         limits(most, rate);
         credit = burst();
         at = now;
     }
 
-    void charter(Charter anew) {
+    void charter(RoutingPolicy anew) {
         charter = anew;
     }
 
@@ -55,7 +55,7 @@
             return Why.GUESTS_FULL;
         }
         double kept = 0;
-        for (int q = 0; q < charter.guestsKept.length; q++) {
+        for (int q = 0; q < charter.spillReservedShares.length; q++) {
             kept +=
                     q == profile
                             ? 0
--- a/routes/src/test/java/asterpulley/routes/GuideTest.java
+++ b/routes/src/test/java/asterpulley/routes/GuideTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import asterpulley.Listed;
+import asterpulley.LoadReport;
 import asterpulley.Outcome;
-import asterpulley.Report;
+import asterpulley.ServerEntry;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -18,18 +18,18 @@
 class GuideTest {
     private static final int EACH = 2;
     private final List<String> log = new ArrayList<>(), counted = new ArrayList<>();
-    private Charter charter = charter();
-    private Guide guide;
+    private RoutingPolicy charter = charter();
+    private PoolRouter guide;
     private double now = 100;
     private long ids;
 
-    private static Charter charter() {
-        Charter c = new Charter();
+    private static RoutingPolicy charter() {
+        RoutingPolicy c = new RoutingPolicy();
         c.pools = List.of("west", "east", "north");
-        c.share = 0.2;
-        c.holds = 50;
-        c.warmUp = 10;
-        c.prefer = List.of(List.of(2), List.of(), List.of());
+        c.spillShare = 0.2;
+        c.serverCapacity = 50;
+        c.warmUpSeconds = 10;
+        c.poolPreferences = List.of(List.of(2), List.of(), List.of());
         c.credit = new double[] {1, 3};
         return c;
     }
@@ -38,35 +38,35 @@
         return "s" + pool + i;
     }
 
-    private static Listed server(int pool, int i, Listed.State state, double started) {
-        return new Listed(name(pool, i), pool, 0, 0, state, started);
+    private static ServerEntry server(int pool, int i, ServerEntry.State state, double started) {
+        return new ServerEntry(name(pool, i), pool, 0, 0, state, started);
     }
 
     private void start() {
-        guide = new Guide(charter, now, log::add, counted::add);
-        List<Listed> all = new ArrayList<>();
+        guide = new PoolRouter(charter, now, log::add, counted::add);
+        List<ServerEntry> all = new ArrayList<>();
         for (int p = 0; p < charter.pools.size(); p++) {
             for (int i = 0; i < EACH; i++) {
-                all.add(server(p, i, Listed.State.RUNNING, Double.NEGATIVE_INFINITY));
+                all.add(server(p, i, ServerEntry.State.RUNNING, Double.NEGATIVE_INFINITY));
             }
         }
-        guide.list(all, true, now);
+        guide.updateServerList(all, true, now);
         for (int p = 0; p < charter.pools.size(); p++) {
             report(p, 0.3);
         }
     }
 
     private void report(int pool, double load) {
-        Report r = new Report();
+        LoadReport r = new LoadReport();
         r.load = load;
         for (int i = 0; i < EACH; i++) {
-            guide.probed(name(pool, i), Outcome.OK, r, now);
+            guide.probeFinished(name(pool, i), Outcome.OK, r, now);
         }
     }
 
     private void silent(int pool) {
         for (int i = 0; i < EACH; i++) {
-            guide.probed(name(pool, i), Outcome.TIMED_OUT, new Report(), now);
+            guide.probeFinished(name(pool, i), Outcome.TIMED_OUT, new LoadReport(), now);
         }
     }
 
@@ -77,7 +77,7 @@
     }
 
     private long taken(int profile) {
-        guide.taken(++ids, profile, "k" + ids, now);
+        guide.tunnelAccepted(++ids, profile, "k" + ids, now);
         return ids;
     }
 
@@ -89,15 +89,15 @@
     private int fill(int pool, int profile) {
         for (int came = 0; ; came++) {
             long id = taken(profile);
-            while (why(id, pool) == Why.LATER_TURN && guide.widen(id, now)) {
+            while (why(id, pool) == Why.LATER_TURN && guide.advanceTier(id, now)) {
                 continue;
             }
             if (why(id, pool) != Why.OPEN) {
-                guide.over(id);
+                guide.tunnelClosed(id);
                 return came;
             }
-            guide.setup(id, name(pool, came % EACH), now);
-            guide.opened(id, now);
+            guide.setupStarted(id, name(pool, came % EACH), now);
+            guide.tunnelOpened(id, now);
         }
     }
 
@@ -107,13 +107,13 @@
         long id = taken(0);
         assertEquals(Why.OPEN, why(id, 0));
         assertEquals(Why.LATER_TURN, why(id, 2));
-        assertTrue(guide.widen(id, now));
+        assertTrue(guide.advanceTier(id, now));
         assertEquals(Why.OPEN, why(id, 2));
         assertEquals(Why.LATER_TURN, why(id, 1));
-        assertTrue(guide.widen(id, now));
+        assertTrue(guide.advanceTier(id, now));
         assertEquals(Why.OPEN, why(id, 1));
         assertEquals(Why.OPEN, why(id, 0));
-        assertFalse(guide.widen(id, now));
+        assertFalse(guide.advanceTier(id, now));
         assertEquals(Why.UNKNOWN, guide.why(id, "stranger", now));
     }
 
@@ -123,7 +123,7 @@
         silent(2);
         pass(1);
         long id = taken(0);
-        assertTrue(guide.widen(id, now));
+        assertTrue(guide.advanceTier(id, now));
         assertEquals(Why.OPEN, why(id, 1));
         assertEquals(Why.POOL_DARK, why(id, 2));
     }
@@ -135,26 +135,26 @@
         assertEquals(10, fill(2, 0));
         assertEquals(Why.GUESTS_FULL, refused(2, 0));
         // One of them turns out to load as much as three.
-        guide.load(1, 1);
-        guide.load(2, 3);
+        guide.tunnelLoadReported(1, 1);
+        guide.tunnelLoadReported(2, 3);
         assertEquals(10 - 1 + 1.5, guide.guests(2), 0.01);
-        guide.over(1);
-        guide.over(2);
+        guide.tunnelClosed(1);
+        guide.tunnelClosed(2);
         assertEquals(8, guide.guests(2), 0.01);
     }
 
     private Why refused(int pool, int profile) {
         long id = taken(profile);
-        guide.widen(id, now);
-        guide.widen(id, now);
+        guide.advanceTier(id, now);
+        guide.advanceTier(id, now);
         Why why = why(id, pool);
-        guide.over(id);
+        guide.tunnelClosed(id);
         return why;
     }
 
     @Test
     void whatIsKeptForAProfileOfGuestsIsLeftByOthersAndTakenByIt() {
-        charter.guestsKept = new double[] {0, 0.4};
+        charter.spillReservedShares = new double[] {0, 0.4};
         start();
         assertEquals(6, fill(2, 0));
         assertEquals(4, fill(2, 1));
@@ -162,7 +162,7 @@
 
     @Test
     void whatIsKeptOfEveryServerStopsOnlyThoseOfLessCredit() {
-        charter.kept = new double[] {0, 0.15};
+        charter.reservedServerShares = new double[] {0, 0.15};
         start();
         report(0, 0.7);
         assertEquals(Why.KEPT, why(taken(0), 0));
@@ -212,9 +212,9 @@
         silent(0);
         pass(1);
         assertEquals(Why.POOL_DARK, why(taken(0), 0));
-        guide.probed(name(0, 1), Outcome.OK, new Report(), now);
+        guide.probeFinished(name(0, 1), Outcome.OK, new LoadReport(), now);
         assertEquals(Why.OPEN, guide.why(taken(0), name(0, 1), now));
-        guide.list(List.of(server(2, 1, Listed.State.DRAINING, 0)), false, now);
+        guide.updateServerList(List.of(server(2, 1, ServerEntry.State.DRAINING, 0)), false, now);
         // Half of the room drains, and guests are bound to a part of what is left.
         assertEquals(9, fill(2, 0), 1);
     }
@@ -226,8 +226,10 @@
         silent(2);
         pass(1);
         assertEquals(Pool.Condition.DARK, guide.condition(1));
-        guide.list(
-                List.of(server(2, 0, Listed.State.GONE, 0), server(2, 1, Listed.State.GONE, 0)),
+        guide.updateServerList(
+                List.of(
+                        server(2, 0, ServerEntry.State.GONE, 0),
+                        server(2, 1, ServerEntry.State.GONE, 0)),
                 false,
                 now);
         pass(6);
@@ -243,22 +245,22 @@
         start();
         for (int i = 0; i < 40; i++) {
             long id = taken(0);
-            guide.setup(id, name(0, i % EACH), now);
-            guide.ended(id, Outcome.TIMED_OUT, true, now);
-            guide.over(id);
+            guide.setupStarted(id, name(0, i % EACH), now);
+            guide.serverConnectionEnded(id, Outcome.TIMED_OUT, true, now);
+            guide.tunnelClosed(id);
             report(0, 0.4);
             pass(0.25);
         }
         assertEquals(Pool.Condition.SOUND, guide.condition(0));
         long id = taken(0);
         pass(2);
-        guide.setup(id, name(0, 0), now);
-        guide.ended(id, Outcome.TIMED_OUT, true, now);
+        guide.setupStarted(id, name(0, 0), now);
+        guide.serverConnectionEnded(id, Outcome.TIMED_OUT, true, now);
         assertEquals(1, ((Number) pool(0).get("silent")).intValue());
         // What a client does that leaves tells nothing.
-        guide.taken(++ids, 0, "k", now);
-        guide.setup(ids, name(0, 1), now);
-        guide.ended(ids, Outcome.NO_CONNECTION, false, now);
+        guide.tunnelAccepted(++ids, 0, "k", now);
+        guide.setupStarted(ids, name(0, 1), now);
+        guide.serverConnectionEnded(ids, Outcome.NO_CONNECTION, false, now);
         assertEquals(1, ((Number) pool(0).get("silent")).intValue());
     }
 
@@ -269,21 +271,21 @@
     @Test
     void furtherSetupsAreAPartOfFirstOnesAndFirstOnesAreNeverHeldBack() {
         charter.retryShare = 0.25;
-        charter.retryLeast = 0;
+        charter.retryMinPerSecond = 0;
         start();
         int again = 0;
         for (int i = 0; i < 400; i++) {
             long id = taken(0);
             assertEquals(Why.OPEN, why(id, 0));
-            guide.setup(id, name(0, 0), now);
-            guide.ended(id, Outcome.RESET, true, now);
+            guide.setupStarted(id, name(0, 0), now);
+            guide.serverConnectionEnded(id, Outcome.RESET, true, now);
             if (why(id, 0) == Why.OPEN) {
-                guide.setup(id, name(0, 1), now);
+                guide.setupStarted(id, name(0, 1), now);
                 again++;
             } else {
-                assertFalse(guide.widen(id, now));
+                assertFalse(guide.advanceTier(id, now));
             }
-            guide.over(id);
+            guide.tunnelClosed(id);
         }
         assertEquals(110, again, 2);
         assertEquals(1, log.stream().filter(l -> l.startsWith("further setups spent")).count());
@@ -303,7 +305,7 @@
         long id = taken(0);
         assertEquals(Why.LATER_TURN, why(id, 0));
         assertEquals(Why.OPEN, why(id, 2));
-        while (guide.widen(id, now)) {
+        while (guide.advanceTier(id, now)) {
             continue;
         }
         assertEquals(Why.OPEN, why(id, 0));
@@ -317,7 +319,7 @@
         List<Long> sent = new ArrayList<>();
         for (double end = now + seconds; now < end - 1e-9; now += 0.25) {
             List<Long> leave = guide.tick(now);
-            leave.forEach(guide::over);
+            leave.forEach(guide::tunnelClosed);
             sent.addAll(leave);
         }
         return sent;
@@ -328,30 +330,30 @@
         pass(1);
         for (int i = 0; i < many; i++) {
             long id = taken(profile);
-            guide.setup(id, name(1 + i % 2, i / 2 % EACH), now);
-            guide.opened(id, now);
+            guide.setupStarted(id, name(1 + i % 2, i / 2 % EACH), now);
+            guide.tunnelOpened(id, now);
         }
     }
 
     @Test
     void guestsGoHomeAsFastAsAWarmRoomIsStatedToBearAndAColdOneBears() {
-        charter.returnShare = 0.02;
-        charter.returnWarm = 0.08;
-        charter.stay = 1;
+        charter.failbackColdShare = 0.02;
+        charter.failbackWarmShare = 0.08;
+        charter.minStaySeconds = 1;
         start();
         away(0, 40);
         report(0, 0.1);
         // The calm first, then eight mean loads a second: only silence was seen, nobody restarted.
         assertEquals(List.of(), home(3.5));
         assertEquals(8 * 2, home(2.5).size(), 6);
-        charter.returnShare = 0.02;
+        charter.failbackColdShare = 0.02;
         start();
         away(0, 40);
         report(0, 0);
-        guide.list(
+        guide.updateServerList(
                 List.of(
-                        server(0, 0, Listed.State.RUNNING, now),
-                        server(0, 1, Listed.State.RUNNING, now)),
+                        server(0, 0, ServerEntry.State.RUNNING, now),
+                        server(0, 1, ServerEntry.State.RUNNING, now)),
                 false,
                 now);
         home(4);
@@ -361,10 +363,10 @@
 
     @Test
     void noneGoesWhileHomeIsDarkLoadedOrNotBelievedNorBeforeItsStayNorIfSpared() {
-        charter.returnShare = 0.1;
-        charter.returnWarm = 0.1;
-        charter.stay = 30;
-        charter.spared = new boolean[] {false, true};
+        charter.failbackColdShare = 0.1;
+        charter.failbackWarmShare = 0.1;
+        charter.minStaySeconds = 30;
+        charter.failbackExempt = new boolean[] {false, true};
         start();
         away(0, 6);
         away(1, 6);
@@ -388,19 +390,19 @@
 
     @Test
     void aProfileInItsRushIsSparedAndNoLongerAfterIt() {
-        charter.returnShare = 0.1;
-        charter.returnWarm = 0.1;
-        charter.stay = 1;
-        charter.sparedInRush = new boolean[] {false, true};
+        charter.failbackColdShare = 0.1;
+        charter.failbackWarmShare = 0.1;
+        charter.minStaySeconds = 1;
+        charter.failbackExemptInSurge = new boolean[] {false, true};
         start();
         for (int i = 0; i < 300; i++) {
-            guide.over(taken(1));
+            guide.tunnelClosed(taken(1));
             pass(0.25);
         }
         away(1, 6);
         report(0, 0.1);
         for (int i = 0; i < 400; i++) {
-            guide.over(taken(1));
+            guide.tunnelClosed(taken(1));
             now += 0.02;
             assertEquals(List.of(), guide.tick(now));
         }
@@ -413,28 +415,28 @@
     void aReloadInMidSpillLetsNothingNewInUntilGuestsHaveLeft() {
         start();
         assertEquals(10, fill(2, 0));
-        Charter anew = charter();
-        anew.share = 0.1;
-        assertTrue(guide.change(anew, now));
+        RoutingPolicy anew = charter();
+        anew.spillShare = 0.1;
+        assertTrue(guide.reload(anew, now));
         for (long id = 1; id <= 5; id++) {
             assertEquals(Why.GUESTS_FULL, refused(2, 0));
-            guide.over(id);
+            guide.tunnelClosed(id);
         }
         assertEquals(Why.GUESTS_FULL, refused(2, 0));
-        guide.over(6);
+        guide.tunnelClosed(6);
         assertEquals(Why.OPEN, refused(2, 0));
-        Charter other = charter();
+        RoutingPolicy other = charter();
         other.pools = List.of("west", "east");
-        assertFalse(guide.change(other, now));
+        assertFalse(guide.reload(other, now));
     }
 
     @Test
     void whatStoodBeforeTheRelayStartedCountsAsAGuestToo() {
         start();
         for (long id = 1; id <= 4; id++) {
-            guide.standing(id, 0, "k", name(2, 0), now);
+            guide.tunnelRestored(id, 0, "k", name(2, 0), now);
         }
-        guide.standing(5, 0, "k", name(0, 0), now);
+        guide.tunnelRestored(5, 0, "k", name(0, 0), now);
         assertEquals(4, guide.guests(2));
         ids = 5;
         assertEquals(6, fill(2, 0));
@@ -442,19 +444,19 @@
 
     @Test
     void aStateIsTakenOverAsItWas() {
-        charter.guestsKept = new double[] {0, 0.4};
+        charter.spillReservedShares = new double[] {0, 0.4};
         start();
         silent(0);
         pass(1);
         assertEquals(11, fill(2, 0), 1);
         report(1, 0.8);
-        Guide other = new Guide(charter, now, log::add, counted::add);
+        PoolRouter other = new PoolRouter(charter, now, log::add, counted::add);
         other.restore(guide.state(now), now);
         assertEquals(guide.state(now).get("pools"), other.state(now).get("pools"));
         assertEquals(guide.state(now).get("servers"), other.state(now).get("servers"));
         for (int p = 0; p < 3; p++) {
             long id = taken(0);
-            other.taken(id, 0, null, now);
+            other.tunnelAccepted(id, 0, null, now);
             assertEquals(why(id, p), other.why(id, name(p, 0), now));
         }
     }
@@ -464,10 +466,10 @@
         start();
         fill(2, 0);
         long id = taken(0);
-        guide.setup(id, name(1, 0), now);
-        guide.over(id);
+        guide.setupStarted(id, name(1, 0), now);
+        guide.tunnelClosed(id);
         for (long g = 1; g <= ids; g++) {
-            guide.over(g);
+            guide.tunnelClosed(g);
         }
         pass(1);
         assertEquals(0, guide.tunnels());
--- a/routes/src/test/java/asterpulley/routes/PoolHealthTest.java
+++ b/routes/src/test/java/asterpulley/routes/PoolHealthTest.java
@@ -8,7 +8,8 @@
 
 /** A pool's darkness, checked over all orders of up to eight events. */
 class PoolHealthTest {
-    private static final PoolHealth.Bounds BOUNDS = new PoolHealth.Bounds(0.7, 0.3, 0.5, 4, 32);
+    private static final PoolHealth.Thresholds BOUNDS =
+            new PoolHealth.Thresholds(0.7, 0.3, 0.5, 4, 32);
 
     /** What may happen: so many silent, after so many seconds. */
     private static final double[][] EVENTS = {
@@ -54,18 +55,20 @@
                 soundAt = now;
             }
             if (is == PoolHealth.State.DARK && was == PoolHealth.State.SUSPECT) {
-                assertTrue(now - soundAt >= BOUNDS.confirm() - 1e-9, () -> Arrays.toString(order));
+                assertTrue(
+                        now - soundAt >= BOUNDS.confirmSeconds() - 1e-9,
+                        () -> Arrays.toString(order));
             }
             if (was == PoolHealth.State.DARK && is != was) {
                 darkAt = now;
             }
-            assertTrue(health.calm() <= BOUNDS.longestCalm());
+            assertTrue(health.calm() <= BOUNDS.maxCalmSeconds());
         }
         // Whatever was, all answering brings it to sound, and all silent makes it dark, each in
         // bounded time.
-        now = settle(health, 0, now, BOUNDS.longestCalm());
+        now = settle(health, 0, now, BOUNDS.maxCalmSeconds());
         assertEquals(PoolHealth.State.SOUND, health.state(), () -> Arrays.toString(order));
-        settle(health, 1, now, BOUNDS.confirm());
+        settle(health, 1, now, BOUNDS.confirmSeconds());
         assertEquals(PoolHealth.State.DARK, health.state(), () -> Arrays.toString(order));
     }
 
--- a/routes/src/test/java/asterpulley/routes/PoolTest.java
+++ b/routes/src/test/java/asterpulley/routes/PoolTest.java
@@ -13,7 +13,8 @@
  * servers and its load.
  */
 class PoolTest {
-    private static final PoolHealth.Bounds BOUNDS = new PoolHealth.Bounds(0.7, 0.3, 0.5, 4, 32);
+    private static final PoolHealth.Thresholds BOUNDS =
+            new PoolHealth.Thresholds(0.7, 0.3, 0.5, 4, 32);
     private static final double LISTED = 6;
 
     /** Servers that run, those that are silent, the mean load of the others, and for how long. */
@@ -89,13 +90,13 @@
             // Sound or overloaded again only after a whole calm since it was dark.
             assertTrue(
                     !EnumSet.of(Pool.Condition.SOUND, Pool.Condition.OVERLOADED).contains(is)
-                            || now - backAt >= BOUNDS.calm() - 1e-9,
+                            || now - backAt >= BOUNDS.calmSeconds() - 1e-9,
                     () -> Arrays.toString(order));
         }
         for (double[] end : new double[][] {{4, 0, 0.3}, {4, 0, 0.95}, {4, 4, 0}, {0, 0, 0}}) {
             tell(pool, end);
             for (int i = 0; i < 3; i++) {
-                now += BOUNDS.calm() * (1 << TIMES_DOUBLED);
+                now += BOUNDS.calmSeconds() * (1 << TIMES_DOUBLED);
                 pool.judge(now);
             }
             Pool.Condition is = pool.condition();
