--- a/bench/src/main/java/asterpulley/bench/DecisionBenchmark.java
+++ b/bench/src/main/java/asterpulley/bench/DecisionBenchmark.java
@@ -25,8 +25,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What the decision module costs by the size of the fleet: a decision (a tunnel taken, opened and
- * ended), a load report, a tick. Every server was asked of late and has room, as on a calm day.
+ * Cost of the decision module by fleet size: a decision (a tunnel taken, opened and ended), a load
+ * report, and a tick. Every server was probed recently and has room, as under normal load.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -37,22 +37,22 @@
         value = 2,
         jvmArgs = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx1g"})
 public class DecisionBenchmark {
-    private static final class Quiet implements Frontend {
-        private final PoolRouter guide;
+    private static final class BenchmarkHost implements Frontend {
+        private final PoolRouter router;
         private double now = 1000;
 
-        private Quiet(PoolRouter guide) {
-            this.guide = guide;
+        private BenchmarkHost(PoolRouter router) {
+            this.router = router;
         }
 
         @Override
         public boolean isEligible(LoadBalancer.Tunnel tun, int server, String ep) {
-            return guide == null || guide.mayUse(tun.id, server, ep, now);
+            return router == null || router.mayUse(tun.id, server, ep, now);
         }
 
         @Override
         public boolean widenSelection(LoadBalancer.Tunnel tun) {
-            return guide != null && guide.advanceTier(tun.id, now);
+            return router != null && router.advanceTier(tun.id, now);
         }
 
         @Override
@@ -62,9 +62,9 @@
 
         @Override
         public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
-            // The benchmark opens it itself.
-            if (guide != null) {
-                guide.setupStarted(tun.id, ep, now);
+            // The benchmark opens the tunnel itself.
+            if (router != null) {
+                router.setupStarted(tun.id, ep, now);
             }
         }
 
@@ -80,27 +80,27 @@
 
         @Override
         public void move(LoadBalancer.Tunnel tun) {
-            // Nobody is crowded here.
+            // No server is crowded here.
         }
 
         @Override
         public void probe(String ep) {
-            // Reports come as the benchmark brings them.
+            // The benchmark supplies the reports.
         }
 
         @Override
         public void watchServerList() {
-            // The list stays.
+            // The server list does not change.
         }
 
         @Override
         public void scheduleTimer(double after, long token) {
-            // The benchmark ticks itself.
+            // The benchmark calls the tick itself.
         }
 
         @Override
         public void log(String line) {
-            // Nobody reads along.
+            // Log lines are not needed.
         }
     }
 
@@ -108,40 +108,40 @@
     int servers;
 
     /**
-     * Four rooms by the crossing fee alone, with pools and limits, and with these while home is
-     * dark.
+     * Four zones with the crossing fee alone, with pools and limits, and with pools while home is
+     * unavailable.
      */
     @Param({"fee", "pools", "dark"})
     String rooms;
 
-    private static final int ROOMS = 4;
+    private static final int POOL_COUNT = 4;
 
-    private Quiet front;
-    private PoolRouter guide;
+    private BenchmarkHost host;
+    private PoolRouter router;
     private LoadBalancer balance;
     private LoadReport report;
-    private long id;
+    private long lastId;
 
-    /** A fresh module, its fleet listed, and every server's report brought. */
+    /** Creates a new decision module with its servers listed and a load report from each. */
     @Setup(Level.Iteration)
-    public void fleet() {
-        RoutingPolicy charter = new RoutingPolicy();
-        charter.pools = List.of("a", "b", "c", "d");
-        charter.credit = new double[] {1};
-        charter.failbackColdShare = 0.02;
-        charter.spillShare = 1;
-        guide = !rooms.equals("fee") ? new PoolRouter(charter, 1000, l -> {}, c -> {}) : null;
-        front = new Quiet(guide);
+    public void setUpFleet() {
+        RoutingPolicy policy = new RoutingPolicy();
+        policy.pools = List.of("a", "b", "c", "d");
+        policy.credit = new double[] {1};
+        policy.failbackColdShare = 0.02;
+        policy.spillShare = 1;
+        router = !rooms.equals("fee") ? new PoolRouter(policy, 1000, l -> {}, c -> {}) : null;
+        host = new BenchmarkHost(router);
         Settings settings = new Settings();
         settings.profiles.add(new Settings.Profile());
         settings.probesAllowed = true;
-        balance = new LoadBalancer(settings, 1, front);
+        balance = new LoadBalancer(settings, 1, host);
         List<ServerEntry> listed = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             listed.add(
                     new ServerEntry(
                             "s" + i,
-                            i % ROOMS,
+                            i % POOL_COUNT,
                             0,
                             0,
                             ServerEntry.State.RUNNING,
@@ -149,58 +149,58 @@
         }
         settings.crossZoneFee = 0.02;
         balance.onServerList(listed, true);
-        if (guide != null) {
-            guide.updateServerList(listed, true, front.now);
+        if (router != null) {
+            router.updateServerList(listed, true, host.now);
         }
         report = new LoadReport();
         report.load = 0.3;
         for (int i = 0; i < servers; i++) {
-            told(i);
+            reportLoad(i);
         }
-        for (int i = 0; rooms.equals("dark") && i < servers; i += ROOMS) {
+        for (int i = 0; rooms.equals("dark") && i < servers; i += POOL_COUNT) {
             balance.onProbeResult("s" + i, Outcome.TIMED_OUT, new LoadReport());
-            guide.probeFinished("s" + i, Outcome.TIMED_OUT, new LoadReport(), front.now);
+            router.probeFinished("s" + i, Outcome.TIMED_OUT, new LoadReport(), host.now);
         }
         if (rooms.equals("dark")) {
-            front.now += charter.healthThresholds.confirmSeconds();
-            guide.tick(front.now);
+            host.now += policy.healthThresholds.confirmSeconds();
+            router.tick(host.now);
         }
     }
 
     @Benchmark
     public boolean decision() {
-        if (guide != null) {
-            guide.tunnelAccepted(id + 1, 0, null, front.now);
+        if (router != null) {
+            router.tunnelAccepted(lastId + 1, 0, null, host.now);
         }
-        LoadBalancer.Tunnel tunnel = balance.openTunnel(++id, 0, 0, null, null, 2, false);
-        if (guide != null) {
-            guide.tunnelOpened(id, front.now);
+        LoadBalancer.Tunnel tunnel = balance.openTunnel(++lastId, 0, 0, null, null, 2, false);
+        if (router != null) {
+            router.tunnelOpened(lastId, host.now);
         }
         tunnel.onOpened(0, 0.02);
         tunnel.onEnded(0, Outcome.OK, 0, true);
-        if (guide != null) {
-            guide.serverConnectionEnded(id, Outcome.OK, true, front.now);
-            guide.tunnelClosed(id);
+        if (router != null) {
+            router.serverConnectionEnded(lastId, Outcome.OK, true, host.now);
+            router.tunnelClosed(lastId);
         }
         return tunnel.isFinished();
     }
 
     @Benchmark
     public void report() {
-        told((int) (++id % servers));
+        reportLoad((int) (++lastId % servers));
     }
 
-    private void told(int server) {
-        if (guide != null) {
-            guide.probeFinished("s" + server, Outcome.OK, report, front.now);
+    private void reportLoad(int server) {
+        if (router != null) {
+            router.probeFinished("s" + server, Outcome.OK, report, host.now);
         }
         balance.onProbeResult("s" + server, Outcome.OK, report);
     }
 
     @Benchmark
     public void tick() {
-        if (guide != null) {
-            guide.tick(front.now);
+        if (router != null) {
+            router.tick(host.now);
         }
         balance.onTimer(0);
     }
--- a/bench/src/main/java/asterpulley/bench/PoolsCost.java
+++ b/bench/src/main/java/asterpulley/bench/PoolsCost.java
@@ -6,13 +6,13 @@
 import java.util.Locale;
 
 /**
- * What pools cost a decision, as ratios of one run: the same fleet by the crossing fee alone, with
- * pools, and with home dark, measured in turn within each round, so that what else the machine does
- * falls on all three.
+ * Cost of pools for a decision, as ratios within one run: the same fleet with the crossing fee
+ * alone, with pools, and with home unavailable. All three are measured in turn within each round,
+ * so that other load on the machine affects them alike.
  */
 public final class PoolsCost {
-    private static final String[] ROOMS = {"fee", "pools", "dark"};
-    private static final int[] SERVERS = {15, 400, 4000};
+    private static final String[] VARIANTS = {"fee", "pools", "dark"};
+    private static final int[] SERVER_COUNTS = {15, 400, 4000};
     private static final int ROUNDS = 15;
     private static final long ROUND_NANOS = 150_000_000;
 
@@ -26,65 +26,65 @@
                 "fee, us",
                 "pools over fee (least, most)",
                 "dark over fee (least, most)");
-        for (int servers : SERVERS) {
-            List<DecisionBenchmark> each = new ArrayList<>();
-            for (String rooms : ROOMS) {
-                DecisionBenchmark one = new DecisionBenchmark();
-                one.servers = servers;
-                one.rooms = rooms;
-                each.add(one);
+        for (int servers : SERVER_COUNTS) {
+            List<DecisionBenchmark> benchmarks = new ArrayList<>();
+            for (String variant : VARIANTS) {
+                DecisionBenchmark benchmark = new DecisionBenchmark();
+                benchmark.servers = servers;
+                benchmark.rooms = variant;
+                benchmarks.add(benchmark);
             }
-            double[] fee = new double[ROUNDS],
-                    pools = new double[ROUNDS],
-                    dark = new double[ROUNDS];
-            for (int r = -3; r < ROUNDS; r++) {
-                double[] took = new double[ROOMS.length];
-                for (int i = 0; i < ROOMS.length; i++) {
-                    // Each is first in a third of the rounds.
-                    int at = (i + r + ROOMS.length) % ROOMS.length;
-                    took[at] = round(each.get(at));
+            double[] feeMicros = new double[ROUNDS],
+                    poolsRatio = new double[ROUNDS],
+                    darkRatio = new double[ROUNDS];
+            for (int round = -3; round < ROUNDS; round++) {
+                double[] nanos = new double[VARIANTS.length];
+                for (int i = 0; i < VARIANTS.length; i++) {
+                    // Each variant is first in a third of the rounds.
+                    int variantIndex = (i + round + VARIANTS.length) % VARIANTS.length;
+                    nanos[variantIndex] = nanosPerDecision(benchmarks.get(variantIndex));
                 }
-                if (r >= 0) {
-                    fee[r] = took[0] / 1e3;
-                    pools[r] = took[1] / took[0];
-                    dark[r] = took[2] / took[0];
+                if (round >= 0) {
+                    feeMicros[round] = nanos[0] / 1e3;
+                    poolsRatio[round] = nanos[1] / nanos[0];
+                    darkRatio[round] = nanos[2] / nanos[0];
                 }
             }
             System.out.printf(
                     Locale.ROOT,
                     "%8d %10.1f %28s %28s%n",
                     servers,
-                    median(fee),
-                    spread(pools),
-                    spread(dark));
+                    median(feeMicros),
+                    spread(poolsRatio),
+                    spread(darkRatio));
         }
     }
 
-    private static double round(DecisionBenchmark of) {
-        of.fleet();
-        long from = System.nanoTime();
-        long many = 0;
-        while (System.nanoTime() - from < ROUND_NANOS) {
+    private static double nanosPerDecision(DecisionBenchmark benchmark) {
+        benchmark.setUpFleet();
+        long start = System.nanoTime();
+        long decisions = 0;
+        while (System.nanoTime() - start < ROUND_NANOS) {
             for (int i = 0; i < 16; i++) {
-                of.decision();
-                many++;
+                benchmark.decision();
+                decisions++;
             }
         }
-        return (double) (System.nanoTime() - from) / many;
+        return (double) (System.nanoTime() - start) / decisions;
     }
 
-    private static double median(double[] of) {
-        double[] sorted = of.clone();
+    private static double median(double[] values) {
+        double[] sorted = values.clone();
         Arrays.sort(sorted);
         return sorted[sorted.length / 2];
     }
 
-    private static String spread(double[] of) {
+    private static String spread(double[] values) {
         return String.format(
                 Locale.ROOT,
                 "%.2f (%.2f, %.2f)",
-                median(of),
-                Arrays.stream(of).min().orElse(0),
-                Arrays.stream(of).max().orElse(0));
+                median(values),
+                Arrays.stream(values).min().orElse(0),
+                Arrays.stream(values).max().orElse(0));
     }
 }
--- a/bench/src/main/java/asterpulley/bench/SizeCost.java
+++ b/bench/src/main/java/asterpulley/bench/SizeCost.java
@@ -23,22 +23,23 @@
 import java.util.zip.Deflater;
 
 /**
- * What size costs in process: a whole list by its entries (bytes, time to read it, garbage, what
- * stays), the module's heap by servers and by groups, and in virtual time how often it seeks and
- * how long its own work for control takes. Figures are of this JVM alone: no socket is in them.
+ * Cost of size within one process: a whole list by its entries (bytes, time to read, garbage,
+ * retained heap), the decision module's heap by servers and by groups, and, in virtual time, its
+ * probe rate and the time of its own control work. Figures are of this JVM alone; no sockets are
+ * involved.
  */
 public final class SizeCost {
     private static final int ROUNDS = 9;
     private static final int RELAYS = 6_400;
-    private static final double TICK = 0.1;
+    private static final double TICK_SECONDS = 0.1;
 
     private SizeCost() {}
 
-    /** Answers every probe a tick later and counts them. */
-    static final class Counting implements Frontend {
+    /** Answers every probe a tick later and counts the probes. */
+    static final class CountingHost implements Frontend {
         private double now = 1_000;
-        private final ArrayDeque<String> asked = new ArrayDeque<>();
-        private final ArrayDeque<LoadBalancer.Tunnel> sent = new ArrayDeque<>();
+        private final ArrayDeque<String> probedServers = new ArrayDeque<>();
+        private final ArrayDeque<LoadBalancer.Tunnel> startedSetups = new ArrayDeque<>();
         private long probes, declined;
 
         @Override
@@ -48,7 +49,7 @@
 
         @Override
         public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
-            sent.add(tun);
+            startedSetups.add(tun);
         }
 
         @Override
@@ -68,27 +69,27 @@
 
         @Override
         public void probe(String ep) {
-            asked.add(ep);
+            probedServers.add(ep);
             probes++;
         }
 
         @Override
         public void watchServerList() {
-            // The list stays.
+            // The server list does not change.
         }
 
         @Override
         public void scheduleTimer(double after, long token) {
-            // Time is moved from outside.
+            // The caller advances the time.
         }
 
         @Override
         public void log(String line) {
-            // Nobody reads along.
+            // Log lines are not needed.
         }
     }
 
-    static String text(int entries) {
+    static String listJson(int entries) {
         List<Object> hosts = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
             Map<String, Object> host = new HashMap<>();
@@ -111,14 +112,14 @@
         return Json.text(list);
     }
 
-    static ServerList read(String text, ServerList.NameIndex names) throws IOException {
+    static ServerList parseList(String text, ServerList.NameIndex names) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
             parser.nextToken();
             return ServerList.fromJson(Json.object(Json.read(parser), "the list"), names);
         }
     }
 
-    static List<ServerEntry> fleet(int servers) {
+    static List<ServerEntry> listedServers(int servers) {
         List<ServerEntry> listed = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             listed.add(
@@ -133,27 +134,28 @@
         return listed;
     }
 
-    static LoadBalancer module(int servers, boolean groups, Counting front) {
-        return module(servers, groups, front, 0);
+    static LoadBalancer newBalancer(int servers, boolean groups, CountingHost host) {
+        return newBalancer(servers, groups, host, 0);
     }
 
-    static LoadBalancer module(int servers, boolean groups, Counting front, double fee) {
+    static LoadBalancer newBalancer(
+            int servers, boolean groups, CountingHost host, double probeFee) {
         Settings settings = new Settings();
         settings.profiles.add(new Settings.Profile());
         settings.probesAllowed = true;
         settings.groupsShareWork = groups;
         settings.relayCount = RELAYS;
-        settings.probeFee = fee;
-        LoadBalancer balance = new LoadBalancer(settings, 1, front);
-        balance.onServerList(fleet(servers), true);
+        settings.probeFee = probeFee;
+        LoadBalancer balance = new LoadBalancer(settings, 1, host);
+        balance.onServerList(listedServers(servers), true);
         return balance;
     }
 
     /**
-     * Bytes in use after collections; the serial collector leaves some of the dead in place but for
-     * every fourth time.
+     * Heap bytes in use after several collections: the serial collector compacts only every fourth
+     * time and otherwise leaves some dead objects in place.
      */
-    static long used() {
+    static long usedHeapBytes() {
         Runtime runtime = Runtime.getRuntime();
         long least = Long.MAX_VALUE;
         for (int i = 0; i < 5; i++) {
@@ -163,145 +165,157 @@
         return least;
     }
 
-    static long allocated() {
+    static long allocatedBytes() {
         return ((com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean())
                 .getThreadAllocatedBytes(Thread.currentThread().getId());
     }
 
-    /** What stays in use of a module with so many groups of one standing tunnel each, per group. */
+    /**
+     * Retained heap bytes a group, of a decision module with {@code groups} groups of one open
+     * tunnel each.
+     */
     static double bytesPerGroup(int servers, int groups) {
-        LoadBalancer balance = module(servers, true, new Counting());
+        LoadBalancer balance = newBalancer(servers, true, new CountingHost());
         List<LoadBalancer.Tunnel> tunnels = new ArrayList<>();
-        long before = used();
-        for (int g = 0; g < groups; g++) {
-            String group = "topic-" + g;
-            // As on a return: it stands where it stood, and a second one of the group is placed by
-            // the module.
-            tunnels.add(balance.restoreTunnel(2L * g, 0, 0, group, null, "feed-" + g % servers));
+        long before = usedHeapBytes();
+        for (int groupIndex = 0; groupIndex < groups; groupIndex++) {
+            String group = "topic-" + groupIndex;
+            // As after a restart: the tunnel is open where it was before, and a second one of its
+            // group would be placed by the module.
+            tunnels.add(
+                    balance.restoreTunnel(
+                            2L * groupIndex, 0, 0, group, null, "feed-" + groupIndex % servers));
         }
-        double standing = used() - before;
+        double usedBytes = usedHeapBytes() - before;
         balance.hashCode();
         tunnels.size();
-        return standing / groups;
+        return usedBytes / groups;
     }
 
-    /** A module whose servers all told a light load just now. */
-    private static LoadBalancer told(int servers, boolean groups, Counting front) {
-        LoadBalancer balance = module(servers, groups, front);
+    /** A decision module that has just received a light load report from every server. */
+    private static LoadBalancer balancerWithReports(
+            int servers, boolean groups, CountingHost host) {
+        LoadBalancer balance = newBalancer(servers, groups, host);
         LoadReport report = new LoadReport();
         report.load = 0.3;
         report.openTunnels = 1_000;
-        for (int s = 0; s < servers; s++) {
-            balance.onProbeResult("feed-" + s, Outcome.OK, report);
+        for (int server = 0; server < servers; server++) {
+            balance.onProbeResult("feed-" + server, Outcome.OK, report);
         }
         return balance;
     }
 
     /**
-     * The same where the module chose the server, and so has put the fleet in the group's order;
-     * then, once all of them have ended.
+     * The same where the decision module chose the servers, and so has ordered the fleet for each
+     * group: bytes a group with open tunnels, and after all of them have ended.
      */
     static double[] bytesPerPlacedGroup(int servers, int groups) {
-        Counting front = new Counting();
-        LoadBalancer balance = told(servers, true, front);
+        CountingHost host = new CountingHost();
+        LoadBalancer balance = balancerWithReports(servers, true, host);
         List<LoadBalancer.Tunnel> tunnels = new ArrayList<>();
-        long before = used();
-        for (int g = 0; g < groups; g++) {
-            LoadBalancer.Tunnel tunnel = balance.openTunnel(g, 0, 0, "topic-" + g, null, 2, false);
-            if (front.sent.poll() != null) {
+        long before = usedHeapBytes();
+        for (int groupIndex = 0; groupIndex < groups; groupIndex++) {
+            LoadBalancer.Tunnel tunnel =
+                    balance.openTunnel(groupIndex, 0, 0, "topic-" + groupIndex, null, 2, false);
+            if (host.startedSetups.poll() != null) {
                 tunnel.onOpened(0, 0.02);
                 tunnels.add(tunnel);
             }
         }
-        double bytes = used() - before;
+        double placedBytes = usedHeapBytes() - before;
         if (tunnels.size() < groups) {
             throw new IllegalStateException(
                     "only " + tunnels.size() + " of " + groups + " were placed");
         }
-        tunnels.forEach(t -> t.onEnded(0, Outcome.OK, 0, true));
+        tunnels.forEach(tunnel -> tunnel.onEnded(0, Outcome.OK, 0, true));
         tunnels.clear();
-        double after = used() - before;
+        double endedBytes = usedHeapBytes() - before;
         balance.hashCode();
-        return new double[] {bytes / groups, after / groups};
+        return new double[] {placedBytes / groups, endedBytes / groups};
     }
 
     /**
-     * How many of so many tunnels that come at once are set up at once by a relay that has just
-     * started.
+     * How many of {@code tunnels} tunnels that arrive at once a relay that has just started sets up
+     * immediately.
      */
-    static int atOnce(int servers, int tunnels) {
-        Counting front = new Counting();
-        LoadBalancer balance = told(servers, false, front);
+    static int immediateSetups(int servers, int tunnels) {
+        CountingHost host = new CountingHost();
+        LoadBalancer balance = balancerWithReports(servers, false, host);
         for (int i = 0; i < tunnels; i++) {
             balance.openTunnel(i, 0, 0, null, null, 2, false);
         }
-        return front.sent.size();
+        return host.startedSetups.size();
     }
 
     /**
-     * Seeks a second and the part of a core that ticks and reports take, with tunnels that stand at
-     * the first so many servers; {@code opening}: so many tunnels a second are set up besides, and
-     * end a tick later.
+     * Probes a second, the share of a core that ticks and reports take, and the tunnels declined,
+     * with open tunnels at the first {@code usedServers} servers. Besides, {@code setupsPerSecond}
+     * tunnels a second are set up, and end a tick later.
      */
-    static double[] control(int servers, int used, double fee, double opening, double seconds) {
-        Counting front = new Counting();
-        LoadBalancer balance = module(servers, false, front, fee);
+    static double[] controlCost(
+            int servers, int usedServers, double probeFee, double setupsPerSecond, double seconds) {
+        CountingHost host = new CountingHost();
+        LoadBalancer balance = newBalancer(servers, false, host, probeFee);
         List<LoadBalancer.Tunnel> tunnels = new ArrayList<>();
-        for (int s = 0; s < used; s++) {
-            tunnels.add(balance.restoreTunnel(s, 0, 0, null, null, "feed-" + s));
+        for (int server = 0; server < usedServers; server++) {
+            tunnels.add(balance.restoreTunnel(server, 0, 0, null, null, "feed-" + server));
         }
         LoadReport report = new LoadReport();
         report.load = 0.3;
         report.openTunnels = 1_000;
-        double warm = 30;
-        long took = 0;
+        double warmUpSeconds = 30;
+        long controlNanos = 0;
         long probes = 0;
-        long id = servers;
-        double due = 0;
-        double begin = front.now;
-        boolean warmed = false;
-        for (double end = begin + warm + seconds; front.now < end; front.now += TICK) {
-            if (!warmed && front.now >= begin + warm) {
-                warmed = true;
-                took = 0;
-                probes = front.probes;
+        long lastId = servers;
+        double setupsDue = 0;
+        double begin = host.now;
+        boolean warmedUp = false;
+        for (double end = begin + warmUpSeconds + seconds;
+                host.now < end;
+                host.now += TICK_SECONDS) {
+            if (!warmedUp && host.now >= begin + warmUpSeconds) {
+                warmedUp = true;
+                controlNanos = 0;
+                probes = host.probes;
             }
-            long from = System.nanoTime();
-            for (int n = front.asked.size(); n > 0; n--) {
-                balance.onProbeResult(front.asked.poll(), Outcome.OK, report);
+            long start = System.nanoTime();
+            for (int remaining = host.probedServers.size(); remaining > 0; remaining--) {
+                balance.onProbeResult(host.probedServers.poll(), Outcome.OK, report);
             }
             balance.onTimer(0);
-            took += System.nanoTime() - from;
-            for (LoadBalancer.Tunnel t = front.sent.poll(); t != null; t = front.sent.poll()) {
-                t.onOpened(0, 0.02);
-                t.onEnded(0, Outcome.OK, 0, true);
+            controlNanos += System.nanoTime() - start;
+            for (LoadBalancer.Tunnel tunnel = host.startedSetups.poll();
+                    tunnel != null;
+                    tunnel = host.startedSetups.poll()) {
+                tunnel.onOpened(0, 0.02);
+                tunnel.onEnded(0, Outcome.OK, 0, true);
             }
-            for (due += opening * TICK; due >= 1; due--) {
-                balance.openTunnel(++id, 0, 0, null, null, 2, false);
+            for (setupsDue += setupsPerSecond * TICK_SECONDS; setupsDue >= 1; setupsDue--) {
+                balance.openTunnel(++lastId, 0, 0, null, null, 2, false);
             }
         }
         tunnels.size();
         return new double[] {
-            (front.probes - probes) / seconds, took / 1e9 / seconds, front.declined
+            (host.probes - probes) / seconds, controlNanos / 1e9 / seconds, host.declined
         };
     }
 
-    /** Bytes of that text where it were sent compressed, which nothing does today. */
-    static int deflated(String text) {
+    /** Size of the text if it were sent compressed, which nothing does today. */
+    static int deflatedBytes(String text) {
         Deflater deflater = new Deflater();
         deflater.setInput(text.getBytes(StandardCharsets.UTF_8));
         deflater.finish();
-        byte[] into = new byte[text.length() + 64];
+        byte[] buffer = new byte[text.length() + 64];
         int size = 0;
         while (!deflater.finished()) {
-            size += deflater.deflate(into);
+            size += deflater.deflate(buffer);
         }
         deflater.end();
         return size;
     }
 
-    private static String spread(double[] of) {
-        double[] sorted = of.clone();
+    private static String spread(double[] values) {
+        double[] sorted = values.clone();
         Arrays.sort(sorted);
         return String.format(
                 Locale.ROOT,
@@ -325,40 +339,40 @@
                 "garbage, MB",
                 "kept, MB");
         for (int entries : new int[] {100, 1_000, 4_000, 10_000, 100_000}) {
-            String text = text(entries);
-            double[] took = new double[ROUNDS];
-            for (int warm = 0; warm < Math.max(2, 30_000 / entries); warm++) {
-                read(text, names);
+            String text = listJson(entries);
+            double[] readMillis = new double[ROUNDS];
+            for (int warmUpRound = 0; warmUpRound < Math.max(2, 30_000 / entries); warmUpRound++) {
+                parseList(text, names);
             }
             long garbage = 0;
             for (int i = 0; i < ROUNDS; i++) {
-                long before = allocated();
-                long from = System.nanoTime();
-                read(text, names);
-                took[i] = (System.nanoTime() - from) / 1e6;
-                garbage = allocated() - before;
+                long before = allocatedBytes();
+                long start = System.nanoTime();
+                parseList(text, names);
+                readMillis[i] = (System.nanoTime() - start) / 1e6;
+                garbage = allocatedBytes() - before;
             }
-            long before = used();
-            ServerList kept = read(text, names);
-            long after = used();
+            long before = usedHeapBytes();
+            ServerList fleet = parseList(text, names);
+            long after = usedHeapBytes();
             System.out.printf(
                     Locale.ROOT,
                     "%8d %10d %8.1f %10d %24s %14.2f %14.2f%n",
-                    kept.servers().size(),
+                    fleet.servers().size(),
                     text.length(),
                     text.length() / (double) entries,
-                    deflated(text),
-                    spread(took),
+                    deflatedBytes(text),
+                    spread(readMillis),
                     garbage / 1e6,
                     (after - before) / 1e6);
         }
         System.out.printf(
                 Locale.ROOT, "%n%8s %18s %22s%n", "servers", "module, MB", "bytes a listed server");
         for (int servers : new int[] {100, 1_000, 4_000, 10_000, 100_000}) {
-            List<ServerEntry> listed = fleet(servers);
-            long before = used();
-            LoadBalancer balance = module(servers, false, new Counting());
-            long bytes = used() - before;
+            List<ServerEntry> listed = listedServers(servers);
+            long before = usedHeapBytes();
+            LoadBalancer balance = newBalancer(servers, false, new CountingHost());
+            long bytes = usedHeapBytes() - before;
             balance.hashCode();
             listed.size();
             System.out.printf(
@@ -401,7 +415,7 @@
                 "servers",
                 "set up at once after a start, of 100, " + RELAYS + " relays");
         for (int servers : new int[] {100, 1_000, 4_000, 10_000, 30_000}) {
-            System.out.printf(Locale.ROOT, "%8d %48d%n", servers, atOnce(servers, 100));
+            System.out.printf(Locale.ROOT, "%8d %48d%n", servers, immediateSetups(servers, 100));
         }
         System.out.printf(
                 Locale.ROOT,
@@ -429,14 +443,14 @@
                     {4_000, 364, 0.002, 29},
                     {4_000, 4_000, 0.05, 29}
                 }) {
-            double[] share = new double[3];
+            double[] coreShares = new double[3];
             double probes = 0, declined = 0;
-            for (int i = 0; i < share.length; i++) {
-                double[] one =
-                        control((int) of[0], (int) of[1], of[2], of[3], of[0] > 1_000 ? 6 : 20);
-                probes = one[0];
-                declined = one[2];
-                share[i] = one[1] * 100;
+            for (int i = 0; i < coreShares.length; i++) {
+                double[] cost =
+                        controlCost((int) of[0], (int) of[1], of[2], of[3], of[0] > 1_000 ? 6 : 20);
+                probes = cost[0];
+                declined = cost[2];
+                coreShares[i] = cost[1] * 100;
             }
             System.out.printf(
                     Locale.ROOT,
@@ -447,7 +461,7 @@
                     of[3],
                     declined,
                     probes,
-                    spread(share));
+                    spread(coreShares));
         }
     }
 }
--- a/bench/src/test/java/asterpulley/bench/SizeCostTest.java
+++ b/bench/src/test/java/asterpulley/bench/SizeCostTest.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the size tool measures is what relays read and do. */
+/** The size tool measures what relays really read and do. */
 class SizeCostTest {
     @Test
-    void theListIsReadAsRelaysReadIt() throws IOException {
-        String text = SizeCost.text(50);
+    void readsTheListAsRelaysDo() throws IOException {
+        String text = SizeCost.listJson(50);
         ServerList fleet =
-                SizeCost.read(
+                SizeCost.parseList(
                         text,
                         new ServerList.NameIndex(Map.of("zones", List.of(), "models", List.of())));
         assertTrue(fleet.whole());
@@ -24,42 +24,45 @@
         assertEquals(50, fleet.dialAddresses().size());
         assertEquals(11, fleet.servers().stream().map(ServerEntry::zone).distinct().count());
         assertTrue(fleet.servers().stream().allMatch(l -> l.state() == ServerEntry.State.RUNNING));
-        assertTrue(SizeCost.deflated(text) < text.length());
+        assertTrue(SizeCost.deflatedBytes(text) < text.length());
     }
 
     @Test
-    void seeksAreCountedByServersThatAreUsed() {
-        double all = SizeCost.control(100, 100, 0, 0, 10)[0];
-        double few = SizeCost.control(100, 10, 0, 0, 10)[0];
-        // A used server is sought every 0.4 s and a little, another eight times less often.
-        assertTrue(all > 120 && all <= 250, Double.toString(all));
-        assertTrue(few > 20 && few < all / 2, few + " of " + all);
-        // A fee makes them rarer.
-        double dear = SizeCost.control(100, 100, 0.05, 5, 10)[0];
-        assertTrue(dear < all / 2, dear + " of " + all);
+    void countsProbesByServersInUse() {
+        double allInUse = SizeCost.controlCost(100, 100, 0, 0, 10)[0];
+        double fewInUse = SizeCost.controlCost(100, 10, 0, 0, 10)[0];
+        // A used server is probed every 0.4 s or a little more, an unused one eight times less
+        // often.
+        assertTrue(allInUse > 120 && allInUse <= 250, Double.toString(allInUse));
+        assertTrue(fewInUse > 20 && fewInUse < allInUse / 2, fewInUse + " of " + allInUse);
+        // A probe fee makes probes rarer.
+        double withFee = SizeCost.controlCost(100, 100, 0.05, 5, 10)[0];
+        assertTrue(withFee < allInUse / 2, withFee + " of " + allInUse);
     }
 
     @Test
-    void setupsAtOnceAreCounted() {
-        int few = SizeCost.atOnce(100, 50);
-        int most = SizeCost.atOnce(40_000, 50);
+    void countsImmediateSetups() {
+        int few = SizeCost.immediateSetups(100, 50);
+        int most = SizeCost.immediateSetups(40_000, 50);
         assertTrue(few >= 1 && few < most && most <= 50, few + ", " + most);
     }
 
     @Test
-    void whatStaysIsCounted() {
-        long before = SizeCost.used();
-        // In small pieces: a collector may give a large array whole regions of its own.
+    void measuresRetainedHeap() {
+        long before = SizeCost.usedHeapBytes();
+        // Allocated in small pieces: a collector may give a large array whole regions of its own.
         byte[][] kept = new byte[8192][1024];
-        long more = SizeCost.used() - before;
-        long bytes = (long) kept.length * kept[0].length;
-        assertTrue(more > bytes * 0.9 && more < bytes * 1.2, Long.toString(more));
-        double group = SizeCost.bytesPerGroup(100, 2_000);
+        long measuredBytes = SizeCost.usedHeapBytes() - before;
+        long keptBytes = (long) kept.length * kept[0].length;
+        assertTrue(
+                measuredBytes > keptBytes * 0.9 && measuredBytes < keptBytes * 1.2,
+                Long.toString(measuredBytes));
+        double bytesPerGroup = SizeCost.bytesPerGroup(100, 2_000);
         double[] placed = SizeCost.bytesPerPlacedGroup(100, 2_000);
         assertTrue(
                 placed[0] > 100 && placed[0] < 5_000 && placed[1] < placed[0],
                 placed[0] + ", " + placed[1]);
-        // A standing tunnel, its group's name and count.
-        assertTrue(group > 100 && group < 5_000, Double.toString(group));
+        // An open tunnel, and its group's name and count.
+        assertTrue(bytesPerGroup > 100 && bytesPerGroup < 5_000, Double.toString(bytesPerGroup));
     }
 }
--- a/cli/src/main/java/asterpulley/cli/CheckCommand.java
+++ b/cli/src/main/java/asterpulley/cli/CheckCommand.java
@@ -10,14 +10,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Reads an operator's file and tells all that is wrong with it, without starting anything. */
+/** Checks an operator's file and prints all its problems, without starting anything. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
         description =
                 "Tells all that is wrong with a file, with line and path, in one pass; starts nothing.")
 final class CheckCommand implements Callable<Integer> {
-    /** What kinds of file there are. */
+    /** The kinds of file. */
     enum Kind {
         RELAY,
         EXPERIMENT
@@ -35,20 +35,20 @@
 
     @Override
     public Integer call() throws IOException {
-        TomlDocument sheet = Main.sheet(file);
-        boolean relay = kind == null ? sheet.root().has("listen") : kind == Kind.RELAY;
+        TomlDocument document = Main.readDocument(file);
+        boolean relay = kind == null ? document.root().has("listen") : kind == Kind.RELAY;
         if (relay) {
-            RelayFile.read(sheet);
-        } else if (FleetReader.isFleet(sheet)) {
-            FleetReader.read(sheet, Main.name(file));
+            RelayFileReader.read(document);
+        } else if (FleetReader.isFleet(document)) {
+            FleetReader.read(document, Main.baseName(file));
         } else {
-            Main.plan(sheet, file);
+            Main.readPlan(document, file);
         }
-        List<String> problems = sheet.problems();
+        List<String> problems = document.problems();
         problems.forEach(System.err::println);
         if (problems.isEmpty()) {
             System.out.println(file + ": a good " + (relay ? "relay file" : "experiment"));
         }
-        return problems.isEmpty() ? Main.DONE : Main.BAD_INPUT;
+        return problems.isEmpty() ? Main.SUCCESS : Main.BAD_INPUT;
     }
 }
--- a/cli/src/main/java/asterpulley/cli/LabCommand.java
+++ b/cli/src/main/java/asterpulley/cli/LabCommand.java
@@ -28,7 +28,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The laboratory's commands. */
+/** The lab's commands: experiments, load and cost measurements. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
@@ -51,14 +51,14 @@
         return Main.BAD_USAGE;
     }
 
-    /** Where an experiment is played. */
+    /** Where an experiment runs. */
     enum On {
         MODEL,
         SOCKETS,
         BOTH
     }
 
-    /** Plays one experiment. */
+    /** Runs one experiment. */
     @Command(
             name = "run",
             mixinStandardHelpOptions = true,
@@ -105,13 +105,13 @@
 
         @Override
         public Integer call() throws IOException {
-            TomlDocument sheet = Main.sheet(file);
-            if (FleetReader.isFleet(sheet)) {
-                return fleet(sheet);
+            TomlDocument document = Main.readDocument(file);
+            if (FleetReader.isFleet(document)) {
+                return runFleet(document);
             }
-            Plan plan = Main.plan(sheet, file);
-            if (!sheet.problems().isEmpty()) {
-                sheet.problems().forEach(System.err::println);
+            Plan plan = Main.readPlan(document, file);
+            if (!document.problems().isEmpty()) {
+                document.problems().forEach(System.err::println);
                 return Main.BAD_INPUT;
             }
             if (seed != null) {
@@ -123,8 +123,8 @@
             if (quick) {
                 plan.halve();
             }
-            boolean toOut = json != null && json.toString().equals("-");
-            Lab lab = new Lab(toOut ? System.err : System.out);
+            boolean jsonToStdout = json != null && json.toString().equals("-");
+            Lab lab = new Lab(jsonToStdout ? System.err : System.out);
             if (policy != null
                     && !policy.equals(Model.MODULE)
                     && !List.of(PlanReader.BASELINES).contains(policy)) {
@@ -137,28 +137,31 @@
                                 + ", "
                                 + String.join(", ", PlanReader.BASELINES));
             }
-            List<Outcome> all =
+            List<Outcome> outcomes =
                     policy != null
                             ? List.of(lab.model(plan, policy))
                             : lab.play(plan, on == null ? plan.on : on.name().toLowerCase());
-            boolean good = lab.verdict(plan, all);
-            if (toOut) {
-                System.out.write(Reports.json(plan, all));
+            boolean passed = lab.verdict(plan, outcomes);
+            if (jsonToStdout) {
+                System.out.write(Reports.json(plan, outcomes));
                 System.out.println();
             } else if (json != null) {
-                Files.write(json, Reports.json(plan, all));
+                Files.write(json, Reports.json(plan, outcomes));
             }
             if (html != null) {
-                Reports.html(plan, all, html);
+                Reports.html(plan, outcomes, html);
             }
-            return good ? Main.DONE : Main.FELL_SHORT;
+            return passed ? Main.SUCCESS : Main.EXPECTATION_FAILED;
         }
 
-        /** One of many hollow relays: it has sizes, and neither carriers nor baselines. */
-        private int fleet(TomlDocument sheet) throws IOException {
-            FleetPlan plan = FleetReader.read(sheet, Main.name(file));
-            if (!sheet.problems().isEmpty()) {
-                sheet.problems().forEach(System.err::println);
+        /**
+         * Runs an experiment with a fleet of simulated relays. It has fleet sizes, and neither
+         * carriers nor baselines.
+         */
+        private int runFleet(TomlDocument document) throws IOException {
+            FleetPlan plan = FleetReader.read(document, Main.baseName(file));
+            if (!document.problems().isEmpty()) {
+                document.problems().forEach(System.err::println);
                 return Main.BAD_INPUT;
             }
             if (on != null && on != On.SOCKETS || policy != null) {
@@ -170,10 +173,10 @@
             if (quick) {
                 plan.halve();
             }
-            boolean toOut = json != null && json.toString().equals("-");
-            FleetLab lab = new FleetLab(plan, toOut ? System.err : System.out).play();
-            boolean good = lab.verdict();
-            if (toOut) {
+            boolean jsonToStdout = json != null && json.toString().equals("-");
+            FleetLab lab = new FleetLab(plan, jsonToStdout ? System.err : System.out).play();
+            boolean passed = lab.verdict();
+            if (jsonToStdout) {
                 System.out.write(lab.json());
                 System.out.println();
             } else if (json != null) {
@@ -182,11 +185,11 @@
             if (html != null) {
                 lab.html(html);
             }
-            return good ? Main.DONE : Main.FELL_SHORT;
+            return passed ? Main.SUCCESS : Main.EXPECTATION_FAILED;
         }
     }
 
-    /** Drives an address. */
+    /** Drives load to an address. */
     @Command(
             name = "load",
             mixinStandardHelpOptions = true,
@@ -258,9 +261,13 @@
             order.to =
                     Addresses.parse(to)
                             .orElseThrow(
-                                    () -> wrong("--to: '" + to + "' is not an address and a port"));
+                                    () ->
+                                            usageError(
+                                                    "--to: '"
+                                                            + to
+                                                            + "' is not an address and a port"));
             if (!order.to.getAddress().isLoopbackAddress()) {
-                throw wrong("--to: only loopback addresses are driven");
+                throw usageError("--to: only loopback addresses are driven");
             }
             if (!(rate > 0
                     && rate <= 100_000
@@ -269,7 +276,7 @@
                     && life >= 0
                     && patience > 0
                     && concurrency > 0)) {
-                throw wrong(
+                throw usageError(
                         "a rate up to 100000 a second, a time up to 3600 s, and nothing below 0");
             }
             order.rate = rate;
@@ -288,17 +295,17 @@
             }
             if (!tool.worthIt()) {
                 System.out.println("no verdict: this tool could not keep its own pace");
-                return Main.FELL_SHORT;
+                return Main.EXPECTATION_FAILED;
             }
-            return tool.opened > 0 ? Main.DONE : Main.FELL_SHORT;
+            return tool.opened > 0 ? Main.SUCCESS : Main.EXPECTATION_FAILED;
         }
 
-        private CommandLine.ParameterException wrong(String what) {
-            return new CommandLine.ParameterException(spec.commandLine(), what);
+        private CommandLine.ParameterException usageError(String message) {
+            return new CommandLine.ParameterException(spec.commandLine(), message);
         }
     }
 
-    /** Measures what a relay costs. */
+    /** Measures the cost of a relay. */
     @Command(
             name = "cost",
             mixinStandardHelpOptions = true,
@@ -351,11 +358,13 @@
             if (json != null) {
                 Files.write(json, JSON.writeValueAsBytes(figures));
             }
-            return Boolean.TRUE.equals(figures.get("kept_pace")) ? Main.DONE : Main.FELL_SHORT;
+            return Boolean.TRUE.equals(figures.get("kept_pace"))
+                    ? Main.SUCCESS
+                    : Main.EXPECTATION_FAILED;
         }
     }
 
-    /** Measures deliveries. */
+    /** Measures the delivery of lines to open connections. */
     @Command(
             name = "deliver",
             mixinStandardHelpOptions = true,
@@ -364,10 +373,10 @@
                 "and connections; heap a connection; and a line to all at once. Lists are separated by commas."
             })
     static final class Deliver implements Callable<Integer> {
-        /** Relay, servers and clients each hold a socket or two a connection. */
-        private static final int MOST_STANDING = 20_000;
+        /** The relay, the servers and the clients each need one or two sockets a connection. */
+        private static final int MAX_STANDING = 20_000;
 
-        private static final double LONGEST = 300;
+        private static final double MAX_SECONDS = 300;
 
         @Option(
                 names = "--standing",
@@ -441,31 +450,31 @@
             order.seconds = seconds;
             order.rounds = rounds;
             order.bursts = bursts;
-            if (!(Deliveries.within(standing, 1, MOST_STANDING)
+            if (!(Deliveries.within(standing, 1, MAX_STANDING)
                     && Deliveries.within(rates, 1, 100_000)
                     && seconds > 0
                     && quiet > 0
                     && rounds >= 0
                     && bursts >= 0
-                    && Deliveries.within(servers, 1, MOST_STANDING)
+                    && Deliveries.within(servers, 1, MAX_STANDING)
                     && Deliveries.within(sizes, Deliveries.SMALLEST, Deliveries.LARGEST))) {
                 throw new CommandLine.ParameterException(
                         spec.commandLine(),
                         "up to "
-                                + MOST_STANDING
+                                + MAX_STANDING
                                 + " connections, lines of "
                                 + Deliveries.SMALLEST
                                 + " to "
                                 + Deliveries.LARGEST
                                 + " bytes, up to 100000 a second, and nothing below 0");
             }
-            if (order.length() > LONGEST) {
+            if (order.length() > MAX_SECONDS) {
                 throw new CommandLine.ParameterException(
                         spec.commandLine(),
                         "this would take "
                                 + Math.round(order.length())
                                 + " s; more than "
-                                + Math.round(LONGEST)
+                                + Math.round(MAX_SECONDS)
                                 + " s are to be several runs");
             }
             Map<String, Object> figures = Deliveries.measure(order, System.out);
@@ -479,7 +488,7 @@
         }
     }
 
-    /** Measures whole lists. */
+    /** Measures the cost of whole server lists. */
     @Command(
             name = "start",
             mixinStandardHelpOptions = true,
@@ -536,12 +545,12 @@
         }
     }
 
-    private static int verdict(Map<String, Object> figures, String figure, String otherwise) {
-        boolean good = Boolean.TRUE.equals(figures.get(figure));
-        if (!good) {
-            System.out.println(otherwise);
+    private static int verdict(Map<String, Object> figures, String figure, String failureMessage) {
+        boolean passed = Boolean.TRUE.equals(figures.get(figure));
+        if (!passed) {
+            System.out.println(failureMessage);
         }
-        return good ? Main.DONE : Main.FELL_SHORT;
+        return passed ? Main.SUCCESS : Main.EXPECTATION_FAILED;
     }
 
     private static void print(Map<String, Object> figures) {
--- a/cli/src/main/java/asterpulley/cli/Main.java
+++ b/cli/src/main/java/asterpulley/cli/Main.java
@@ -13,9 +13,8 @@
 import picocli.CommandLine.Command;
 
 /**
- * The command line of operators. It reads what was asked and hands it on; what each command does
- * stands in the module that it belongs to. Every command ends with one of the statuses below and no
- * other.
+ * The command line for operators. It parses the arguments and passes them to the module that
+ * implements the command. Every command ends with one of the exit statuses below and no other.
  */
 @Command(
         name = "asterpulley",
@@ -39,50 +38,50 @@
             "3:an expectation fell short"
         })
 public final class Main implements Callable<Integer> {
-    static final int DONE = 0, BAD_INPUT = 1, BAD_USAGE = 2, FELL_SHORT = 3;
+    static final int SUCCESS = 0, BAD_INPUT = 1, BAD_USAGE = 2, EXPECTATION_FAILED = 3;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     private Main() {}
 
-    static CommandLine commands() {
+    static CommandLine newCommandLine() {
         return new CommandLine(new Main())
                 .setCaseInsensitiveEnumValuesAllowed(true)
                 .setExecutionExceptionHandler(
-                        (e, line, parsed) -> {
-                            // What a user can mend has its own message; what is left is told in one
-                            // plain line as well.
-                            line.getErr()
+                        (error, command, parsed) -> {
+                            // An I/O error has a message that tells the user what to correct; any
+                            // other error is printed in one line as well.
+                            command.getErr()
                                     .println(
                                             "asterpulley "
-                                                    + line.getCommandName()
+                                                    + command.getCommandName()
                                                     + ": "
-                                                    + (e instanceof IOException
-                                                            ? e.getMessage()
-                                                            : e.toString()));
+                                                    + (error instanceof IOException
+                                                            ? error.getMessage()
+                                                            : error.toString()));
                             return BAD_INPUT;
                         });
     }
 
-    /** An operator's file as it stands; a plain message where it can't be read. */
-    static TomlDocument sheet(Path file) throws IOException {
+    /** Reads an operator's file; throws with a plain message if it cannot be read. */
+    static TomlDocument readDocument(Path file) throws IOException {
         if (!Files.isReadable(file)) {
             throw new IOException(file + " cannot be read");
         }
         return TomlDocument.read(file);
     }
 
-    /** The name of an experiment is its file's. */
-    static Plan plan(TomlDocument sheet, Path file) {
-        return PlanReader.read(sheet, name(file));
+    /** Reads an experiment, which is named after its file. */
+    static Plan readPlan(TomlDocument document, Path file) {
+        return PlanReader.read(document, baseName(file));
     }
 
-    static String name(Path file) {
+    static String baseName(Path file) {
         return file.getFileName().toString().replace(".toml", "");
     }
 
     public static void main(String[] args) {
-        System.exit(commands().execute(args));
+        System.exit(newCommandLine().execute(args));
     }
 
     @Override
@@ -91,7 +90,7 @@
         return BAD_USAGE;
     }
 
-    /** What a shell completes. */
+    /** Prints a shell completion script. */
     @Command(
             name = "completion",
             mixinStandardHelpOptions = true,
@@ -100,12 +99,12 @@
     static final class CompletionCommand implements Callable<Integer> {
         @Override
         public Integer call() {
-            System.out.println(AutoComplete.bash("asterpulley", commands()));
-            return DONE;
+            System.out.println(AutoComplete.bash("asterpulley", newCommandLine()));
+            return SUCCESS;
         }
     }
 
-    /** The decisions on a simulator's wire. */
+    /** Runs the decision module on a simulator's wire protocol. */
     @Command(
             name = "drill",
             mixinStandardHelpOptions = true,
--- a/cli/src/main/java/asterpulley/cli/RelayFile.java
+++ b/cli/src/main/java/asterpulley/cli/RelayFileReader.java
@@ -12,20 +12,21 @@
 import java.util.Set;
 
 /**
- * An operator's file for one relay, read into what the platform would tell that relay. It must know
- * every key that it takes, and hold nothing that the relay does not.
+ * Reads an operator's file for one relay into the configuration that the platform would give to
+ * that relay. The result holds nothing that a relay does not take, and every key of the file that
+ * is not read is reported.
  */
-final class RelayFile {
-    private static final double LONG = 3600;
+final class RelayFileReader {
+    private static final double MAX_SECONDS = 3600;
 
-    private RelayFile() {}
+    private RelayFileReader() {}
 
-    /** Reads the whole of it; ask the sheet for its problems before it is used. */
-    static Map<String, Object> read(TomlDocument sheet) {
-        TomlSection root = sheet.root();
+    /** Reads the whole file. Check the document's problems before the result is used. */
+    static Map<String, Object> read(TomlDocument document) {
+        TomlSection root = document.root();
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", root.text("name", "relay"));
-        config.put("listen", address(root.require("listen"), "listen", "127.0.0.1:0"));
+        config.put("listen", readAddress(root.require("listen"), "listen", "127.0.0.1:0"));
         config.put(
                 "seed",
                 Long.toHexString(
@@ -49,40 +50,41 @@
             root.reportProblem("zone", "'" + zone + "' is none of zones", null);
         }
         if (root.has("operator")) {
-            config.put("operator", address(root, "operator", "127.0.0.1:1"));
+            config.put("operator", readAddress(root, "operator", "127.0.0.1:1"));
         }
-        TomlSection settingsPart = root.section("settings");
-        if (settingsPart.has("service")) {
-            config.put("settings_service", address(settingsPart, "service", "127.0.0.1:1"));
+        TomlSection settingsSection = root.section("settings");
+        if (settingsSection.has("service")) {
+            config.put("settings_service", readAddress(settingsSection, "service", "127.0.0.1:1"));
         }
-        TomlSection list = root.section("list");
-        if (list.has("discovery")) {
-            config.put("discovery", address(list, "discovery", "127.0.0.1:1"));
+        TomlSection listSection = root.section("list");
+        if (listSection.has("discovery")) {
+            config.put("discovery", readAddress(listSection, "discovery", "127.0.0.1:1"));
         }
         List<Object> models = new ArrayList<>();
-        config.put("known", map("seq", 0, "whole", true, "hosts", servers(root, zones, models)));
+        config.put(
+                "known", map("seq", 0, "whole", true, "hosts", readServers(root, zones, models)));
         Map<String, Object> settings = new LinkedHashMap<>();
         settings.put("zones", zones);
         settings.put("models", models);
         settings.put("myZone", Math.max(0, zones.indexOf(zone)));
         int relays = root.integer("relays", 1, 1, 100_000);
         settings.put("siblings", relays);
-        settings.put("registryMode", list.has("discovery") ? "subscribe" : "none");
-        settings.put("profiles", profiles(root));
-        settings.put("tenants", customers(root));
+        settings.put("registryMode", listSection.has("discovery") ? "subscribe" : "none");
+        settings.put("profiles", readProfiles(root));
+        settings.put("tenants", readCustomers(root));
         settings.put("familyInfo", map("groups", root.flag("groups_share_work", false)));
         settings.put("tickMs", 4.0);
         TomlSection setups = root.section("setups");
-        double back = setups.number("longest_retry_after_s", 1.5, 0, LONG);
+        double maxRetryAfterSeconds = setups.number("longest_retry_after_s", 1.5, 0, MAX_SECONDS);
         settings.put(
                 "limits",
                 map(
                         "probes",
                         setups.flag("probes", true),
                         "retryAfter",
-                        back > 0,
+                        maxRetryAfterSeconds > 0,
                         "maxRetryAfterMs",
-                        back * 1e3,
+                        maxRetryAfterSeconds * 1e3,
                         "mostSetups",
                         setups.integer("most", 3, 1, 100),
                         "dialTimeoutMs",
@@ -92,11 +94,11 @@
                 "rules",
                 map(
                         "askEveryMs",
-                        list.number("deemed_told_s", 6, 0.5, LONG) * 1e3,
+                        listSection.number("deemed_told_s", 6, 0.5, MAX_SECONDS) * 1e3,
                         "coldFrom",
                         cold.number("from", 0.1, 0.01, 1),
                         "coldMs",
-                        cold.number("warm_up_s", 20, 0.1, LONG) * 1e3,
+                        cold.number("warm_up_s", 20, 0.1, MAX_SECONDS) * 1e3,
                         "fallMultiple",
                         cold.number("fall_multiple", 2, 1, 100),
                         "fallMs",
@@ -113,8 +115,8 @@
         Map<String, Object> routes =
                 PoolsReader.read(
                         root,
-                        names(zones),
-                        names(models),
+                        toStrings(zones),
+                        toStrings(models),
                         profileNames(settings),
                         Math.max(1, relays / zones.size()),
                         60);
@@ -124,8 +126,8 @@
         return config;
     }
 
-    private static List<String> names(List<Object> of) {
-        return of.stream().map(String::valueOf).toList();
+    private static List<String> toStrings(List<Object> values) {
+        return values.stream().map(String::valueOf).toList();
     }
 
     private static List<String> profileNames(Map<String, Object> settings) {
@@ -133,35 +135,36 @@
                 .stream().map(p -> String.valueOf(((Map<?, ?>) p).get("name"))).toList();
     }
 
-    private static List<Object> servers(TomlSection root, List<Object> zones, List<Object> models) {
+    private static List<Object> readServers(
+            TomlSection root, List<Object> zones, List<Object> models) {
         List<Object> hosts = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (TomlSection p : root.sections("server")) {
-            String name = p.require("name", "dial").text("name", "");
+        for (TomlSection section : root.sections("server")) {
+            String name = section.require("name", "dial").text("name", "");
             if (!names.add(name)) {
-                p.reportProblem("name", "'" + name + "' is there twice", null);
+                section.reportProblem("name", "'" + name + "' is there twice", null);
             }
-            String zone = p.text("zone", String.valueOf(zones.get(0)));
+            String zone = section.text("zone", String.valueOf(zones.get(0)));
             if (!zones.contains(zone)) {
-                p.reportProblem("zone", "'" + zone + "' is none of zones", null);
+                section.reportProblem("zone", "'" + zone + "' is none of zones", null);
             }
-            String model = p.text("model", "server");
+            String model = section.text("model", "server");
             if (!models.contains(model)) {
                 models.add(model);
             }
-            String state = p.oneOf("state", "up", "up", "draining");
+            String state = section.oneOf("state", "up", "up", "draining");
             hosts.add(
                     map(
                             "host",
                             name,
                             "dial",
-                            address(p, "dial", "127.0.0.1:1"),
+                            readAddress(section, "dial", "127.0.0.1:1"),
                             "site",
                             zone,
                             "class",
                             model,
                             "block",
-                            p.integer("cell", 0, 0, 1 << 20),
+                            section.integer("cell", 0, 0, 1 << 20),
                             "health",
                             state,
                             "share",
@@ -172,33 +175,38 @@
         return hosts;
     }
 
-    private static List<Object> profiles(TomlSection root) {
+    private static List<Object> readProfiles(TomlSection root) {
         List<Object> profiles = new ArrayList<>();
-        for (TomlSection p : root.sections("profile")) {
+        for (TomlSection section : root.sections("profile")) {
             String effect =
-                    switch (p.oneOf(
+                    switch (section.oneOf(
                             "effect", "repeatable", "repeatable", "referenced", "once-only")) {
                         case "referenced" -> "idempotency_key";
                         case "once-only" -> "non_idempotent";
                         default -> "read_like";
                     };
-            double goal = p.number("setup_goal_s", 0.5, 0.01, 60);
+            double setupGoalSeconds = section.number("setup_goal_s", 0.5, 0.01, 60);
             profiles.add(
                     map(
                             "name",
-                            p.require("name").text("name", ""),
+                            section.require("name").text("name", ""),
                             "effect",
                             effect,
                             "group",
-                            p.oneOf("reach", "cell", "all", "zone", "cell"),
+                            section.oneOf("reach", "cell", "all", "zone", "cell"),
                             "setupGoalMs",
-                            goal * 1e3,
+                            setupGoalSeconds * 1e3,
                             "clientTimeoutMs",
-                            p.number("client_timeout_s", Math.max(2, goal), goal, LONG) * 1e3,
+                            section.number(
+                                            "client_timeout_s",
+                                            Math.max(2, setupGoalSeconds),
+                                            setupGoalSeconds,
+                                            MAX_SECONDS)
+                                    * 1e3,
                             "windowMs",
-                            p.number("window_s", 0, 0, LONG) * 1e3,
+                            section.number("window_s", 0, 0, MAX_SECONDS) * 1e3,
                             "credit",
-                            p.number("credit", 1, 0, 1e6)));
+                            section.number("credit", 1, 0, 1e6)));
         }
         if (profiles.isEmpty()) {
             root.require("profile");
@@ -206,24 +214,25 @@
         return profiles;
     }
 
-    private static List<Object> customers(TomlSection root) {
+    private static List<Object> readCustomers(TomlSection root) {
         List<Object> customers = new ArrayList<>();
-        for (TomlSection p : root.sections("customer")) {
+        for (TomlSection section : root.sections("customer")) {
             customers.add(
                     map(
                             "name",
-                            p.require("name").text("name", ""),
+                            section.require("name").text("name", ""),
                             "share",
-                            p.number("share", 1, 0, 1)));
+                            section.number("share", 1, 0, 1)));
         }
         return customers;
     }
 
-    private static String address(TomlSection of, String key, String missing) {
-        String text = of.text(key, missing);
+    private static String readAddress(TomlSection section, String key, String fallback) {
+        String text = section.text(key, fallback);
         return Addresses.parse(text).isPresent()
                 ? text
-                : of.reportProblem(key, "'" + text + "' is not an address and a port", missing);
+                : section.reportProblem(
+                        key, "'" + text + "' is not an address and a port", fallback);
     }
 
     private static Map<String, Object> map(Object... pairs) {
--- a/cli/src/main/java/asterpulley/cli/RoutesCommand.java
+++ b/cli/src/main/java/asterpulley/cli/RoutesCommand.java
@@ -11,8 +11,8 @@
 import asterpulley.files.TomlDocument;
 import asterpulley.lab.report.Tables;
 import asterpulley.routes.PoolRouter;
+import asterpulley.routes.RouteVerdict;
 import asterpulley.routes.RoutingPolicy;
-import asterpulley.routes.Why;
 import asterpulley.serve.RelayInstance;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -27,7 +27,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What a relay's routes do with a tunnel. */
+/** The commands about a relay's pool routing. */
 @Command(
         name = "routes",
         mixinStandardHelpOptions = true,
@@ -36,7 +36,7 @@
 final class RoutesCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** The module takes times at and before 0 for never. */
+    /** Time of the trial: the decision module takes times at and before 0 for never. */
     private static final double NOW = 1e6;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -47,7 +47,7 @@
         return Main.BAD_USAGE;
     }
 
-    /** Explains one tunnel. */
+    /** Explains the routing of one tunnel. */
     @Command(
             name = "explain",
             mixinStandardHelpOptions = true,
@@ -93,39 +93,42 @@
 
         @Override
         public Integer call() throws IOException {
-            TomlDocument sheet = Main.sheet(file);
-            Map<String, Object> told = RelayFile.read(sheet);
-            if (!sheet.problems().isEmpty()) {
-                sheet.problems().forEach(System.err::println);
+            TomlDocument document = Main.readDocument(file);
+            Map<String, Object> configuration = RelayFileReader.read(document);
+            if (!document.problems().isEmpty()) {
+                document.problems().forEach(System.err::println);
                 return Main.BAD_INPUT;
             }
-            if (told.get("routes") == null) {
+            if (configuration.get("routes") == null) {
                 throw new IOException(file + ": says nothing of pools: there is no [spill]");
             }
-            Map<String, Object> settings = Json.objectOrEmpty(told, "settings");
-            int ofProfile = place(settings, "profiles", profile, "--client");
-            int ofCustomer = place(settings, "tenants", customer, "--customer");
-            Settings set = SettingsDecoder.decode(settings);
-            RoutingPolicy charter =
+            Map<String, Object> settings = Json.objectOrEmpty(configuration, "settings");
+            int profileIndex = indexOf(settings, "profiles", profile, "--client");
+            int customerIndex = indexOf(settings, "tenants", customer, "--customer");
+            Settings decodedSettings = SettingsDecoder.decode(settings);
+            RoutingPolicy policy =
                     RoutingPolicyDecoder.decode(
-                            Json.objectOrEmpty(told, "routes"), set.zone, settings);
-            PoolRouter guide = new PoolRouter(charter, NOW, line -> {}, counter -> {});
-            Map<String, Object> known = state(state);
+                            Json.objectOrEmpty(configuration, "routes"),
+                            decodedSettings.zone,
+                            settings);
+            PoolRouter router = new PoolRouter(policy, NOW, line -> {}, counter -> {});
+            Map<String, Object> relayState = readState(state);
             try {
-                guide.restore(known, NOW);
+                router.restore(relayState, NOW);
             } catch (IllegalArgumentException e) {
                 throw new IOException(state + ": " + e.getMessage());
             }
-            new Trial(guide, set, known, ofProfile, ofCustomer).print(charter, again, seed);
-            return Main.DONE;
+            new SetupTrial(router, decodedSettings, relayState, profileIndex, customerIndex)
+                    .print(policy, again, seed);
+            return Main.SUCCESS;
         }
 
-        private int place(Map<String, Object> settings, String list, String name, String option) {
-            Integer place =
+        private int indexOf(Map<String, Object> settings, String list, String name, String option) {
+            Integer index =
                     name == null
                             ? Integer.valueOf(0)
                             : SettingsDecoder.indexes(settings, list).get(name);
-            if (place == null) {
+            if (index == null) {
                 throw new CommandLine.ParameterException(
                         spec.commandLine(),
                         option
@@ -137,11 +140,14 @@
                                 + "]] of "
                                 + file);
             }
-            return place;
+            return index;
         }
 
-        /** The state in a file of its own, or the last one in a log of either form. */
-        private static Map<String, Object> state(Path file) throws IOException {
+        /**
+         * Reads the state from a file of its own, or the last state from a relay's log, as text or
+         * as JSON.
+         */
+        private static Map<String, Object> readState(Path file) throws IOException {
             if (!Files.isReadable(file)) {
                 throw new IOException(file + " cannot be read");
             }
@@ -152,9 +158,10 @@
                     if (line.startsWith("{") && JSON.readTree(line).path("message").isTextual()) {
                         line = JSON.readTree(line).path("message").asText();
                     }
-                    int at = line.indexOf(RelayInstance.ROUTES_LOG_PREFIX + "{");
-                    if (at >= 0) {
-                        return read(line.substring(at + RelayInstance.ROUTES_LOG_PREFIX.length()));
+                    int start = line.indexOf(RelayInstance.ROUTES_LOG_PREFIX + "{");
+                    if (start >= 0) {
+                        return parseState(
+                                line.substring(start + RelayInstance.ROUTES_LOG_PREFIX.length()));
                     }
                 } catch (JsonProcessingException e) {
                     throw new IOException(
@@ -162,7 +169,7 @@
                 }
             }
             try {
-                return read(String.join("\n", lines));
+                return parseState(String.join("\n", lines));
             } catch (JsonProcessingException e) {
                 throw new IOException(
                         file + ": holds no state: neither a line 'routes {...}' nor JSON");
@@ -170,121 +177,128 @@
         }
 
         @SuppressWarnings("unchecked")
-        private static Map<String, Object> read(String json) throws JsonProcessingException {
+        private static Map<String, Object> parseState(String json) throws JsonProcessingException {
             return JSON.readValue(json, Map.class);
         }
     }
 
-    /** One tunnel, put through the module and the routes as they are, in no time at all. */
-    private static final class Trial implements Frontend {
-        private final PoolRouter guide;
-        private final Settings set;
-        private final Map<String, Object> known;
+    /**
+     * Runs one tunnel through the decision module and the router in their current state, with no
+     * time passing, and prints the result.
+     */
+    private static final class SetupTrial implements Frontend {
+        private final PoolRouter router;
+        private final Settings settings;
+        private final Map<String, Object> state;
         private final int profile, customer;
-        private String taken, verdict = "nothing: it waits for load reports";
+        private String chosenServer, result = "nothing: it waits for load reports";
 
-        private Trial(
-                PoolRouter guide,
-                Settings set,
-                Map<String, Object> known,
+        private SetupTrial(
+                PoolRouter router,
+                Settings settings,
+                Map<String, Object> state,
                 int profile,
                 int customer) {
-            this.guide = guide;
-            this.set = set;
-            this.known = known;
+            this.router = router;
+            this.settings = settings;
+            this.state = state;
             this.profile = profile;
             this.customer = customer;
         }
 
-        private void print(RoutingPolicy charter, boolean again, long seed) {
-            LoadBalancer balance = new LoadBalancer(set, seed, this);
-            balance.onServerList(guide.listed(known, NOW), true);
-            for (Map<?, ?> s : servers()) {
+        private void print(RoutingPolicy policy, boolean again, long seed) {
+            LoadBalancer balance = new LoadBalancer(settings, seed, this);
+            balance.onServerList(router.listedServers(state, NOW), true);
+            for (Map<?, ?> server : servers()) {
                 LoadReport report = new LoadReport();
                 report.load =
-                        s.get("load") instanceof Number load ? load.doubleValue() : Double.NaN;
-                // Silent for good: three questions that nobody answered.
-                for (int i = 0; i < (Boolean.TRUE.equals(s.get("silent")) ? 3 : 1); i++) {
+                        server.get("load") instanceof Number load ? load.doubleValue() : Double.NaN;
+                // Three unanswered probes make the decision module regard the server as silent.
+                for (int i = 0; i < (Boolean.TRUE.equals(server.get("silent")) ? 3 : 1); i++) {
                     balance.onProbeResult(
-                            name(s),
-                            Boolean.TRUE.equals(s.get("silent")) ? Outcome.TIMED_OUT : Outcome.OK,
+                            name(server),
+                            Boolean.TRUE.equals(server.get("silent"))
+                                    ? Outcome.TIMED_OUT
+                                    : Outcome.OK,
                             report);
                 }
             }
-            // Cold servers' budgets fill by the tick; what stands there is not known here.
+            // The budgets of cold servers fill with each tick. Open tunnels are not known here.
             balance.onTimer(0);
-            guide.tunnelAccepted(1, profile, null, NOW);
+            router.tunnelAccepted(1, profile, null, NOW);
             if (again) {
-                guide.triedBefore(1);
+                router.countFailedSetup(1);
             }
             balance.openTunnel(1, profile, customer, null, null, 0, false);
-            for (Object o : Json.list(known, "pools")) {
-                pool(Json.object(o, "a pool"), charter);
+            for (Object pool : Json.list(state, "pools")) {
+                printPool(Json.object(pool, "a pool"), policy);
             }
-            System.out.println("tunnel: " + verdict);
+            System.out.println("tunnel: " + result);
         }
 
-        private void pool(Map<String, Object> pool, RoutingPolicy charter) {
+        private void printPool(Map<String, Object> pool, RoutingPolicy policy) {
             String name = String.valueOf(pool.get("name"));
-            boolean home = name.equals(charter.pools.get(charter.homePool));
-            double guests = 0;
-            for (Object g : Json.list(pool, "guests")) {
-                guests += ((Number) g).doubleValue();
+            boolean home = name.equals(policy.pools.get(policy.homePool));
+            double spilledLoad = 0;
+            for (Object load : Json.list(pool, "guests")) {
+                spilledLoad += ((Number) load).doubleValue();
             }
             System.out.printf(
                     "pool %s%s: %s%s, %s of %s silent, mean load %s%s%n",
                     name,
                     home ? ", home" : "",
                     String.valueOf(pool.get("condition")).replace('_', ' '),
-                    pool.get("since_s") instanceof Number n
-                            ? " for " + Tables.plain(n.doubleValue()) + " s"
+                    pool.get("since_s") instanceof Number since
+                            ? " for " + Tables.plain(since.doubleValue()) + " s"
                             : "",
                     pool.get("silent"),
                     pool.get("running"),
-                    load(pool, "mean_load"),
+                    formatLoad(pool, "mean_load"),
                     home
                             ? ""
                             : ", guests "
-                                    + Tables.plain(guests)
+                                    + Tables.plain(spilledLoad)
                                     + " of "
                                     + Tables.plain(Json.number(pool, "guests_most", 0)));
-            for (Map<?, ?> s : servers()) {
-                if (name.equals(s.get("pool"))) {
-                    System.out.printf("  %-24s load %-6s %s%n", name(s), load(s, "load"), why(s));
+            for (Map<?, ?> server : servers()) {
+                if (name.equals(server.get("pool"))) {
+                    System.out.printf(
+                            "  %-24s load %-6s %s%n",
+                            name(server), formatLoad(server, "load"), explanation(server));
                 }
             }
         }
 
-        private String why(Map<?, ?> s) {
-            if (name(s).equals(taken)) {
+        private String explanation(Map<?, ?> server) {
+            if (name(server).equals(chosenServer)) {
                 return "taken: the lowest load factor of those that are open";
             }
-            if (!"up".equals(s.get("state"))) {
-                return "not taken: the list names it " + s.get("state");
+            if (!"up".equals(server.get("state"))) {
+                return "not taken: the list names it " + server.get("state");
             }
-            Why why = guide.why(1, name(s), NOW);
-            if (why != Why.OPEN) {
-                return "not taken: " + why.text;
+            RouteVerdict verdict = router.verdict(1, name(server), NOW);
+            if (verdict != RouteVerdict.OPEN) {
+                return "not taken: " + verdict.text;
             }
-            if (Boolean.TRUE.equals(s.get("silent"))) {
+            if (Boolean.TRUE.equals(server.get("silent"))) {
                 return "not taken: it is silent";
             }
-            return s.get("load") instanceof Number load
-                            && load.doubleValue() >= new RoutingPolicy().full
+            return server.get("load") instanceof Number load
+                            && load.doubleValue() >= new RoutingPolicy().fullLoad
                     ? "not taken: open, and full by its load"
-                    : taken == null
+                    : chosenServer == null
                             ? "not taken: open, and has no room for it now"
                             : "not taken: open, and its load factor is no lower";
         }
 
-        private static String load(Map<?, ?> of, String key) {
-            return of.get(key) instanceof Number n ? Tables.plain(n.doubleValue()) : "-";
+        private static String formatLoad(Map<?, ?> object, String key) {
+            return object.get(key) instanceof Number load ? Tables.plain(load.doubleValue()) : "-";
         }
 
         private List<Map<?, ?>> servers() {
-            List<Map<?, ?>> all = new ArrayList<>();
-            Json.list(known, "servers").forEach(o -> all.add((Map<?, ?>) o));
-            return all;
+            List<Map<?, ?>> servers = new ArrayList<>();
+            Json.list(state, "servers").forEach(server -> servers.add((Map<?, ?>) server));
+            return servers;
         }
 
         private static String name(Map<?, ?> server) {
@@ -298,23 +312,23 @@
 
         @Override
         public boolean isEligible(LoadBalancer.Tunnel tun, int server, String ep) {
-            return guide.mayUse(tun.id, server, ep, NOW);
+            return router.mayUse(tun.id, server, ep, NOW);
         }
 
         @Override
         public boolean widenSelection(LoadBalancer.Tunnel tun) {
-            return guide.advanceTier(tun.id, NOW);
+            return router.advanceTier(tun.id, NOW);
         }
 
         @Override
         public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
-            taken = ep;
-            verdict = "a setup to " + ep + ", given up after " + Tables.plain(timeout) + " s";
+            chosenServer = ep;
+            result = "a setup to " + ep + ", given up after " + Tables.plain(timeout) + " s";
         }
 
         @Override
         public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
-            verdict =
+            result =
                     "declined"
                             + (retryAfter > 0
                                     ? ", come back after " + Tables.plain(retryAfter) + " s"
@@ -323,22 +337,22 @@
 
         @Override
         public void closeWithError(LoadBalancer.Tunnel tun) {
-            verdict = "closed with error";
+            result = "closed with error";
         }
 
         @Override
         public void move(LoadBalancer.Tunnel tun) {
-            // Nothing stands here.
+            // There are no open tunnels here.
         }
 
         @Override
         public void probe(String ep) {
-            // All that is known was told.
+            // All known reports were passed in before.
         }
 
         @Override
         public void watchServerList() {
-            // The list is the state's.
+            // The server list comes from the state.
         }
 
         @Override
@@ -348,7 +362,7 @@
 
         @Override
         public void log(String line) {
-            // What is to be said is printed.
+            // Results are printed instead.
         }
     }
 }
--- a/cli/src/main/java/asterpulley/cli/ServeCommand.java
+++ b/cli/src/main/java/asterpulley/cli/ServeCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Starts one relay, by an operator's file or as the platform tells it. */
+/** Starts one relay, with an operator's file or with the platform's configuration. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
@@ -20,7 +20,7 @@
             "SIGTERM: leaves in order; SIGHUP: reads its file anew; SIGUSR1: prints its counters."
         })
 final class ServeCommand implements Callable<Integer> {
-    /** The form of log lines. */
+    /** Format of the log lines. */
     enum Log {
         TEXT,
         JSON
@@ -43,7 +43,7 @@
     @Override
     public Integer call() {
         if (log == Log.JSON) {
-            JsonLog.install();
+            JsonLogFormatter.install();
         } else {
             System.setProperty(
                     "java.util.logging.SimpleFormatter.format",
@@ -51,19 +51,21 @@
         }
         return file == null
                 ? RelayInstance.run(System.err)
-                : RelayInstance.run(file.toString(), () -> told(file), System.err);
+                : RelayInstance.run(file.toString(), () -> readConfiguration(file), System.err);
     }
 
-    /** Read anew at every call; all that is wrong with the file in one message. */
-    private static Map<String, Object> told(Path file) throws IOException {
+    /**
+     * Reads the file again at every call. Throws one message with everything that is wrong with it.
+     */
+    private static Map<String, Object> readConfiguration(Path file) throws IOException {
         if (!Files.isReadable(file)) {
             throw new Json.MalformedException(file + " cannot be read");
         }
-        TomlDocument sheet = TomlDocument.read(file);
-        Map<String, Object> told = RelayFile.read(sheet);
-        if (!sheet.problems().isEmpty()) {
-            throw new Json.MalformedException(String.join("\n", sheet.problems()));
+        TomlDocument document = TomlDocument.read(file);
+        Map<String, Object> configuration = RelayFileReader.read(document);
+        if (!document.problems().isEmpty()) {
+            throw new Json.MalformedException(String.join("\n", document.problems()));
         }
-        return told;
+        return configuration;
     }
 }
--- a/cli/src/test/java/asterpulley/cli/CommandTest.java
+++ b/cli/src/test/java/asterpulley/cli/CommandTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The command line as operators use it: statuses, help, files that are wrong, and a relay started
+ * The command line as operators use it: exit statuses, help, invalid files, and a relay started
  * from a file.
  */
 @Timeout(60)
@@ -41,19 +41,19 @@
     private int run(String... args) {
         PrintStream stdout = System.out;
         PrintStream stderr = System.err;
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        PrintStream to = new PrintStream(all, true, StandardCharsets.UTF_8);
+        ByteArrayOutputStream captured = new ByteArrayOutputStream();
+        PrintStream to = new PrintStream(captured, true, StandardCharsets.UTF_8);
         System.setOut(to);
         System.setErr(to);
         try {
-            return Main.commands()
+            return Main.newCommandLine()
                     .setOut(new java.io.PrintWriter(to, true))
                     .setErr(new java.io.PrintWriter(to, true))
                     .execute(args);
         } finally {
             System.setOut(stdout);
             System.setErr(stderr);
-            out = all.toString(StandardCharsets.UTF_8);
+            out = captured.toString(StandardCharsets.UTF_8);
         }
     }
 
@@ -64,7 +64,7 @@
     }
 
     @TestFactory
-    Stream<DynamicTest> everyCommandHelpsAndBadUsageIsTwo() {
+    Stream<DynamicTest> everyCommandHasHelpAndBadUsageIsStatusTwo() {
         return Stream.of(
                         "",
                         "serve",
@@ -107,13 +107,13 @@
     }
 
     @Test
-    void theCompletionNamesTheCommands() {
+    void completionScriptNamesTheCommands() {
         assertEquals(0, run("completion"));
         assertTrue(out.contains("lab") && out.contains("--no-baselines"), out);
     }
 
     @Test
-    void aWrongFileIsToldWholeWithItsPlaces() throws IOException {
+    void reportsAllProblemsOfAFileWithTheirPositions() throws IOException {
         String wrong =
                 file(
                         "wrong.toml",
@@ -136,16 +136,18 @@
     }
 
     @Test
-    void aSettingsServiceIsToldOnlyByAnOperatorsFileAndCheckedThere() throws IOException {
+    void settingsServiceIsReadFromTheOperatorFileAndChecked() throws IOException {
         String relay =
                 "listen = \"127.0.0.1:0\"\n[[profile]]\nname = \"live\"\n[[server]]\nname = \"a\"\ndial = \"127.0.0.1:1\"\n";
         assertEquals(
                 "127.0.0.1:7700",
-                RelayFile.read(
+                RelayFileReader.read(
                                 TomlDocument.parse(
                                         "r", relay + "[settings]\nservice = \"127.0.0.1:7700\"\n"))
                         .get("settings_service"));
-        assertTrue(!RelayFile.read(TomlDocument.parse("r", relay)).containsKey("settings_service"));
+        assertTrue(
+                !RelayFileReader.read(TomlDocument.parse("r", relay))
+                        .containsKey("settings_service"));
         assertEquals(
                 1,
                 run(
@@ -158,7 +160,7 @@
     }
 
     @Test
-    void anExperimentThatFallsShortIsThree() throws IOException {
+    void unmetExpectationIsStatusThree() throws IOException {
         String text =
                 "on = \"model\"\nlength_s = 3\nexpect = [\"credit.share %s 0.5\"]\n[load]\narrivals_per_s = 5\n";
         assertEquals(0, run("lab", "run", file("a.toml", text.formatted(">"))), out);
@@ -175,7 +177,7 @@
     }
 
     @Test
-    void aFleetOfHollowRelaysIsCheckedAndPlayed() throws IOException {
+    void fleetExperimentIsCheckedAndRun() throws IOException {
         String fleet =
                 file(
                         "fleet.toml",
@@ -205,7 +207,7 @@
     }
 
     @Test
-    void aRunWritesJsonAndAPageThatNeedsNoNetwork() throws IOException {
+    void runWritesJsonAndASelfContainedPage() throws IOException {
         String e =
                 file(
                         "e.toml",
@@ -232,7 +234,7 @@
     }
 
     @Test
-    void measuringIsBounded() {
+    void rejectsMeasurementsOutOfBounds() {
         for (String wrong :
                 List.of(
                         "deliver --sizes 16",
@@ -250,11 +252,11 @@
     }
 
     @Test
-    void logsAsJsonAreOneObjectALine() throws IOException {
+    void jsonLogIsOneObjectPerLine() throws IOException {
         LogRecord record = new LogRecord(Level.SEVERE, "a \"line\"\nof two");
         record.setLoggerName("x");
         record.setThrown(new IllegalStateException("why"));
-        String line = new JsonLog().format(record);
+        String line = new JsonLogFormatter().format(record);
         assertEquals(line.length() - 1, line.indexOf('\n'));
         JsonNode json = new ObjectMapper().readTree(line);
         assertEquals("a \"line\"\nof two", json.get("message").asText());
@@ -263,10 +265,11 @@
     }
 
     @Test
-    void aRelayFromAFileServesItsOwnListAndReadsItAnew() throws Exception {
+    void relayServesTheListOfItsFileAndReloadsIt() throws Exception {
         try (ServerSocket first = server("one");
                 ServerSocket second = server("two")) {
-            Path relay = Path.of(file("relay.toml", "operator=\"127.0.0.1:0\"\n" + relay(first)));
+            Path relay =
+                    Path.of(file("relay.toml", "operator=\"127.0.0.1:0\"\n" + relayFile(first)));
             Process process =
                     new ProcessBuilder(
                                     Path.of(System.getProperty("java.home"), "bin", "java")
@@ -285,7 +288,7 @@
                 await(log, "operators are answered at 127.0.0.1:");
                 int port = port(log);
                 assertEquals("UP one", open(port, 1));
-                Files.writeString(relay, "operator=\"127.0.0.1:0\"\n" + relay(second));
+                Files.writeString(relay, "operator=\"127.0.0.1:0\"\n" + relayFile(second));
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
                 await(log, "configuration read anew: backends 1 to 1");
                 assertEquals("UP two", open(port, 2));
@@ -298,7 +301,7 @@
         }
     }
 
-    private static String rooms(int west, ServerSocket east, String limits) {
+    private static String poolsFile(int west, ServerSocket east, String limits) {
         return "listen=\"127.0.0.1:0\"\nzones=[\"west\",\"east\"]\n[spill]\nholds=10\n"
                 + limits
                 + "[pools]\ncalm_s=1\n"
@@ -312,12 +315,12 @@
     }
 
     @Test
-    void aLostRoomSpillsWithinItsLimitAReloadLowersItAndTheRelaySaysWhy() throws Exception {
+    void unavailablePoolSpillsWithinALimitThatAReloadLowers() throws Exception {
         ServerSocket gone = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         int west = gone.getLocalPort();
         gone.close();
         try (ServerSocket east = server("east")) {
-            Path relay = Path.of(file("rooms.toml", rooms(west, east, "share=0.2\n")));
+            Path relay = Path.of(file("rooms.toml", poolsFile(west, east, "share=0.2\n")));
             Process process =
                     new ProcessBuilder(
                                     Path.of(System.getProperty("java.home"), "bin", "java")
@@ -335,12 +338,12 @@
             try (BufferedReader log = process.inputReader()) {
                 int port = port(log);
                 await(log, "pool west suspect to dark");
-                // A fifth of a room of ten: two guests, and the third is declined.
-                Socket one = stand(port, 1);
-                Socket two = stand(port, 2);
+                // A fifth of a pool of ten: two spilled tunnels, and the third is declined.
+                Socket one = openStanding(port, 1);
+                Socket two = openStanding(port, 2);
                 assertTrue(open(port, 3).startsWith("BUSY"));
                 one.close();
-                untilUp(port, 4);
+                openWhenFree(port, 4);
                 new ProcessBuilder("kill", "-USR1", Long.toString(process.pid())).start().waitFor();
                 String state =
                         file("state.log", "2026-12-01 INFO " + await(log, "routes {") + "\n");
@@ -357,7 +360,7 @@
                         out.contains("tunnel: a setup to away")
                                 || out.contains("guests hold all that they may"),
                         out);
-                Files.writeString(relay, rooms(west, east, "share=0\n"));
+                Files.writeString(relay, poolsFile(west, east, "share=0\n"));
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
                 await(log, "configuration read anew");
                 assertTrue(open(port, 5).startsWith("BUSY"));
@@ -369,8 +372,8 @@
         }
     }
 
-    /** A place that has just come free is known a little later: asked for until it is had. */
-    private static void untilUp(int port, int id) throws IOException {
+    /** Retries until a place that has just become free is known to the relay. */
+    private static void openWhenFree(int port, int id) throws IOException {
         String answer = "";
         for (int i = 0; i < 100 && !answer.startsWith("UP"); i++) {
             answer = open(port, id * 1000 + i);
@@ -378,7 +381,7 @@
         assertEquals("UP east", answer);
     }
 
-    private static Socket stand(int port, int id) throws IOException {
+    private static Socket openStanding(int port, int id) throws IOException {
         Socket s = new Socket("127.0.0.1", port);
         s.setSoTimeout(10_000);
         s.getOutputStream()
@@ -395,7 +398,7 @@
     }
 
     @Test
-    void aStateThatCannotBeReadOrIsOfOtherPoolsIsSaid() throws IOException {
+    void explainReportsUnreadableOrForeignState() throws IOException {
         assertEquals(0, run("check", "../deploy/rooms.toml"), out);
         String[] args = {"routes", "explain", "--config", "../deploy/rooms.toml", "--state", ""};
         args[5] = file("none.log", "2026-12-01 INFO serving\n");
@@ -425,7 +428,7 @@
     }
 
     @Test
-    void whatIsWrongWithPoolsIsToldWithItsPlace() throws IOException {
+    void reportsProblemsInPoolSectionsWithTheirPositions() throws IOException {
         assertEquals(
                 1,
                 run(
@@ -471,7 +474,7 @@
         assertTrue(out.contains("needs [spill]"), out);
     }
 
-    private static String relay(ServerSocket server) {
+    private static String relayFile(ServerSocket server) {
         return "listen = \"127.0.0.1:0\"\n[[profile]]\nname = \"live\"\n[[server]]\nname = \"s\"\ndial = \"127.0.0.1:"
                 + server.getLocalPort()
                 + "\"\n";
@@ -509,7 +512,7 @@
         }
     }
 
-    /** A server that answers in its own name. */
+    /** Starts a server that answers every setup with its own name. */
     private static ServerSocket server(String name) throws IOException {
         ServerSocket listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         Thread thread =
@@ -545,7 +548,7 @@
                                         .getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException e) {
-            // The relay or the test has ended it.
+            // The relay or the test has closed the connection.
             return;
         }
     }
--- a/files/src/main/java/asterpulley/files/PoolsReader.java
+++ b/files/src/main/java/asterpulley/files/PoolsReader.java
@@ -9,19 +9,19 @@
 import java.util.function.BiConsumer;
 
 /**
- * The tables of an operator's file that speak of pools: {@code [pools]}, {@code [spill]}, {@code
- * [keep]}, {@code [retries]}, {@code [return]}. Read once for relays' files and experiments alike,
- * into what a relay is told. It must know every key that it takes, and tell what is wrong with
- * each.
+ * Reads the tables of an operator's file about pools: {@code [pools]}, {@code [spill]}, {@code
+ * [keep]}, {@code [retries]} and {@code [return]}. Relay files and experiments share them, and both
+ * get the configuration that relays take. Every key of these tables is read, and whatever is wrong
+ * with one is reported.
  */
 public final class PoolsReader {
-    private static final double LONG = 1e5, MANY = 1e7;
+    private static final double MAX_SECONDS = 1e5, MAX_LOAD = 1e7;
 
     private PoolsReader() {}
 
     /**
-     * Null where the file has no {@code [spill]}; {@code pools}: all there are, {@code profiles}:
-     * all names.
+     * Reads the tables; null if the file has no {@code [spill]}. Zones, models and profiles are all
+     * those of the file; the pools are its zones or its models.
      */
     public static Map<String, Object> read(
             TomlSection root,
@@ -29,15 +29,15 @@
             List<String> models,
             List<String> profiles,
             int relaysPerPool,
-            double holds) {
+            double serverCapacity) {
         TomlSection pools = root.section("pools");
         TomlSection spill = root.section("spill");
-        TomlSection back = root.section("return");
-        Map<String, Object> told = new LinkedHashMap<>();
+        TomlSection failback = root.section("return");
+        Map<String, Object> config = new LinkedHashMap<>();
         String by = pools.oneOf("by", "zone", "zone", "model");
         List<String> names = by.equals("zone") ? zones : models;
-        told.put("by", by);
-        told.put("pools", names);
+        config.put("by", by);
+        config.put("pools", names);
         String home = pools.text("home", null);
         if (home != null && !names.contains(home)) {
             pools.reportProblem("home", "'" + home + "' names no pool", null);
@@ -45,113 +45,121 @@
         if (home == null && by.equals("model")) {
             pools.require("home");
         }
-        told.put("home", home);
-        told.put(
+        config.put("home", home);
+        config.put(
                 "relays_per_pool",
                 pools.integer("relays_per_pool", Math.max(1, relaysPerPool), 1, 100_000));
-        told.put("prefer", prefer(pools.section("prefer"), names));
-        double enter = pools.number("dark_from", 0.7, 0.05, 1);
-        double calm = pools.number("calm_s", 4, 0.1, LONG);
-        told.put("dark_from", enter);
-        told.put("back_below", pools.number("back_below", enter / 2, 0, enter - 0.01));
-        told.put("confirm_s", pools.number("confirm_s", 0.5, 0, 60));
-        told.put("calm_s", calm);
-        told.put("longest_calm_s", pools.number("longest_calm_s", 8 * calm, calm, LONG));
-        double over = pools.number("overloaded_from", 0.85, 0.1, 10);
-        told.put("overloaded_from", over);
-        told.put(
+        config.put("prefer", readPreferences(pools.section("prefer"), names));
+        double enterSilentShare = pools.number("dark_from", 0.7, 0.05, 1);
+        double calm = pools.number("calm_s", 4, 0.1, MAX_SECONDS);
+        config.put("dark_from", enterSilentShare);
+        config.put(
+                "back_below",
+                pools.number("back_below", enterSilentShare / 2, 0, enterSilentShare - 0.01));
+        config.put("confirm_s", pools.number("confirm_s", 0.5, 0, 60));
+        config.put("calm_s", calm);
+        config.put("longest_calm_s", pools.number("longest_calm_s", 8 * calm, calm, MAX_SECONDS));
+        double overloadEnterLoad = pools.number("overloaded_from", 0.85, 0.1, 10);
+        config.put("overloaded_from", overloadEnterLoad);
+        config.put(
                 "overloaded_below",
-                pools.number("overloaded_below", Math.min(0.7, over - 0.05), 0, over - 0.01));
-        told.put("listed_s", pools.number("listed_s", 6, 0, LONG));
-        told.put("share", spill.number("share", 0.2, 0, 1));
-        told.put("rate_per_s", spill.number("rate_per_s", 0, 0, MANY));
-        told.put("holds", spill.number("holds", holds, 1, MANY));
-        told.put("below", spill.number("below", 0.75, 0.01, 10));
-        told.put("guests_kept", kept(spill.section("keep"), profiles, 1));
-        told.put("kept", kept(root.section("keep"), profiles, 0.7));
+                pools.number(
+                        "overloaded_below",
+                        Math.min(0.7, overloadEnterLoad - 0.05),
+                        0,
+                        overloadEnterLoad - 0.01));
+        config.put("listed_s", pools.number("listed_s", 6, 0, MAX_SECONDS));
+        config.put("share", spill.number("share", 0.2, 0, 1));
+        config.put("rate_per_s", spill.number("rate_per_s", 0, 0, MAX_LOAD));
+        config.put("holds", spill.number("holds", serverCapacity, 1, MAX_LOAD));
+        config.put("below", spill.number("below", 0.75, 0.01, 10));
+        config.put("guests_kept", readReservedShares(spill.section("keep"), profiles, 1));
+        config.put("kept", readReservedShares(root.section("keep"), profiles, 0.7));
         if (root.has("retries")) {
             TomlSection retries = root.section("retries");
-            told.put("retry_share", retries.number("share", 0.2, 0, 100));
-            told.put("retry_least_per_s", retries.number("least_per_s", 1, 0, MANY));
+            config.put("retry_share", retries.number("share", 0.2, 0, 100));
+            config.put("retry_least_per_s", retries.number("least_per_s", 1, 0, MAX_LOAD));
         }
         if (root.has("return")) {
-            double share = back.number("share_per_s", 0.02, 0, 1);
-            told.put("return_share_per_s", share);
-            told.put(
+            double share = failback.number("share_per_s", 0.02, 0, 1);
+            config.put("return_share_per_s", share);
+            config.put(
                     "return_warm_share_per_s",
-                    back.number("warm_share_per_s", Math.min(1, 4 * share), 0, 1));
-            told.put("return_stay_s", back.number("stay_s", 5, 0, LONG));
-            told.put("spare", known(back, "spare", profiles));
-            told.put("spare_in_rush", known(back, "spare_in_rush", profiles));
+                    failback.number("warm_share_per_s", Math.min(1, 4 * share), 0, 1));
+            config.put("return_stay_s", failback.number("stay_s", 5, 0, MAX_SECONDS));
+            config.put("spare", readProfileNames(failback, "spare", profiles));
+            config.put("spare_in_rush", readProfileNames(failback, "spare_in_rush", profiles));
         }
         if (root.has("spill")) {
-            return told;
+            return config;
         }
-        for (String alone : List.of("return", "keep", "retries", "pools")) {
-            if (root.has(alone)) {
+        for (String dependent : List.of("return", "keep", "retries", "pools")) {
+            if (root.has(dependent)) {
                 root.reportProblem(
-                        alone, "needs [spill]: without it nothing is asked of pools", null);
+                        dependent, "needs [spill]: without it nothing is asked of pools", null);
             }
         }
         return null;
     }
 
-    private static List<Object> prefer(TomlSection of, List<String> names) {
-        List<Object> all = new ArrayList<>();
+    private static List<Object> readPreferences(TomlSection section, List<String> names) {
+        List<Object> preferences = new ArrayList<>();
         for (String pool : names) {
-            Set<Integer> order = new HashSet<>();
-            List<Object> turns = new ArrayList<>();
-            for (String other : of.texts(pool)) {
-                int p = names.indexOf(other);
-                if (p < 0 || other.equals(pool) || !order.add(p)) {
-                    of.reportProblem(
+            Set<Integer> seen = new HashSet<>();
+            List<Object> preferred = new ArrayList<>();
+            for (String other : section.texts(pool)) {
+                int otherIndex = names.indexOf(other);
+                if (otherIndex < 0 || other.equals(pool) || !seen.add(otherIndex)) {
+                    section.reportProblem(
                             pool, "'" + other + "' names no other pool, or one twice", null);
                 } else {
-                    turns.add(p);
+                    preferred.add(otherIndex);
                 }
             }
-            all.add(turns);
+            preferences.add(preferred);
         }
-        each(of, names, "names no pool", (name, nothing) -> {});
-        return all;
+        forEachKnownKey(section, names, "names no pool", (name, ignored) -> {});
+        return preferences;
     }
 
-    private static Map<String, Object> kept(TomlSection of, List<String> profiles, double most) {
-        Map<String, Object> kept = new LinkedHashMap<>();
-        each(
-                of,
+    private static Map<String, Object> readReservedShares(
+            TomlSection section, List<String> profiles, double max) {
+        Map<String, Object> shares = new LinkedHashMap<>();
+        forEachKnownKey(
+                section,
                 profiles,
                 "names no profile",
-                (name, part) -> kept.put(name, part.number(name, 0, 0, most)));
-        double sum = kept.values().stream().mapToDouble(v -> (Double) v).sum();
-        if (sum > most + 1e-9) {
-            of.reportProblem(
-                    of.keys().get(0),
-                    "all that is kept makes " + sum + ", and at most " + most + " can be",
+                (name, table) -> shares.put(name, table.number(name, 0, 0, max)));
+        double sum = shares.values().stream().mapToDouble(v -> (Double) v).sum();
+        if (sum > max + 1e-9) {
+            section.reportProblem(
+                    section.keys().get(0),
+                    "all that is kept makes " + sum + ", and at most " + max + " can be",
                     null);
         }
-        return kept;
+        return shares;
     }
 
-    private static void each(
-            TomlSection of,
+    private static void forEachKnownKey(
+            TomlSection section,
             List<String> known,
-            String wrong,
-            BiConsumer<String, TomlSection> what) {
-        for (String name : of.keys()) {
+            String unknownMessage,
+            BiConsumer<String, TomlSection> action) {
+        for (String name : section.keys()) {
             if (known.contains(name)) {
-                what.accept(name, of);
+                action.accept(name, section);
             } else {
-                of.reportProblem(name, wrong, null);
+                section.reportProblem(name, unknownMessage, null);
             }
         }
     }
 
-    private static List<String> known(TomlSection of, String key, List<String> profiles) {
-        List<String> names = of.texts(key);
+    private static List<String> readProfileNames(
+            TomlSection section, String key, List<String> profiles) {
+        List<String> names = section.texts(key);
         for (String name : names) {
             if (!profiles.contains(name)) {
-                of.reportProblem(key, "'" + name + "' names no profile", null);
+                section.reportProblem(key, "'" + name + "' names no profile", null);
             }
         }
         return names;
--- a/files/src/main/java/asterpulley/files/TomlDocument.java
+++ b/files/src/main/java/asterpulley/files/TomlDocument.java
@@ -11,29 +11,29 @@
 import org.tomlj.TomlPosition;
 
 /**
- * Owns the reading of one operator file: TOML, checked whole. Whatever is wrong with it (form, a
- * key that nobody knows, a type, a range) is gathered with its line and path and told in one pass.
- * It must never stop at the first fault, and never let a key pass that nothing reads.
+ * One operator file in TOML, checked as a whole. All problems (syntax, unknown keys, types, ranges)
+ * are collected with their line and key path and reported in one pass. A key that nothing reads is
+ * a problem too.
  */
 public final class TomlDocument {
-    private record Fault(int line, String what) {}
+    private record Problem(int line, String message) {}
 
-    private final String file;
+    private final String fileName;
     private final TomlParseResult toml;
-    private final List<Fault> faults = new ArrayList<>();
-    private final List<TomlSection> parts = new ArrayList<>();
+    private final List<Problem> reported = new ArrayList<>();
+    private final List<TomlSection> sections = new ArrayList<>();
     private final TomlSection root;
 
-    private TomlDocument(String file, TomlParseResult toml) {
-        this.file = file;
+    private TomlDocument(String fileName, TomlParseResult toml) {
+        this.fileName = fileName;
         this.toml = toml;
         toml.errors()
                 .forEach(
-                        e ->
-                                fault(
-                                        e.position(),
+                        error ->
+                                addProblem(
+                                        error.position(),
                                         "",
-                                        e.getMessage().lines().findFirst().orElse("not TOML")));
+                                        error.getMessage().lines().findFirst().orElse("not TOML")));
         root = new TomlSection(this, toml, List.of(), null);
     }
 
@@ -50,31 +50,34 @@
     }
 
     /**
-     * All that is wrong with it so far, in the order of its lines; keys that nothing has read are
-     * told here.
+     * All problems found so far, in the order of their lines. Keys that nothing has read by now are
+     * reported as unknown.
      */
     public List<String> problems() {
-        List<Fault> all = new ArrayList<>(faults);
+        List<Problem> all = new ArrayList<>(reported);
         if (toml.errors().isEmpty()) {
-            parts.forEach(part -> part.unknown((line, what) -> all.add(new Fault(line, what))));
+            sections.forEach(
+                    section ->
+                            section.reportUnknownKeys(
+                                    (line, message) -> all.add(new Problem(line, message))));
         }
         return all.stream()
-                .sorted(Comparator.comparingInt(Fault::line))
-                .map(f -> f.what)
+                .sorted(Comparator.comparingInt(Problem::line))
+                .map(problem -> problem.message)
                 .distinct()
                 .toList();
     }
 
-    void enter(TomlSection part) {
-        parts.add(part);
+    void register(TomlSection section) {
+        sections.add(section);
     }
 
-    void fault(TomlPosition at, String path, String what) {
-        int line = at == null ? 1 : at.line();
-        faults.add(new Fault(line, said(line, path, what)));
+    void addProblem(TomlPosition position, String path, String message) {
+        int line = position == null ? 1 : position.line();
+        reported.add(new Problem(line, formatProblem(line, path, message)));
     }
 
-    String said(int line, String path, String what) {
-        return file + ":" + line + ": " + (path.isEmpty() ? "" : path + ": ") + what;
+    String formatProblem(int line, String path, String message) {
+        return fileName + ":" + line + ": " + (path.isEmpty() ? "" : path + ": ") + message;
     }
 }
--- a/files/src/main/java/asterpulley/files/TomlSection.java
+++ b/files/src/main/java/asterpulley/files/TomlSection.java
@@ -11,99 +11,103 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of an operator file. Every key is asked for by name, type and range; a fault is noted
- * and the value that stands for what is missing is given instead, so that the reading goes on to
- * the end of the file. It must never throw for what an operator wrote.
+ * One table of an operator's TOML file. Values are read by key, type and range. If a value is
+ * wrong, the problem is recorded and the fallback is returned, so that reading goes on to the end
+ * of the file. Nothing that an operator writes makes a method of this class throw.
  */
 public final class TomlSection {
-    private final TomlDocument sheet;
+    private final TomlDocument document;
     private final TomlTable table;
     private final List<String> path;
-    private final TomlPosition at;
-    private final Set<String> asked = new TreeSet<>();
+    private final TomlPosition position;
+    private final Set<String> requestedKeys = new TreeSet<>();
 
-    TomlSection(TomlDocument sheet, TomlTable table, List<String> path, TomlPosition at) {
-        this.sheet = sheet;
+    TomlSection(TomlDocument document, TomlTable table, List<String> path, TomlPosition position) {
+        this.document = document;
         this.table = table;
         this.path = path;
-        this.at = at;
-        sheet.enter(this);
+        this.position = position;
+        document.register(this);
     }
 
     public boolean has(String key) {
-        asked.add(key);
+        requestedKeys.add(key);
         return table.contains(List.of(key));
     }
 
-    /** Tells that this key must be there. */
+    /** Reports each of these keys that is missing. */
     public TomlSection require(String... keys) {
         for (String key : keys) {
             if (!has(key)) {
-                sheet.fault(at, said(key), "is missing");
+                document.addProblem(position, fullPath(key), "is missing");
             }
         }
         return this;
     }
 
-    public String text(String key, String missing) {
+    public String text(String key, String fallback) {
         Object value = value(key);
         if (value == null) {
-            return missing;
+            return fallback;
         }
-        return value instanceof String s ? s : reportProblem(key, "is not a text", missing);
+        return value instanceof String s ? s : reportProblem(key, "is not a text", fallback);
     }
 
-    /** A text that must be one of these. */
-    public String oneOf(String key, String missing, String... choices) {
-        String value = text(key, missing);
+    /** A string that must be one of {@code choices}. */
+    public String oneOf(String key, String fallback, String... choices) {
+        String value = text(key, fallback);
         boolean known = value == null || Arrays.asList(choices).contains(value);
         return known
                 ? value
                 : reportProblem(
-                        key, "'" + value + "' is none of " + String.join(", ", choices), missing);
+                        key, "'" + value + "' is none of " + String.join(", ", choices), fallback);
     }
 
-    public double number(String key, double missing, double least, double most) {
+    public double number(String key, double fallback, double min, double max) {
         Object value = value(key);
         if (value == null) {
-            return missing;
+            return fallback;
         }
-        if (!(value instanceof Number n)) {
-            return reportProblem(key, "is not a number", missing);
+        if (!(value instanceof Number boxed)) {
+            return reportProblem(key, "is not a number", fallback);
         }
-        double d = n.doubleValue();
-        return d >= least && d <= most
-                ? d
+        double number = boxed.doubleValue();
+        return number >= min && number <= max
+                ? number
                 : reportProblem(
                         key,
-                        plain(d) + " is not between " + plain(least) + " and " + plain(most),
-                        missing);
+                        formatNumber(number)
+                                + " is not between "
+                                + formatNumber(min)
+                                + " and "
+                                + formatNumber(max),
+                        fallback);
     }
 
-    public int integer(String key, int missing, int least, int most) {
+    public int integer(String key, int fallback, int min, int max) {
         Object value = value(key);
         if (value == null) {
-            return missing;
+            return fallback;
         }
-        if (!(value instanceof Long n)) {
-            return reportProblem(key, "is not a whole number", missing);
+        if (!(value instanceof Long number)) {
+            return reportProblem(key, "is not a whole number", fallback);
         }
-        return n >= least && n <= most
-                ? n.intValue()
-                : reportProblem(key, n + " is not between " + least + " and " + most, missing);
+        return number >= min && number <= max
+                ? number.intValue()
+                : reportProblem(key, number + " is not between " + min + " and " + max, fallback);
     }
 
-    public boolean flag(String key, boolean missing) {
+    public boolean flag(String key, boolean fallback) {
         Object value = value(key);
         if (value == null) {
-            return missing;
+            return fallback;
         }
         return value instanceof Boolean b
                 ? b
-                : reportProblem(key, "is neither true nor false", missing);
+                : reportProblem(key, "is neither true nor false", fallback);
     }
 
-    /** A list of texts; empty where there is none. */
+    /** A list of strings; empty if the key is missing. */
     public List<String> texts(String key) {
         List<String> texts = new ArrayList<>();
         if (value(key) instanceof TomlArray array) {
@@ -111,8 +115,10 @@
                 if (array.get(i) instanceof String s) {
                     texts.add(s);
                 } else {
-                    sheet.fault(
-                            array.inputPositionOf(i), said(key) + "[" + i + "]", "is not a text");
+                    document.addProblem(
+                            array.inputPositionOf(i),
+                            fullPath(key) + "[" + i + "]",
+                            "is not a text");
                 }
             }
         } else if (has(key)) {
@@ -121,122 +127,130 @@
         return texts;
     }
 
-    /** A table within this one; an empty one where there is none. */
+    /** A table within this one; an empty one if the key is missing. */
     public TomlSection section(String key) {
         Object value = value(key);
-        if (value instanceof TomlTable t) {
-            return new TomlSection(sheet, t, down(key), where(key));
+        if (value instanceof TomlTable child) {
+            return new TomlSection(document, child, childPath(key), positionOf(key));
         }
         if (value != null) {
             reportProblem(key, "is not a table", null);
         }
-        return new TomlSection(sheet, org.tomlj.Toml.parse(""), down(key), at);
+        return new TomlSection(document, org.tomlj.Toml.parse(""), childPath(key), position);
     }
 
-    /** A list of tables, as [[key]] writes it; empty where there is none. */
+    /** A list of tables, written as {@code [[key]]}; empty if the key is missing. */
     public List<TomlSection> sections(String key) {
-        List<TomlSection> parts = new ArrayList<>();
+        List<TomlSection> sections = new ArrayList<>();
         Object value = value(key);
         if (value instanceof TomlArray array) {
             for (int i = 0; i < array.size(); i++) {
-                if (array.get(i) instanceof TomlTable t) {
-                    parts.add(
+                if (array.get(i) instanceof TomlTable child) {
+                    sections.add(
                             new TomlSection(
-                                    sheet, t, down(key + "[" + i + "]"), array.inputPositionOf(i)));
+                                    document,
+                                    child,
+                                    childPath(key + "[" + i + "]"),
+                                    array.inputPositionOf(i)));
                 } else {
-                    sheet.fault(
-                            array.inputPositionOf(i), said(key) + "[" + i + "]", "is not a table");
+                    document.addProblem(
+                            array.inputPositionOf(i),
+                            fullPath(key) + "[" + i + "]",
+                            "is not a table");
                 }
             }
         } else if (value != null) {
             reportProblem(key, "is not a list of tables", null);
         }
-        return parts;
+        return sections;
     }
 
-    /** The keys as they stand, for tables whose keys are names that the operator chose. */
+    /** All keys of the table, for tables whose keys are names that the operator chose. */
     public List<String> keys() {
-        asked.addAll(table.keySet());
+        requestedKeys.addAll(table.keySet());
         return List.copyOf(table.keySet());
     }
 
-    /** Notes a fault that only the reader can see. */
-    public <T> T reportProblem(String key, String what, T missing) {
-        sheet.fault(where(key), said(key), what);
-        return missing;
+    /** Records a problem that only the caller can detect, and returns {@code fallback}. */
+    public <T> T reportProblem(String key, String message, T fallback) {
+        document.addProblem(positionOf(key), fullPath(key), message);
+        return fallback;
     }
 
     public String path() {
         return String.join(".", path);
     }
 
-    void unknown(BiConsumer<Integer, String> told) {
+    void reportUnknownKeys(BiConsumer<Integer, String> report) {
         for (String key : table.keySet()) {
-            if (!asked.contains(key)) {
-                TomlPosition where = where(key);
-                int line = where == null ? 1 : where.line();
-                told.accept(line, sheet.said(line, said(key), "is no key here" + nearest(key)));
+            if (!requestedKeys.contains(key)) {
+                TomlPosition keyPosition = positionOf(key);
+                int line = keyPosition == null ? 1 : keyPosition.line();
+                report.accept(
+                        line,
+                        document.formatProblem(
+                                line, fullPath(key), "is no key here" + suggestion(key)));
             }
         }
     }
 
-    private String nearest(String key) {
-        String best = null;
-        int low = Math.max(2, key.length() / 3) + 1;
-        for (String known : asked) {
-            int far = distance(key, known);
-            if (far < low) {
-                low = far;
-                best = known;
+    private String suggestion(String key) {
+        String closest = null;
+        int bestDistance = Math.max(2, key.length() / 3) + 1;
+        for (String known : requestedKeys) {
+            int distance = editDistance(key, known);
+            if (distance < bestDistance) {
+                bestDistance = distance;
+                closest = known;
             }
         }
-        return best != null
-                ? "; do you mean " + best + "?"
-                : "; known are " + String.join(", ", asked);
+        return closest != null
+                ? "; do you mean " + closest + "?"
+                : "; known are " + String.join(", ", requestedKeys);
     }
 
-    /** How many letters differ: the plain edit distance. */
-    private static int distance(String a, String b) {
+    /** The Levenshtein distance of two keys. */
+    private static int editDistance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
             row[j] = j;
         }
         for (int i = 1; i <= a.length(); i++) {
-            int corner = row[0];
+            int diagonal = row[0];
             row[0] = i;
             for (int j = 1; j <= b.length(); j++) {
-                int change = corner + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-                corner = row[j];
-                row[j] = Math.min(change, 1 + Math.min(row[j], row[j - 1]));
+                int substitution = diagonal + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
+                diagonal = row[j];
+                row[j] = Math.min(substitution, 1 + Math.min(row[j], row[j - 1]));
             }
         }
         return row[b.length()];
     }
 
     private Object value(String key) {
-        asked.add(key);
+        requestedKeys.add(key);
         return table.get(List.of(key));
     }
 
-    private TomlPosition where(String key) {
-        TomlPosition where =
+    private TomlPosition positionOf(String key) {
+        TomlPosition keyPosition =
                 table.contains(List.of(key)) ? table.inputPositionOf(List.of(key)) : null;
-        return where == null ? at : where;
+        return keyPosition == null ? position : keyPosition;
     }
 
-    private String said(String key) {
+    private String fullPath(String key) {
         return path.isEmpty() ? key : path() + "." + key;
     }
 
-    private List<String> down(String key) {
-        List<String> deeper = new ArrayList<>(path);
-        deeper.add(key);
-        return deeper;
+    private List<String> childPath(String key) {
+        List<String> child = new ArrayList<>(path);
+        child.add(key);
+        return child;
     }
 
-    private static String plain(double d) {
-        return d == Math.rint(d) && Math.abs(d) < 1e15
-                ? Long.toString((long) d)
-                : Double.toString(d);
+    private static String formatNumber(double number) {
+        return number == Math.rint(number) && Math.abs(number) < 1e15
+                ? Long.toString((long) number)
+                : Double.toString(number);
     }
 }
--- a/files/src/test/java/asterpulley/files/SheetTest.java
+++ b/files/src/test/java/asterpulley/files/TomlDocumentTest.java
@@ -6,33 +6,33 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What an operator is told of a file: everything that is wrong, in one pass, with its place. */
-class SheetTest {
-    private static List<String> read(String text) {
-        TomlDocument sheet = TomlDocument.parse("f.toml", text);
-        TomlSection root = sheet.root();
+/** The problems reported for a file: all of them in one pass, with their positions. */
+class TomlDocumentTest {
+    private static List<String> problemsOf(String text) {
+        TomlDocument document = TomlDocument.parse("f.toml", text);
+        TomlSection root = document.root();
         root.require("name").text("name", "");
         root.number("rate", 1, 0, 10);
         root.integer("count", 1, 1, 5);
         root.flag("on", false);
         root.oneOf("kind", "a", "a", "b");
         root.texts("zones");
-        for (TomlSection p : root.sections("server")) {
-            p.require("dial").text("dial", "");
-            p.section("warm").number("up_s", 0, 0, 100);
+        for (TomlSection server : root.sections("server")) {
+            server.require("dial").text("dial", "");
+            server.section("warm").number("up_s", 0, 0, 100);
         }
-        return sheet.problems();
+        return document.problems();
     }
 
     @Test
-    void aFileWithoutFaultSaysNothing() {
+    void validFileHasNoProblems() {
         assertEquals(
                 List.of(),
-                read("name = \"a\"\nrate = 3\n[[server]]\ndial = \"x\"\nwarm.up_s = 4\n"));
+                problemsOf("name = \"a\"\nrate = 3\n[[server]]\ndial = \"x\"\nwarm.up_s = 4\n"));
     }
 
     @Test
-    void allFaultsAreToldInOnePassWithTheirLines() {
+    void reportsAllProblemsInOnePassWithTheirLines() {
         assertEquals(
                 List.of(
                         "f.toml:1: name: is missing",
@@ -44,14 +44,14 @@
                         "f.toml:6: server[0].dial: is missing",
                         "f.toml:8: server[0].warm.up_s: is not a number",
                         "f.toml:10: server[1].dial: is not a text"),
-                read(
+                problemsOf(
                         "rate = 11\ncount = 1.5\nkind = \"c\"\nzonse = []\non = \"yes\"\n"
                                 + "[[server]]\n[server.warm]\nup_s = \"x\"\n[[server]]\ndial = 3\n"));
     }
 
     @Test
-    void whatIsNoTomlIsToldWithItsLine() {
-        List<String> told = read("name = \"a\"\nrate = = 3\n");
-        assertTrue(told.get(0).startsWith("f.toml:2: "), told.toString());
+    void reportsSyntaxErrorsWithTheirLine() {
+        List<String> problems = problemsOf("name = \"a\"\nrate = = 3\n");
+        assertTrue(problems.get(0).startsWith("f.toml:2: "), problems.toString());
     }
 }
--- a/routes/src/main/java/asterpulley/routes/Pool.java
+++ b/routes/src/main/java/asterpulley/routes/Pool.java
@@ -1,14 +1,14 @@
 package asterpulley.routes;
 
 /**
- * Owns what is believed of one pool as a whole: its servers as this relay counts them, and the name
- * of what is wrong with it. Dark, cut off from here, overloaded and no longer listed look alike to
- * one setup and are told apart here. It must never name two at once, and have a way out of each.
+ * One pool as this relay sees it: the counts of its servers, and its condition. Unavailable, cut
+ * off from this relay, overloaded and no longer listed look alike to a single setup; this class
+ * tells them apart. A pool has exactly one condition at a time, and every condition can be left.
  */
 public final class Pool {
     /**
-     * {@code CUT_OFF}: silent to this relay, while the list still names it; {@code UNLISTED}: the
-     * list names nobody.
+     * {@code CUT_OFF}: silent to this relay while the server list still names it; {@code UNLISTED}:
+     * the list names no running server of it.
      */
     public enum Condition {
         SOUND,
@@ -19,111 +19,123 @@
         OVERLOADED,
         RETURNING;
 
-        /** As operators read it. */
+        /** The name as operators read it. */
         String text() {
             return name().toLowerCase().replace('_', ' ');
         }
     }
 
     private final PoolHealth health;
-    private final PoolLoad load;
-    private double listedFor;
+    private final OverloadDetector overloadDetector;
+    private double cutOffAfterSeconds;
 
     /**
-     * Servers that the list names as running, those of them that are silent, and the sum of the
-     * others' loads.
+     * Servers that the list names as running, those of them that are silent, the sum of the known
+     * loads of the others, and the number of known loads.
      */
-    int running, quiet;
+    int running, silent;
 
-    double loads;
-    int known;
+    double loadSum;
+    int knownLoads;
     private Condition condition = Condition.SOUND;
 
     Pool(
-            PoolHealth.Thresholds bounds,
-            double overloadedFrom,
-            double overloadedBelow,
-            double listedFor) {
-        health = new PoolHealth(bounds);
-        load = new PoolLoad(overloadedFrom, overloadedBelow, bounds.confirmSeconds());
-        this.listedFor = listedFor;
+            PoolHealth.Thresholds thresholds,
+            double overloadEnterLoad,
+            double overloadExitLoad,
+            double cutOffAfterSeconds) {
+        health = new PoolHealth(thresholds);
+        overloadDetector =
+                new OverloadDetector(
+                        overloadEnterLoad, overloadExitLoad, thresholds.confirmSeconds());
+        this.cutOffAfterSeconds = cutOffAfterSeconds;
     }
 
-    void bounds(double overloadedFrom, double overloadedBelow, double listedLongest) {
-        load.bounds(overloadedFrom, overloadedBelow);
-        listedFor = listedLongest;
+    void updateThresholds(
+            double overloadEnterLoad, double overloadExitLoad, double newCutOffAfterSeconds) {
+        overloadDetector.updateThresholds(overloadEnterLoad, overloadExitLoad);
+        cutOffAfterSeconds = newCutOffAfterSeconds;
     }
 
-    /** Looks at the counts again; true where the condition has changed. */
-    boolean judge(double now) {
-        // A pool that nobody lists is as good as dark.
-        health.seen(running == 0 ? 1 : (double) quiet / running, now);
-        load.seen(meanLoad(), now);
-        Condition was = condition;
+    /** Evaluates the condition again from the counts. Returns whether it has changed. */
+    boolean evaluate(double now) {
+        // A pool without a running server counts as entirely silent.
+        health.update(running == 0 ? 1 : (double) silent / running, now);
+        overloadDetector.update(meanLoad(), now);
+        Condition oldCondition = condition;
         condition =
                 switch (health.state()) {
                     case DARK ->
                             running == 0
                                     ? Condition.UNLISTED
-                                    : now - health.since() >= listedFor
+                                    : now - health.since() >= cutOffAfterSeconds
                                             ? Condition.CUT_OFF
                                             : Condition.DARK;
                     case SUSPECT -> Condition.SUSPECT;
                     case RETURNING -> Condition.RETURNING;
-                    default -> load.over() ? Condition.OVERLOADED : Condition.SOUND;
+                    default ->
+                            overloadDetector.isOverloaded()
+                                    ? Condition.OVERLOADED
+                                    : Condition.SOUND;
                 };
-        return condition != was;
+        return condition != oldCondition;
     }
 
-    double calm() {
-        return health.calm();
+    double calmSeconds() {
+        return health.calmSeconds();
     }
 
-    /** As another relay's was, by the name of its condition. */
-    void restore(Condition was, double at, double calm) {
+    /** Takes over the condition that another relay found. */
+    void restore(Condition restored, double since, double calmSeconds) {
         health.restore(
-                switch (was) {
+                switch (restored) {
                     case DARK, CUT_OFF, UNLISTED -> PoolHealth.State.DARK;
                     case RETURNING -> PoolHealth.State.RETURNING;
                     case SUSPECT -> PoolHealth.State.SUSPECT;
                     default -> PoolHealth.State.SOUND;
                 },
-                at,
-                calm);
-        load.restore(was == Condition.OVERLOADED);
-        condition = was;
+                since,
+                calmSeconds);
+        overloadDetector.restore(restored == Condition.OVERLOADED);
+        condition = restored;
     }
 
     public Condition condition() {
         return condition;
     }
 
-    /** Nothing but what tests the water goes there, whatever the reason. */
-    public boolean dark() {
-        return health.dark();
+    /**
+     * Whether the pool is unavailable, for whatever reason: only servers that answer again are
+     * tried.
+     */
+    public boolean isUnavailable() {
+        return health.isUnavailable();
     }
 
-    /** Dark, or back for so short a time that it is cold: its tunnels go elsewhere. */
-    boolean away(double warmUp, double now) {
-        return health.dark() || health.back(warmUp, now);
+    /**
+     * Whether the pool is unavailable, or back for so short a time that its servers are cold; its
+     * tunnels then go elsewhere.
+     */
+    boolean isUnavailableOrCold(double warmUpSeconds, double now) {
+        return health.isUnavailable() || health.recoveredWithin(warmUpSeconds, now);
     }
 
-    boolean doubted() {
-        return health.doubted();
+    boolean isFlapping() {
+        return health.isFlapping();
     }
 
-    /** Since when it is dark, or is what it is. */
+    /** When its current health state began. */
     double since() {
         return health.since();
     }
 
-    /** Of the servers that answer; NaN where no load is known. */
+    /** Mean load of the servers that answer; NaN if no load is known. */
     double meanLoad() {
-        return known == 0 ? Double.NaN : loads / known;
+        return knownLoads == 0 ? Double.NaN : loadSum / knownLoads;
     }
 
-    /** Servers that run and answer. */
-    int heard() {
-        return running - quiet;
+    /** Number of servers that run and answer. */
+    int answering() {
+        return running - silent;
     }
 }
--- a/routes/src/main/java/asterpulley/routes/PoolHealth.java
+++ b/routes/src/main/java/asterpulley/routes/PoolHealth.java
@@ -1,14 +1,15 @@
 package asterpulley.routes;
 
 /**
- * Owns what is believed of a whole pool, told apart from what is believed of one server: it is dark
- * when most of its servers are silent for a while, and is sound again only after a calm that grows
- * each time it proves false. It must never flap, and have a way out of every state.
+ * Health of a whole pool, as opposed to that of one server. A pool becomes unavailable ({@code
+ * DARK}) when most of its servers are silent for a while. It becomes healthy ({@code SOUND}) again
+ * only after a calm period, which doubles each time that a recovery proves false, so that the pool
+ * does not flap. Every state can be left.
  */
 public final class PoolHealth {
     /**
-     * Sound; most are silent, but only just; dark; some answer again, and it is watched whether
-     * that lasts.
+     * Healthy; most servers are silent, but not for long yet; unavailable; servers answer again,
+     * but not for long yet.
      */
     public enum State {
         SOUND,
@@ -18,7 +19,8 @@
     }
 
     /**
-     * When a pool is dark and when it is back: parts of its servers that are silent, and seconds.
+     * When a pool becomes unavailable and when it is back: shares of its servers that are silent,
+     * and times in seconds.
      */
     public record Thresholds(
             double enterSilentShare,
@@ -39,96 +41,104 @@
         }
     }
 
-    private final Thresholds bounds;
+    private final Thresholds thresholds;
     private State state = State.SOUND;
-    private double since = Double.NEGATIVE_INFINITY, calm, soundSince = Double.NEGATIVE_INFINITY;
+    private double since = Double.NEGATIVE_INFINITY,
+            calmSeconds,
+            healthySince = Double.NEGATIVE_INFINITY;
 
-    public PoolHealth(Thresholds bounds) {
-        this.bounds = bounds;
-        calm = bounds.calmSeconds;
+    public PoolHealth(Thresholds thresholds) {
+        this.thresholds = thresholds;
+        calmSeconds = thresholds.calmSeconds;
     }
 
     public State state() {
         return state;
     }
 
-    /** Nothing but what tests the water goes there. */
-    public boolean dark() {
+    /** Whether the pool is unavailable: only servers that answer again are tried. */
+    public boolean isUnavailable() {
         return state == State.DARK;
     }
 
-    /** Back, and sound for less than that, or not yet. */
-    boolean back(double within, double now) {
-        return state == State.RETURNING || now - soundSince < within;
+    /** Whether the pool is recovering, or has been healthy again for less than {@code seconds}. */
+    boolean recoveredWithin(double seconds, double now) {
+        return state == State.RETURNING || now - healthySince < seconds;
     }
 
-    /** Since when it is in its state. */
+    /** When the current state began. */
     public double since() {
         return since;
     }
 
-    /** Back, but it was believed too early before. */
-    public boolean doubted() {
-        return state == State.RETURNING && calm > bounds.calmSeconds;
+    /** Whether the pool is recovering after an earlier recovery that proved false. */
+    public boolean isFlapping() {
+        return state == State.RETURNING && calmSeconds > thresholds.calmSeconds;
     }
 
-    /** How long it must stay calm before it counts as sound again. */
-    public double calm() {
-        return calm;
+    /** How long the pool must stay calm before it counts as healthy again. */
+    public double calmSeconds() {
+        return calmSeconds;
     }
 
-    /** The part of its servers that are silent now; true where the state has changed. */
-    public boolean seen(double silent, double now) {
-        State was = state;
+    /**
+     * Updates the state with the share of servers that are silent now. Returns whether the state
+     * has changed.
+     */
+    public boolean update(double silentShare, double now) {
+        State oldState = state;
         switch (state) {
             case SOUND -> {
-                if (silent >= bounds.enterSilentShare) {
-                    to(State.SUSPECT, now);
-                } else if (now - Math.max(since, soundSince) >= bounds.maxCalmSeconds) {
-                    // So long without trouble: what it did before is forgotten.
-                    calm = bounds.calmSeconds;
+                if (silentShare >= thresholds.enterSilentShare) {
+                    enterState(State.SUSPECT, now);
+                } else if (now - Math.max(since, healthySince) >= thresholds.maxCalmSeconds) {
+                    // Healthy for long enough: earlier false recoveries no longer count.
+                    calmSeconds = thresholds.calmSeconds;
                 }
             }
             case SUSPECT -> {
-                if (silent < bounds.enterSilentShare) {
-                    to(State.SOUND, now);
-                } else if (now - since >= bounds.confirmSeconds) {
-                    // Dark again so soon after it was sound: that was believed too early.
-                    calm =
-                            now - soundSince < bounds.maxCalmSeconds
-                                    ? Math.min(bounds.maxCalmSeconds, 2 * calm)
-                                    : calm;
-                    to(State.DARK, now);
+                if (silentShare < thresholds.enterSilentShare) {
+                    enterState(State.SOUND, now);
+                } else if (now - since >= thresholds.confirmSeconds) {
+                    // Unavailable again so soon after a recovery: that recovery was false.
+                    calmSeconds =
+                            now - healthySince < thresholds.maxCalmSeconds
+                                    ? Math.min(thresholds.maxCalmSeconds, 2 * calmSeconds)
+                                    : calmSeconds;
+                    enterState(State.DARK, now);
                 }
             }
             case DARK -> {
-                if (silent <= bounds.exitSilentShare) {
-                    to(State.RETURNING, now);
+                if (silentShare <= thresholds.exitSilentShare) {
+                    enterState(State.RETURNING, now);
                 }
             }
             default -> {
-                if (silent >= bounds.enterSilentShare) {
-                    calm = Math.min(bounds.maxCalmSeconds, 2 * calm);
-                    to(State.DARK, now);
-                } else if (now - since >= calm) {
-                    soundSince = now;
-                    to(State.SOUND, now);
+                if (silentShare >= thresholds.enterSilentShare) {
+                    calmSeconds = Math.min(thresholds.maxCalmSeconds, 2 * calmSeconds);
+                    enterState(State.DARK, now);
+                } else if (now - since >= calmSeconds) {
+                    healthySince = now;
+                    enterState(State.SOUND, now);
                 }
             }
         }
-        return state != was;
+        return state != oldState;
     }
 
-    /** As it was found elsewhere: so long in that state, with that calm. */
-    void restore(State was, double at, double wasCalm) {
-        state = was;
-        since = at;
-        soundSince = was == State.SOUND ? at : Double.NEGATIVE_INFINITY;
-        calm = Math.max(bounds.calmSeconds, Math.min(bounds.maxCalmSeconds, wasCalm));
+    /** Takes over the state that another relay found, with its beginning and its calm period. */
+    void restore(State restoredState, double stateSince, double restoredCalmSeconds) {
+        state = restoredState;
+        since = stateSince;
+        healthySince = restoredState == State.SOUND ? stateSince : Double.NEGATIVE_INFINITY;
+        calmSeconds =
+                Math.max(
+                        thresholds.calmSeconds,
+                        Math.min(thresholds.maxCalmSeconds, restoredCalmSeconds));
     }
 
-    private void to(State next, double now) {
-        state = next;
+    private void enterState(State newState, double now) {
+        state = newState;
         since = now;
     }
 }
--- a/routes/src/main/java/asterpulley/routes/PoolRouter.java
+++ b/routes/src/main/java/asterpulley/routes/PoolRouter.java
@@ -14,238 +14,272 @@
 import java.util.function.Consumer;
 
 /**
- * Owns the way between a relay and its routes: servers by name, tunnels by number, what is told of
- * them in the order in which it happens, and the answers that the decision module asks for. One for
- * a relay on sockets and in virtual time alike. It must decide nothing that {@link Routes} or
- * {@link WayBack} decide, and never hold a tunnel that is over.
+ * Connects a relay to its {@link RoutingTable}: maps server names and tunnel ids to the table's
+ * indexes, records the events of servers and tunnels in the order in which they happen, and answers
+ * the questions of the decision module. Real relays and simulated ones in virtual time use the same
+ * class. Decisions are left to {@link RoutingTable} and {@link FailbackScheduler}; a closed tunnel
+ * is forgotten at once.
  */
 public final class PoolRouter {
-    /** Reports that make up a mean, at most. */
-    private static final double MEAN_OF = 1000;
+    /** A running mean weighs its past as at most this many samples. */
+    private static final double MAX_MEAN_SAMPLES = 1000;
 
-    /** A tunnel from its opening to its end. */
-    private static final class Tun {
+    /** A client's tunnel, from its acceptance by this relay to its end. */
+    private static final class RoutedTunnel {
         private final int profile;
         private final String key;
-        private int turn, setups, server = -1;
-        private boolean stands, guest;
-        private double units = 1, openedAt;
+        private int tier, setupCount, serverIndex = -1;
+        private boolean open, spilled;
+        private double relativeLoad = 1, openedAt;
 
-        private Tun(int profile, String key) {
+        private RoutedTunnel(int profile, String key) {
             this.profile = profile;
             this.key = key;
         }
     }
 
-    private final Routes routes;
-    private final WayBack wayBack;
-    private final Consumer<String> log, count;
-    private final Map<String, Integer> index = new HashMap<>();
+    private final RoutingTable table;
+    private final FailbackScheduler failbackScheduler;
+    private final Consumer<String> log, incrementCounter;
+    private final Map<String, Integer> indexByName = new HashMap<>();
 
-    /** Servers by the number that the module has for them; -1: not asked for yet. */
-    private int[] byNumber = {};
+    /**
+     * Table index by the decision module's own server number; -1 where it was not looked up yet.
+     */
+    private int[] indexByModuleNumber = {};
 
-    private final List<String> names = new ArrayList<>();
-    private final Map<Long, Tun> tunnels = new HashMap<>();
+    private final List<String> serverNames = new ArrayList<>();
+    private final Map<Long, RoutedTunnel> tunnels = new HashMap<>();
 
-    /** The tunnel last found. */
-    private Tun asked;
+    /** The tunnel that was looked up last; see {@link #find}. */
+    private RoutedTunnel lastFound;
 
-    private long askedId;
-    private final Set<Long> guests = new LinkedHashSet<>();
-    private final boolean[] spilling;
-    private boolean returning, spent;
-    private long sentHome;
-    private Rush[] rushes = {};
+    private long lastFoundId;
+    private final Set<Long> spilledTunnelIds = new LinkedHashSet<>();
+    private final boolean[] spillActive;
+    private boolean failbackActive, retryBudgetSpent;
+    private long failbackCount;
+    private SurgeDetector[] surgeDetectors = {};
 
-    /** Of loads as servers tell them: over all tunnels, and by profile. */
-    private double mean, seen;
+    /** Running means of the tunnel loads that servers report: over all tunnels, and by profile. */
+    private double meanLoad, meanSamples;
 
-    private double[] means = {}, seens = {};
+    private double[] profileMeanLoads = {}, profileMeanSamples = {};
 
-    /** {@code count}: adds one to the counter of that name. */
+    /**
+     * Creates a router for one relay. {@code incrementCounter} adds one to the counter of that
+     * name.
+     */
     public PoolRouter(
-            RoutingPolicy charter, double now, Consumer<String> log, Consumer<String> count) {
-        routes = new Routes(charter, now, log);
-        wayBack = new WayBack(now);
-        spilling = new boolean[charter.pools.size()];
+            RoutingPolicy policy,
+            double now,
+            Consumer<String> log,
+            Consumer<String> incrementCounter) {
+        table = new RoutingTable(policy, now, log);
+        failbackScheduler = new FailbackScheduler(now);
+        spillActive = new boolean[policy.pools.size()];
         this.log = log;
-        this.count = count;
+        this.incrementCounter = incrementCounter;
     }
 
-    /** A reload: false, and nothing is changed, where only a new start can bring that charter. */
-    public boolean reload(RoutingPolicy anew, double now) {
-        if (routes.charter().needsStart(anew)) {
+    /**
+     * Applies a reloaded policy. Returns false, and changes nothing, if the new policy needs a
+     * restart.
+     */
+    public boolean reload(RoutingPolicy newPolicy, double now) {
+        if (table.policy().requiresRestart(newPolicy)) {
             return false;
         }
-        routes.change(anew, now);
+        table.reload(newPolicy, now);
         return true;
     }
 
-    // ---- The list and the servers
+    // ---- Server list and probes
 
     public void updateServerList(List<ServerEntry> servers, boolean whole, double now) {
-        boolean[] named = new boolean[names.size() + servers.size()];
-        for (ServerEntry l : servers) {
-            int s =
-                    index.computeIfAbsent(
-                            l.name(),
+        boolean[] named = new boolean[serverNames.size() + servers.size()];
+        for (ServerEntry server : servers) {
+            int serverIndex =
+                    indexByName.computeIfAbsent(
+                            server.name(),
                             name -> {
-                                names.add(name);
-                                return names.size() - 1;
+                                serverNames.add(name);
+                                return serverNames.size() - 1;
                             });
-            named[s] = true;
+            named[serverIndex] = true;
             int pool =
-                    routes.charter().groupBy == RoutingPolicy.GroupBy.ZONE ? l.zone() : l.model();
-            routes.listed(
-                    s,
-                    Math.min(pool, spilling.length - 1),
-                    l.state() != ServerEntry.State.GONE,
-                    l.state() == ServerEntry.State.RUNNING,
-                    l.startedAt(),
+                    table.policy().groupBy == RoutingPolicy.GroupBy.ZONE
+                            ? server.zone()
+                            : server.model();
+            table.updateServer(
+                    serverIndex,
+                    Math.min(pool, spillActive.length - 1),
+                    server.state() != ServerEntry.State.GONE,
+                    server.state() == ServerEntry.State.RUNNING,
+                    server.startedAt(),
                     now);
         }
-        for (int s = 0; whole && s < names.size(); s++) {
-            if (!named[s]) {
-                routes.listed(s, routes.poolOf(s), false, false, Double.NEGATIVE_INFINITY, now);
+        for (int serverIndex = 0; whole && serverIndex < serverNames.size(); serverIndex++) {
+            if (!named[serverIndex]) {
+                table.updateServer(
+                        serverIndex,
+                        table.poolOf(serverIndex),
+                        false,
+                        false,
+                        Double.NEGATIVE_INFINITY,
+                        now);
             }
         }
     }
 
     public void probeFinished(String server, Outcome outcome, LoadReport report, double now) {
-        Integer s = index.get(server);
-        if (s == null) {
+        Integer serverIndex = indexByName.get(server);
+        if (serverIndex == null) {
             return;
         }
         if (outcome == Outcome.TIMED_OUT || outcome == Outcome.NO_CONNECTION) {
-            routes.unanswered(s, now);
+            table.serverUnreachable(serverIndex, now);
             return;
         }
-        routes.answered(s, now);
-        double told = Double.isNaN(report.load) ? report.busy : report.load;
-        if (!Double.isNaN(told)) {
-            routes.load(s, told);
+        table.serverAnswered(serverIndex, now);
+        double reportedLoad = Double.isNaN(report.load) ? report.busy : report.load;
+        if (!Double.isNaN(reportedLoad)) {
+            table.loadReported(serverIndex, reportedLoad);
         }
     }
 
     // ---- Tunnels
 
     public void tunnelAccepted(long id, int profile, String key, double now) {
-        Tun tun = new Tun(profile, key);
-        tun.turn = routes.first(profile, units(profile), now);
-        tunnels.put(id, tun);
-        asked = tun;
-        askedId = id;
-        if (any(routes.charter().failbackExemptInSurge)) {
-            rush(profile, now).comes(now);
+        RoutedTunnel tunnel = new RoutedTunnel(profile, key);
+        tunnel.tier = table.initialTier(profile, expectedLoad(profile), now);
+        tunnels.put(id, tunnel);
+        lastFound = tunnel;
+        lastFoundId = id;
+        if (anyTrue(table.policy().failbackExemptInSurge)) {
+            surgeDetector(profile, now).tunnelArrived(now);
         }
     }
 
-    /** A tunnel that stood there before this relay started: it counts as any other that stands. */
+    /**
+     * Adds a tunnel that was open at a server before this relay started; it counts like any other
+     * open tunnel.
+     */
     public void tunnelRestored(long id, int profile, String key, String server, double now) {
-        Integer s = index.get(server);
-        if (s != null) {
-            Tun tun = new Tun(profile, key);
-            tunnels.put(id, tun);
-            tun.server = s;
-            tun.guest = routes.stands(s, profile, tun.units);
+        Integer serverIndex = indexByName.get(server);
+        if (serverIndex != null) {
+            RoutedTunnel tunnel = new RoutedTunnel(profile, key);
+            tunnels.put(id, tunnel);
+            tunnel.serverIndex = serverIndex;
+            tunnel.spilled = table.tunnelPlaced(serverIndex, profile, tunnel.relativeLoad);
             tunnelOpened(id, now);
         }
     }
 
-    private static boolean any(boolean[] of) {
-        for (boolean one : of) {
-            if (one) {
+    private static boolean anyTrue(boolean[] flags) {
+        for (boolean flag : flags) {
+            if (flag) {
                 return true;
             }
         }
         return false;
     }
 
-    private Rush rush(int profile, double now) {
-        if (profile >= rushes.length) {
-            int from = rushes.length;
-            rushes = Arrays.copyOf(rushes, profile + 1);
-            for (int p = from; p < rushes.length; p++) {
-                rushes[p] = new Rush(now);
+    private SurgeDetector surgeDetector(int profile, double now) {
+        if (profile >= surgeDetectors.length) {
+            int oldLength = surgeDetectors.length;
+            surgeDetectors = Arrays.copyOf(surgeDetectors, profile + 1);
+            for (int newProfile = oldLength; newProfile < surgeDetectors.length; newProfile++) {
+                surgeDetectors[newProfile] = new SurgeDetector(now);
             }
         }
-        return rushes[profile];
+        return surgeDetectors[profile];
     }
 
     /**
-     * What the module asks: whether this tunnel may go to that server now; {@code number}: the
-     * module's own for it.
+     * Whether this tunnel may use that server now. {@code moduleNumber} is the decision module's
+     * own number for the server.
      */
-    public boolean mayUse(long id, int number, String server, double now) {
-        if (number >= byNumber.length) {
-            int from = byNumber.length;
-            byNumber = Arrays.copyOf(byNumber, Math.max(number + 1, 2 * from));
-            Arrays.fill(byNumber, from, byNumber.length, -1);
+    public boolean mayUse(long id, int moduleNumber, String server, double now) {
+        if (moduleNumber >= indexByModuleNumber.length) {
+            int oldLength = indexByModuleNumber.length;
+            indexByModuleNumber =
+                    Arrays.copyOf(indexByModuleNumber, Math.max(moduleNumber + 1, 2 * oldLength));
+            Arrays.fill(indexByModuleNumber, oldLength, indexByModuleNumber.length, -1);
         }
-        if (byNumber[number] < 0) {
-            byNumber[number] = index.getOrDefault(server, -1);
+        if (indexByModuleNumber[moduleNumber] < 0) {
+            indexByModuleNumber[moduleNumber] = indexByName.getOrDefault(server, -1);
         }
-        return why(id, byNumber[number], now) == Why.OPEN;
+        return verdict(id, indexByModuleNumber[moduleNumber], now) == RouteVerdict.OPEN;
     }
 
-    public Why why(long id, String server, double now) {
-        return why(id, index.getOrDefault(server, -1), now);
+    public RouteVerdict verdict(long id, String server, double now) {
+        return verdict(id, indexByName.getOrDefault(server, -1), now);
     }
 
-    /** Most of what is told of a tunnel comes right after the last. */
-    private Tun find(long id) {
-        if (asked == null || askedId != id) {
-            asked = tunnels.get(id);
-            askedId = id;
+    /**
+     * Looks up a tunnel. The last one is remembered, since most events concern the same tunnel as
+     * the event before.
+     */
+    private RoutedTunnel find(long id) {
+        if (lastFound == null || lastFoundId != id) {
+            lastFound = tunnels.get(id);
+            lastFoundId = id;
         }
-        return asked;
+        return lastFound;
     }
 
-    private Why why(long id, int s, double now) {
-        Tun tun = find(id);
-        return tun == null
-                ? Why.OPEN
-                : s < 0
-                        ? Why.UNKNOWN
-                        : routes.why(
+    private RouteVerdict verdict(long id, int serverIndex, double now) {
+        RoutedTunnel tunnel = find(id);
+        return tunnel == null
+                ? RouteVerdict.OPEN
+                : serverIndex < 0
+                        ? RouteVerdict.UNKNOWN_SERVER
+                        : table.verdict(
                                 id,
-                                s,
-                                tun.profile,
-                                units(tun.profile),
-                                tun.turn,
-                                tun.setups > 0,
+                                serverIndex,
+                                tunnel.profile,
+                                expectedLoad(tunnel.profile),
+                                tunnel.tier,
+                                tunnel.setupCount > 0,
                                 now);
     }
 
-    /** What the module asks where it found nobody: whether more is open now than was. */
+    /**
+     * Moves a tunnel for which no server was found to the next tier. Returns whether more servers
+     * are open to it now than before.
+     */
     public boolean advanceTier(long id, double now) {
-        Tun tun = find(id);
-        int next =
-                tun == null
+        RoutedTunnel tunnel = find(id);
+        int nextTier =
+                tunnel == null
                         ? -1
-                        : routes.wider(
-                                tun.turn, tun.profile, units(tun.profile), tun.setups > 0, now);
-        if (tun != null && tun.setups > 0) {
-            retriesNoted(now);
+                        : table.nextTier(
+                                tunnel.tier,
+                                tunnel.profile,
+                                expectedLoad(tunnel.profile),
+                                tunnel.setupCount > 0,
+                                now);
+        if (tunnel != null && tunnel.setupCount > 0) {
+            logRetryBudgetChange(now);
         }
-        if (next < 0) {
+        if (nextTier < 0) {
             return false;
         }
-        tun.turn = next;
+        tunnel.tier = nextTier;
         return true;
     }
 
-    private void retriesNoted(double now) {
-        boolean is = !routes.retries().may(now);
-        if (is) {
-            count.accept("retries_refused");
+    private void logRetryBudgetChange(double now) {
+        boolean spentNow = !table.retryBudget().allowsRetry(now);
+        if (spentNow) {
+            incrementCounter.accept("retries_refused");
         }
-        if (is != spent) {
-            spent = is;
+        if (spentNow != retryBudgetSpent) {
+            retryBudgetSpent = spentNow;
             log.accept(
                     "further setups "
-                            + (is
+                            + (spentNow
                                     ? "spent: tunnels that failed once are given up"
                                     : "to be had again")
                             + ", tunnels "
@@ -254,296 +288,334 @@
     }
 
     public void setupStarted(long id, String server, double now) {
-        Tun tun = find(id);
-        Integer s = index.get(server);
-        if (tun == null || s == null) {
+        RoutedTunnel tunnel = find(id);
+        Integer serverIndex = indexByName.get(server);
+        if (tunnel == null || serverIndex == null) {
             return;
         }
-        tun.server = s;
-        tun.units = units(tun.profile);
-        tun.guest = routes.comes(s, tun.profile, tun.units, tun.setups++ > 0, now);
-        if (tun.guest) {
-            count.accept("spilled");
-            int pool = routes.poolOf(s);
-            if (!spilling[pool]) {
-                spilling[pool] = true;
+        tunnel.serverIndex = serverIndex;
+        tunnel.relativeLoad = expectedLoad(tunnel.profile);
+        tunnel.spilled =
+                table.setupStarted(
+                        serverIndex,
+                        tunnel.profile,
+                        tunnel.relativeLoad,
+                        tunnel.setupCount++ > 0,
+                        now);
+        if (tunnel.spilled) {
+            incrementCounter.accept("spilled");
+            int pool = table.poolOf(serverIndex);
+            if (!spillActive[pool]) {
+                spillActive[pool] = true;
                 log.accept(
                         "spill to "
-                                + routes.charter().pools.get(pool)
+                                + table.policy().pools.get(pool)
                                 + " begins, home "
-                                + routes.pool(routes.charter().homePool).condition().text()
+                                + table.pool(table.policy().homePool).condition().text()
                                 + ", at most "
-                                + Math.round(routes.spill(pool).most())
+                                + Math.round(table.spillLimit(pool).maxLoad())
                                 + " mean loads from here");
             }
         }
     }
 
     public void tunnelOpened(long id, double now) {
-        Tun tun = find(id);
-        if (tun != null && tun.server >= 0) {
-            tun.stands = true;
-            tun.openedAt = now;
-            routes.answered(tun.server, now);
-            if (tun.guest) {
-                guests.add(id);
+        RoutedTunnel tunnel = find(id);
+        if (tunnel != null && tunnel.serverIndex >= 0) {
+            tunnel.open = true;
+            tunnel.openedAt = now;
+            table.serverAnswered(tunnel.serverIndex, now);
+            if (tunnel.spilled) {
+                spilledTunnelIds.add(id);
             }
         }
     }
 
-    /** A server tells what this tunnel loads it. */
-    public void tunnelLoadReported(long id, double told) {
-        Tun tun = find(id);
-        if (tun == null || !(told > 0)) {
+    /** Records the load that a server reports for this tunnel. */
+    public void tunnelLoadReported(long id, double load) {
+        RoutedTunnel tunnel = find(id);
+        if (tunnel == null || !(load > 0)) {
             return;
         }
-        if (tun.profile >= means.length) {
-            means = Arrays.copyOf(means, tun.profile + 1);
-            seens = Arrays.copyOf(seens, tun.profile + 1);
+        if (tunnel.profile >= profileMeanLoads.length) {
+            profileMeanLoads = Arrays.copyOf(profileMeanLoads, tunnel.profile + 1);
+            profileMeanSamples = Arrays.copyOf(profileMeanSamples, tunnel.profile + 1);
         }
-        seen = Math.min(MEAN_OF, seen + 1);
-        mean += (told - mean) / seen;
-        seens[tun.profile] = Math.min(MEAN_OF, seens[tun.profile] + 1);
-        means[tun.profile] += (told - means[tun.profile]) / seens[tun.profile];
-        double is = told / mean;
-        if (tun.guest) {
-            routes.guestChanges(routes.poolOf(tun.server), tun.profile, is - tun.units);
+        meanSamples = Math.min(MAX_MEAN_SAMPLES, meanSamples + 1);
+        meanLoad += (load - meanLoad) / meanSamples;
+        profileMeanSamples[tunnel.profile] =
+                Math.min(MAX_MEAN_SAMPLES, profileMeanSamples[tunnel.profile] + 1);
+        profileMeanLoads[tunnel.profile] +=
+                (load - profileMeanLoads[tunnel.profile]) / profileMeanSamples[tunnel.profile];
+        double relativeLoad = load / meanLoad;
+        if (tunnel.spilled) {
+            table.changeSpilledLoad(
+                    table.poolOf(tunnel.serverIndex),
+                    tunnel.profile,
+                    relativeLoad - tunnel.relativeLoad);
         }
-        tun.units = is;
+        tunnel.relativeLoad = relativeLoad;
     }
 
-    /** What a tunnel of that profile loads, in mean loads, as far as it is known. */
-    private double units(int profile) {
-        return profile < means.length && seens[profile] > 0 && mean > 0 ? means[profile] / mean : 1;
+    /**
+     * The load to expect of a tunnel of this profile, in mean tunnel loads; 1 while it is unknown.
+     */
+    private double expectedLoad(int profile) {
+        return profile < profileMeanLoads.length && profileMeanSamples[profile] > 0 && meanLoad > 0
+                ? profileMeanLoads[profile] / meanLoad
+                : 1;
     }
 
-    /** A setup, or what it opened, has ended; {@code told}: that says something of its server. */
-    public void serverConnectionEnded(long id, Outcome outcome, boolean told, double now) {
-        Tun tun = find(id);
-        if (tun == null || tun.server < 0) {
+    /**
+     * A setup, or the tunnel that it opened, has ended at its server. {@code countsForServer}: the
+     * outcome says something about the server.
+     */
+    public void serverConnectionEnded(
+            long id, Outcome outcome, boolean countsForServer, double now) {
+        RoutedTunnel tunnel = find(id);
+        if (tunnel == null || tunnel.serverIndex < 0) {
             return;
         }
-        int s = tun.server;
-        boolean stood = tun.stands;
-        lets(id, tun);
-        if (stood || !told) {
+        int serverIndex = tunnel.serverIndex;
+        boolean wasOpen = tunnel.open;
+        leaveServer(id, tunnel);
+        if (wasOpen || !countsForServer) {
             return;
         }
         switch (outcome) {
-            case OK, FAILED, FULL -> routes.answered(s, now);
-            case TIMED_OUT -> routes.timedOut(s, now);
-            case NO_CONNECTION -> routes.unanswered(s, now);
+            case OK, FAILED, FULL -> table.serverAnswered(serverIndex, now);
+            case TIMED_OUT -> table.setupTimedOut(serverIndex, now);
+            case NO_CONNECTION -> table.serverUnreachable(serverIndex, now);
             default -> {
-                // A reset or a cancelled one says nothing of whether it answers.
+                // A reset or cancelled setup does not tell whether the server answers.
             }
         }
     }
 
-    private void lets(long id, Tun tun) {
-        routes.leaves(tun.server, tun.units);
-        if (tun.guest) {
-            routes.guestChanges(routes.poolOf(tun.server), tun.profile, -tun.units);
-            guests.remove(id);
+    private void leaveServer(long id, RoutedTunnel tunnel) {
+        table.tunnelLeft(tunnel.serverIndex, tunnel.relativeLoad);
+        if (tunnel.spilled) {
+            table.changeSpilledLoad(
+                    table.poolOf(tunnel.serverIndex), tunnel.profile, -tunnel.relativeLoad);
+            spilledTunnelIds.remove(id);
         }
-        tun.server = -1;
-        tun.guest = tun.stands = false;
+        tunnel.serverIndex = -1;
+        tunnel.spilled = tunnel.open = false;
     }
 
-    /** A tunnel is over, however it came to that. */
+    /** Forgets a tunnel that is closed, for whatever reason. */
     public void tunnelClosed(long id) {
-        Tun tun = tunnels.remove(id);
-        asked = null;
-        if (tun != null && tun.server >= 0) {
-            lets(id, tun);
+        RoutedTunnel tunnel = tunnels.remove(id);
+        lastFound = null;
+        if (tunnel != null && tunnel.serverIndex >= 0) {
+            leaveServer(id, tunnel);
         }
     }
 
     // ---- Time
 
-    /** Time passes; who is to be sent home now, each to be moved by the caller. */
+    /**
+     * Advances time. Returns the ids of the spilled tunnels that fail back now; the caller has to
+     * move each of them.
+     */
     public List<Long> tick(double now) {
-        routes.tick(now);
-        RoutingPolicy charter = routes.charter();
-        for (int p = 0; p < spilling.length; p++) {
-            if (spilling[p] && routes.spill(p).guests() <= 0) {
-                spilling[p] = false;
-                log.accept("spill to " + charter.pools.get(p) + " is over, sent home " + sentHome);
+        table.tick(now);
+        RoutingPolicy policy = table.policy();
+        for (int pool = 0; pool < spillActive.length; pool++) {
+            if (spillActive[pool] && table.spillLimit(pool).spilledLoad() <= 0) {
+                spillActive[pool] = false;
+                log.accept(
+                        "spill to "
+                                + policy.pools.get(pool)
+                                + " is over, sent home "
+                                + failbackCount);
             }
         }
-        if (!charter.returns()) {
+        if (!policy.failbackEnabled()) {
             return List.of();
         }
-        double bears = routes.bears(now);
-        if (returning != (bears > 0 && !guests.isEmpty())) {
-            returning = !returning;
+        double failbackRate = table.failbackRate(now);
+        if (failbackActive != (failbackRate > 0 && !spilledTunnelIds.isEmpty())) {
+            failbackActive = !failbackActive;
             log.accept(
                     "way back "
-                            + (returning ? "begins" : "ends")
+                            + (failbackActive ? "begins" : "ends")
                             + ", guests "
-                            + guests.size()
+                            + spilledTunnelIds.size()
                             + ", home bears "
-                            + Math.round(bears * 100) / 100.0
+                            + Math.round(failbackRate * 100) / 100.0
                             + " mean loads a second, sent home "
-                            + sentHome);
+                            + failbackCount);
         }
-        List<WayBack.Guest> away = new ArrayList<>();
-        for (long id : returning ? guests : Set.<Long>of()) {
-            Tun tun = find(id);
-            away.add(
-                    new WayBack.Guest(
+        List<FailbackScheduler.SpilledTunnel> candidates = new ArrayList<>();
+        for (long id : failbackActive ? spilledTunnelIds : Set.<Long>of()) {
+            RoutedTunnel tunnel = find(id);
+            candidates.add(
+                    new FailbackScheduler.SpilledTunnel(
                             id,
-                            tun.key,
-                            tun.units,
-                            charter.credit(tun.profile),
-                            tun.openedAt,
-                            spared(charter, tun.profile, now)));
+                            tunnel.key,
+                            tunnel.relativeLoad,
+                            policy.credit(tunnel.profile),
+                            tunnel.openedAt,
+                            isFailbackExempt(policy, tunnel.profile, now)));
         }
-        List<Long> leave = wayBack.leave(away, charter.minStaySeconds, returning ? bears : 0, now);
-        sentHome += leave.size();
-        leave.forEach(id -> count.accept("sent_home"));
-        return leave;
+        List<Long> failbackIds =
+                failbackScheduler.selectTunnels(
+                        candidates, policy.minStaySeconds, failbackActive ? failbackRate : 0, now);
+        failbackCount += failbackIds.size();
+        failbackIds.forEach(id -> incrementCounter.accept("sent_home"));
+        return failbackIds;
     }
 
-    private boolean spared(RoutingPolicy charter, int profile, double now) {
-        return profile < charter.failbackExempt.length && charter.failbackExempt[profile]
-                || profile < charter.failbackExemptInSurge.length
-                        && charter.failbackExemptInSurge[profile]
-                        && rush(profile, now).on(now);
+    private boolean isFailbackExempt(RoutingPolicy policy, int profile, double now) {
+        return profile < policy.failbackExempt.length && policy.failbackExempt[profile]
+                || profile < policy.failbackExemptInSurge.length
+                        && policy.failbackExemptInSurge[profile]
+                        && surgeDetector(profile, now).isActive(now);
     }
 
     public Pool.Condition condition(int pool) {
-        return routes.pool(pool).condition();
+        return table.pool(pool).condition();
     }
 
-    /** Guests of this relay in that pool, in mean loads. */
-    public double guests(int pool) {
-        return routes.spill(pool).guests();
+    /** Load of this relay's spilled tunnels in that pool, in mean tunnel loads. */
+    public double spilledLoad(int pool) {
+        return table.spillLimit(pool).spilledLoad();
     }
 
-    public int tunnels() {
+    public int tunnelCount() {
         return tunnels.size();
     }
 
     /**
-     * What this relay knows of pools and servers: plain values, times in seconds ago; {@link
-     * #restore} reads it.
+     * What this relay knows of pools and servers, as plain values with times in seconds before now;
+     * {@link #restore} reads it.
      */
     public Map<String, Object> state(double now) {
-        RoutingPolicy charter = routes.charter();
+        RoutingPolicy policy = table.policy();
         Map<String, Object> state = new LinkedHashMap<>();
-        state.put("home", charter.pools.get(charter.homePool));
-        List<Object> of = new ArrayList<>();
-        for (int p = 0; p < charter.pools.size(); p++) {
-            Pool pool = routes.pool(p);
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("name", charter.pools.get(p));
-            one.put("condition", pool.condition().name().toLowerCase());
-            one.put("since_s", finite(now - pool.since()));
-            one.put("calm_s", pool.calm());
-            one.put("running", pool.running);
-            one.put("silent", pool.quiet);
-            one.put("mean_load", finite(pool.meanLoad()));
-            one.put("turn", routes.turn(p));
-            one.put("guests_most", routes.spill(p).most());
-            List<Object> guestsBy = new ArrayList<>();
-            for (int q = 0; q < charter.spillReservedShares.length; q++) {
-                guestsBy.add(routes.spill(p).guests(q));
+        state.put("home", policy.pools.get(policy.homePool));
+        List<Object> poolStates = new ArrayList<>();
+        for (int poolIndex = 0; poolIndex < policy.pools.size(); poolIndex++) {
+            Pool pool = table.pool(poolIndex);
+            Map<String, Object> entry = new LinkedHashMap<>();
+            entry.put("name", policy.pools.get(poolIndex));
+            entry.put("condition", pool.condition().name().toLowerCase());
+            entry.put("since_s", finiteOrNull(now - pool.since()));
+            entry.put("calm_s", pool.calmSeconds());
+            entry.put("running", pool.running);
+            entry.put("silent", pool.silent);
+            entry.put("mean_load", finiteOrNull(pool.meanLoad()));
+            entry.put("turn", table.tier(poolIndex));
+            entry.put("guests_most", table.spillLimit(poolIndex).maxLoad());
+            List<Object> spilledByProfile = new ArrayList<>();
+            for (int profile = 0; profile < policy.spillReservedShares.length; profile++) {
+                spilledByProfile.add(table.spillLimit(poolIndex).spilledLoad(profile));
             }
-            one.put("guests", guestsBy);
-            of.add(one);
-        }
-        state.put("pools", of);
-        List<Object> servers = new ArrayList<>();
-        for (int s = 0; s < names.size(); s++) {
-            Routes.Known k = routes.known(s, now);
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("name", names.get(s));
-            one.put("pool", charter.pools.get(k.pool()));
-            one.put("state", !k.listed() ? "gone" : k.running() ? "up" : "draining");
-            one.put("silent", k.silent());
-            one.put("load", finite(k.load()));
-            one.put("placed", k.placed());
-            one.put("age_s", finite(k.age()));
-            one.put("answered_s", finite(k.answered()));
-            servers.add(one);
-        }
-        state.put("servers", servers);
-        state.put("retries_left", routes.retries().left());
+            entry.put("guests", spilledByProfile);
+            poolStates.add(entry);
+        }
+        state.put("pools", poolStates);
+        List<Object> serverStates = new ArrayList<>();
+        for (int serverIndex = 0; serverIndex < serverNames.size(); serverIndex++) {
+            RoutingTable.ServerView server = table.serverView(serverIndex, now);
+            Map<String, Object> entry = new LinkedHashMap<>();
+            entry.put("name", serverNames.get(serverIndex));
+            entry.put("pool", policy.pools.get(server.pool()));
+            entry.put("state", !server.listed() ? "gone" : server.running() ? "up" : "draining");
+            entry.put("silent", server.silent());
+            entry.put("load", finiteOrNull(server.load()));
+            entry.put("placed", server.placedLoad());
+            entry.put("age_s", finiteOrNull(server.ageSeconds()));
+            entry.put("answered_s", finiteOrNull(server.answeredSecondsAgo()));
+            serverStates.add(entry);
+        }
+        state.put("servers", serverStates);
+        state.put("retries_left", table.retryBudget().tokensLeft());
         state.put("tunnels", tunnels.size());
         return state;
     }
 
-    /** The servers that such a state names, as a list would; the charter must name their pools. */
-    public List<ServerEntry> listed(Map<String, Object> state, double now) {
-        List<String> pools = routes.charter().pools;
+    /**
+     * The servers of such a state, in the form of a server list. Their pools must be pools of the
+     * policy.
+     */
+    public List<ServerEntry> listedServers(Map<String, Object> state, double now) {
+        List<String> pools = table.policy().pools;
         List<ServerEntry> listed = new ArrayList<>();
-        for (Map<String, Object> one : tables(state, "servers")) {
-            int p = pools.indexOf(String.valueOf(one.get("pool")));
-            if (p < 0) {
+        for (Map<String, Object> server : objects(state, "servers")) {
+            int pool = pools.indexOf(String.valueOf(server.get("pool")));
+            if (pool < 0) {
                 throw new IllegalArgumentException(
-                        "'" + one.get("pool") + "' is a pool of the state and none of the file's");
+                        "'"
+                                + server.get("pool")
+                                + "' is a pool of the state and none of the file's");
             }
             listed.add(
                     new ServerEntry(
-                            String.valueOf(one.get("name")),
-                            p,
-                            p,
+                            String.valueOf(server.get("name")),
+                            pool,
+                            pool,
                             0,
-                            switch (String.valueOf(one.get("state"))) {
+                            switch (String.valueOf(server.get("state"))) {
                                 case "up" -> ServerEntry.State.RUNNING;
                                 case "draining" -> ServerEntry.State.DRAINING;
                                 default -> ServerEntry.State.GONE;
                             },
-                            now - number(one, "age_s", Double.POSITIVE_INFINITY)));
+                            now - number(server, "age_s", Double.POSITIVE_INFINITY)));
         }
         return listed;
     }
 
-    /** Takes what another relay knew for its own, in a guide that knows nothing yet. */
+    /** Takes over the state of another relay, in a router that has no servers yet. */
     public void restore(Map<String, Object> state, double now) {
-        List<String> pools = routes.charter().pools;
-        updateServerList(listed(state, now), true, now);
-        for (Map<String, Object> one : tables(state, "servers")) {
-            routes.restore(
-                    index.get(String.valueOf(one.get("name"))),
-                    Boolean.TRUE.equals(one.get("silent")),
-                    number(one, "load", Double.NaN),
-                    number(one, "placed", 0),
-                    now - number(one, "answered_s", Double.POSITIVE_INFINITY),
+        List<String> pools = table.policy().pools;
+        updateServerList(listedServers(state, now), true, now);
+        for (Map<String, Object> entry : objects(state, "servers")) {
+            table.restore(
+                    indexByName.get(String.valueOf(entry.get("name"))),
+                    Boolean.TRUE.equals(entry.get("silent")),
+                    number(entry, "load", Double.NaN),
+                    number(entry, "placed", 0),
+                    now - number(entry, "answered_s", Double.POSITIVE_INFINITY),
                     now);
         }
-        for (Map<String, Object> one : tables(state, "pools")) {
-            int p = pools.indexOf(String.valueOf(one.get("name")));
-            List<?> by = one.get("guests") instanceof List<?> list ? list : List.of();
-            routes.restore(
-                    p,
-                    Pool.Condition.valueOf(String.valueOf(one.get("condition")).toUpperCase()),
-                    now - number(one, "since_s", Double.POSITIVE_INFINITY),
-                    number(one, "calm_s", 0),
-                    by.stream().mapToDouble(g -> ((Number) g).doubleValue()).toArray(),
+        for (Map<String, Object> entry : objects(state, "pools")) {
+            int pool = pools.indexOf(String.valueOf(entry.get("name")));
+            List<?> spilledByProfile =
+                    entry.get("guests") instanceof List<?> list ? list : List.of();
+            table.restore(
+                    pool,
+                    Pool.Condition.valueOf(String.valueOf(entry.get("condition")).toUpperCase()),
+                    now - number(entry, "since_s", Double.POSITIVE_INFINITY),
+                    number(entry, "calm_s", 0),
+                    spilledByProfile.stream()
+                            .mapToDouble(load -> ((Number) load).doubleValue())
+                            .toArray(),
                     now);
         }
-        routes.retries().restore(number(state, "retries_left", 0));
+        table.retryBudget().restore(number(state, "retries_left", 0));
     }
 
-    /** A tunnel whose setup failed once: what it asks for next is a further one. */
-    public void triedBefore(long id) {
-        find(id).setups++;
+    /** Marks a tunnel as having failed a setup, so that its next setup is a retry. */
+    public void countFailedSetup(long id) {
+        find(id).setupCount++;
     }
 
     @SuppressWarnings("unchecked")
-    private static List<Map<String, Object>> tables(Map<String, Object> of, String key) {
-        if (of.get(key) instanceof List<?> list && list.stream().allMatch(Map.class::isInstance)) {
+    private static List<Map<String, Object>> objects(Map<String, Object> state, String key) {
+        if (state.get(key) instanceof List<?> list
+                && list.stream().allMatch(Map.class::isInstance)) {
             return (List<Map<String, Object>>) list;
         }
         throw new IllegalArgumentException("the state holds no " + key);
     }
 
-    private static double number(Map<String, Object> of, String key, double missing) {
-        return of.get(key) instanceof Number n ? n.doubleValue() : missing;
+    private static double number(Map<String, Object> object, String key, double fallback) {
+        return object.get(key) instanceof Number number ? number.doubleValue() : fallback;
     }
 
-    private static Double finite(double d) {
-        return Double.isFinite(d) ? d : null;
+    private static Double finiteOrNull(double value) {
+        return Double.isFinite(value) ? value : null;
     }
 }
--- a/routes/src/main/java/asterpulley/routes/RetryBudget.java
+++ b/routes/src/main/java/asterpulley/routes/RetryBudget.java
@@ -1,56 +1,57 @@
 package asterpulley.routes;
 
 /**
- * Owns how many further setups a relay may send: a part of its first ones and a few a second
- * besides, so that a dark room does not become a storm of retries in the one that is left. It must
- * never touch a first setup.
+ * Token budget for a relay's retries: a share of its first setups and a few a second besides, so
+ * that an unavailable pool does not cause a retry storm in the one that is left. First setups are
+ * never limited.
  */
 public final class RetryBudget {
-    /**
-     * So many further setups may be saved up: what a second's worth of the least gives, or these.
-     */
-    private static final double SAVED = 10;
+    /** Retries that can be saved up; more if a second's worth of the guaranteed retries is more. */
+    private static final double MIN_CAPACITY = 10;
 
-    private double share, least, tokens, at;
+    private double retryShare, minPerSecond, tokens, refilledAt;
 
-    /** {@code share} below 0: no bound. */
-    public RetryBudget(double share, double least, double now) {
-        change(share, least);
-        tokens = saved();
-        at = now;
+    /** Creates a full budget. A {@code retryShare} below 0 means no limit. */
+    public RetryBudget(double retryShare, double minPerSecond, double now) {
+        reconfigure(retryShare, minPerSecond);
+        tokens = capacity();
+        refilledAt = now;
     }
 
-    public void change(double anewShare, double anewLeast) {
-        share = anewShare;
-        least = anewLeast;
-        tokens = Math.min(tokens, saved());
+    public void reconfigure(double newRetryShare, double newMinPerSecond) {
+        retryShare = newRetryShare;
+        minPerSecond = newMinPerSecond;
+        tokens = Math.min(tokens, capacity());
     }
 
-    private double saved() {
-        return Math.max(SAVED, least);
+    private double capacity() {
+        return Math.max(MIN_CAPACITY, minPerSecond);
     }
 
     private void refill(double now) {
-        tokens = Math.min(saved(), tokens + Math.max(0, now - at) * least);
-        at = Math.max(at, now);
+        tokens = Math.min(capacity(), tokens + Math.max(0, now - refilledAt) * minPerSecond);
+        refilledAt = Math.max(refilledAt, now);
     }
 
-    public boolean may(double now) {
+    public boolean allowsRetry(double now) {
         refill(now);
-        return share < 0 || tokens >= 1;
+        return retryShare < 0 || tokens >= 1;
     }
 
-    /** A setup goes out, a tunnel's first or a further one. */
-    public void goes(boolean further, double now) {
+    /**
+     * Counts a setup that is sent: a tunnel's first setup adds to the budget, a retry takes from
+     * it.
+     */
+    public void setupStarted(boolean isRetry, double now) {
         refill(now);
-        tokens = further ? tokens - 1 : Math.min(saved(), tokens + Math.max(0, share));
+        tokens = isRetry ? tokens - 1 : Math.min(capacity(), tokens + Math.max(0, retryShare));
     }
 
-    void restore(double left) {
-        tokens = left;
+    void restore(double restoredTokens) {
+        tokens = restoredTokens;
     }
 
-    public double left() {
+    public double tokensLeft() {
         return tokens;
     }
 }
