--- a/routes/src/main/java/asterpulley/routes/RoutingPolicy.java
+++ b/routes/src/main/java/asterpulley/routes/RoutingPolicy.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * What an operator states about pools: who is preferred, what may spill, what is kept for whom, how
- * often setups may be tried again, and how guests go home. Plain values, read once; a reload brings
- * another one. Seconds, mean loads of a tunnel, and parts of one.
+ * An operator's routing policy for pools: preferences, spill limits, reserved shares, the retry
+ * budget and failback. Plain values that are read once; a reload replaces the whole object. Times
+ * are in seconds, loads in mean tunnel loads, and shares are fractions.
  */
 public final class RoutingPolicy {
-    /** By what a server belongs to a pool. */
+    /** Which property of a server determines its pool. */
     public enum GroupBy {
         ZONE,
         MODEL
@@ -18,78 +18,93 @@
     public GroupBy groupBy = GroupBy.ZONE;
     public List<String> pools = new ArrayList<>();
 
-    /** This relay's own pool, and how many relays are at home in each. */
+    /** This relay's own pool, and the number of relays that are at home in each pool. */
     public int homePool, relaysPerPool = 1;
 
     /**
-     * For each pool, the others in the order in which its tunnels may go there; those that are not
-     * named come last, together.
+     * For each pool, the other pools in the order in which its tunnels may use them. Pools that are
+     * not named come last, all in one tier.
      */
     public List<List<Integer>> poolPreferences = new ArrayList<>();
 
     public PoolHealth.Thresholds healthThresholds =
             new PoolHealth.Thresholds(0.7, 0.35, 0.5, 4, 32);
 
-    /** A mean load from which a pool is overloaded, and below which it is no more. */
+    /** Mean server load from which a pool is overloaded, and below which it no longer is. */
     public double overloadEnterLoad = 0.85, overloadExitLoad = 0.7;
 
-    /** A dark pool that the list still names after this is taken for cut off from here. */
+    /**
+     * An unavailable pool that the server list still names after this time counts as cut off from
+     * this relay.
+     */
     public double cutOffAfterSeconds = 6;
 
     /**
-     * Guests: the part of a pool's room, new ones a second (0: no bound), mean loads a server
-     * holds.
+     * Limits for spilled tunnels: their share of a pool's capacity, new ones a second (0 for no
+     * limit), and the capacity of a server in mean tunnel loads.
      */
     public double spillShare = 0.2, spillRatePerSecond, serverCapacity = 60;
 
-    /** Guests go only to servers whose load is below this. */
+    /** Spilled tunnels use only servers whose load is below this. */
     public double spillMaxServerLoad = 0.75;
 
-    /** By profile: the part of the guests' room that is kept for it. */
+    /** By profile: the share of the spill limit that is reserved for it. */
     public double[] spillReservedShares = {};
 
     /**
-     * By profile: the part of every server that is kept for it from those of less credit, and that
-     * credit.
+     * By profile: the share of every server that is reserved for it against profiles of lower
+     * credit, and the profile's credit.
      */
     public double[] reservedServerShares = {}, credit = {};
 
-    /** A load from which the module takes a server for full: what is kept is kept below it. */
-    public double full = 0.8;
+    /**
+     * Load from which the decision module regards a server as full; reserved shares are held back
+     * below it.
+     */
+    public double fullLoad = 0.8;
 
     /**
-     * Further setups as a part of first ones, and so many a second at the least; a share of 0 or
-     * more bounds them.
+     * Retries allowed as a share of first setups, and the retries a second that are allowed at
+     * least. Below 0 the share means no limit.
      */
     public double retryShare = -1, retryMinPerSecond = 1;
 
     /**
-     * How guests go home: the part of a cold pool's room a second, of a warm one's, seconds that a
-     * guest stays; none: they stay.
+     * Failback rates, as a share of server capacity a second, for cold and for warm servers, and
+     * how long a spilled tunnel stays at least. Below 0 the share for cold servers means no
+     * failback at all.
      */
     public double failbackColdShare = -1, failbackWarmShare = 0.08, minStaySeconds = 5;
 
-    /** Profiles that are never sent home, and those that are not while they come in a rush. */
+    /**
+     * Profiles that never fail back, and profiles that do not fail back while their arrivals surge.
+     */
     public boolean[] failbackExempt = {}, failbackExemptInSurge = {};
 
-    /** What a cold server can do at first, when it is warm, and what pushes it over. */
+    /**
+     * The share of its capacity that a server has right after its start, the time until it is warm,
+     * and the multiple of its current capacity at which a cold server collapses.
+     */
     public double coldStartShare = 0.1, warmUpSeconds = 20, fallMultiple = 2;
 
-    public boolean returns() {
+    public boolean failbackEnabled() {
         return failbackColdShare >= 0;
     }
 
-    public double keptForGuests(int profile) {
+    public double spillReservedShare(int profile) {
         return profile < spillReservedShares.length ? spillReservedShares[profile] : 0;
     }
 
-    /** What this profile has to leave of every server to those of more credit. */
-    double keptFromBelow(int profile) {
-        double left = 0;
-        for (int q = 0; q < reservedServerShares.length; q++) {
-            left += q != profile && credit(q) > credit(profile) ? reservedServerShares[q] : 0;
+    /** The share of every server that this profile has to leave to profiles of higher credit. */
+    double reservedForHigherCredit(int profile) {
+        double reserved = 0;
+        for (int other = 0; other < reservedServerShares.length; other++) {
+            reserved +=
+                    other != profile && credit(other) > credit(profile)
+                            ? reservedServerShares[other]
+                            : 0;
         }
-        return left;
+        return reserved;
     }
 
     double credit(int profile) {
@@ -97,31 +112,33 @@
     }
 
     /**
-     * In which turn the servers of each pool are open to a tunnel of that home: 0 at home, then the
-     * others by preference. Where home is doubted it comes last instead, and the others one turn
-     * sooner.
+     * The tier of each pool for this relay's tunnels: 0 for home, then the others by preference. A
+     * tunnel may use the pools of its own tier and of all earlier ones. If home is flapping it
+     * comes last instead, and the others come one tier earlier.
      */
-    int[] turns(boolean homeDoubted) {
-        int[] turns = new int[pools.size()];
-        List<Integer> order =
+    int[] poolTiers(boolean homeFlapping) {
+        int[] tiers = new int[pools.size()];
+        List<Integer> preferred =
                 homePool < poolPreferences.size() ? poolPreferences.get(homePool) : List.of();
-        for (int p = 0; p < turns.length; p++) {
-            int at = order.indexOf(p);
-            turns[p] = p == homePool ? 0 : 1 + (at >= 0 ? at : order.size());
+        for (int pool = 0; pool < tiers.length; pool++) {
+            int rank = preferred.indexOf(pool);
+            tiers[pool] = pool == homePool ? 0 : 1 + (rank >= 0 ? rank : preferred.size());
         }
-        if (homeDoubted) {
-            int last = 0;
-            for (int p = 0; p < turns.length; p++) {
-                turns[p] -= p == homePool ? 0 : 1;
-                last = Math.max(last, turns[p]);
+        if (homeFlapping) {
+            int lastTier = 0;
+            for (int pool = 0; pool < tiers.length; pool++) {
+                tiers[pool] -= pool == homePool ? 0 : 1;
+                lastTier = Math.max(lastTier, tiers[pool]);
             }
-            turns[homePool] = last + 1;
+            tiers[homePool] = lastTier + 1;
         }
-        return turns;
+        return tiers;
     }
 
-    /** True where that charter differs in what only a new start can change. */
-    public boolean needsStart(RoutingPolicy anew) {
-        return groupBy != anew.groupBy || homePool != anew.homePool || !pools.equals(anew.pools);
+    /** Whether {@code newPolicy} differs in a value that only a restart can change. */
+    public boolean requiresRestart(RoutingPolicy newPolicy) {
+        return groupBy != newPolicy.groupBy
+                || homePool != newPolicy.homePool
+                || !pools.equals(newPolicy.pools);
     }
 }
--- a/routes/src/main/java/asterpulley/routes/SpillLimit.java
+++ b/routes/src/main/java/asterpulley/routes/SpillLimit.java
@@ -3,105 +3,110 @@
 import java.util.Arrays;
 
 /**
- * Owns how much of a pool may be taken by tunnels whose home is elsewhere: a part of its room for
- * those that stand, by what they load, of which some is kept for stated profiles, and a rate for
- * those that come. Each relay keeps to its own part of both, since relays share nothing. It must
- * never hold back what is at home.
+ * Limits how much of a pool may be used by tunnels whose home is another pool: a share of its
+ * capacity for open tunnels, counted by their load, of which some is reserved for certain profiles,
+ * and a rate for new ones. Each relay enforces its own part of both, since relays share no state.
+ * Tunnels at home are never limited here.
  */
 public final class SpillLimit {
-    /** So many seconds of the rate may come at once. */
-    private static final double BURST = 1;
+    /** Seconds' worth of the rate that may come at once. */
+    private static final double BURST_SECONDS = 1;
 
-    /** Sums of loads that came and left leave this much of nothing. */
-    private static final double NOTHING = 1e-6;
+    /** Sums of loads that were added and removed again may be off by this rounding error. */
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
-    private RoutingPolicy charter;
-    private double most, rate, credit, at;
-    private double guests;
-    private double[] by = {};
+    private RoutingPolicy policy;
+    private double maxLoad, ratePerSecond, tokens, refilledAt;
+    private double spilledLoad;
+    private double[] loadByProfile = {};
 
     /**
-     * {@code most}: mean loads of guests that may stand here, of this relay; {@code rate}: new ones
-     * a second, 0 for no bound.
+     * Limits this relay's spilled tunnels to {@code maxLoad} mean tunnel loads, and new ones to
+     * {@code ratePerSecond} (0 for no limit).
      */
-    public SpillLimit(RoutingPolicy charter, double most, double rate, double now) {
-        this.charter = charter;
-        limits(most, rate);
-        credit = burst();
-        at = now;
+    public SpillLimit(RoutingPolicy policy, double maxLoad, double ratePerSecond, double now) {
+        this.policy = policy;
+        updateLimits(maxLoad, ratePerSecond);
+        tokens = burstTokens();
+        refilledAt = now;
     }
 
-    void charter(RoutingPolicy anew) {
-        charter = anew;
+    void updatePolicy(RoutingPolicy newPolicy) {
+        policy = newPolicy;
     }
 
     /**
-     * Other limits from now on: guests above a lower one leave by themselves, and nothing new comes
-     * meanwhile.
+     * Changes the limits. Tunnels above a lowered limit stay until they end, and no new ones are
+     * admitted meanwhile.
      */
-    public void limits(double mostGuests, double newPerSecond) {
-        most = mostGuests;
-        rate = newPerSecond;
-        credit = Math.min(credit, burst());
+    public void updateLimits(double newMaxLoad, double newRatePerSecond) {
+        maxLoad = newMaxLoad;
+        ratePerSecond = newRatePerSecond;
+        tokens = Math.min(tokens, burstTokens());
     }
 
-    /** Why one more guest of this profile and load may not come now; OPEN where it may. */
-    Why why(int profile, double load, double now) {
+    /** Whether one more tunnel of this profile and load may spill now and, if not, why. */
+    RouteVerdict verdict(int profile, double load, double now) {
         refill(now);
-        if (rate > 0 && credit < 1) {
-            return Why.GUESTS_RATE;
+        if (ratePerSecond > 0 && tokens < 1) {
+            return RouteVerdict.SPILL_RATE_REACHED;
         }
-        if (guests + load > most + NOTHING) {
-            return Why.GUESTS_FULL;
+        if (spilledLoad + load > maxLoad + ROUNDING_TOLERANCE) {
+            return RouteVerdict.SPILL_LIMIT_REACHED;
         }
-        double kept = 0;
-        for (int q = 0; q < charter.spillReservedShares.length; q++) {
-            kept +=
-                    q == profile
+        double reserved = 0;
+        for (int other = 0; other < policy.spillReservedShares.length; other++) {
+            reserved +=
+                    other == profile
                             ? 0
                             : Math.max(
                                     0,
-                                    charter.keptForGuests(q) * most - (q < by.length ? by[q] : 0));
+                                    policy.spillReservedShare(other) * maxLoad
+                                            - (other < loadByProfile.length
+                                                    ? loadByProfile[other]
+                                                    : 0));
         }
-        return guests + load > most - kept + NOTHING ? Why.GUESTS_KEPT : Why.OPEN;
+        return spilledLoad + load > maxLoad - reserved + ROUNDING_TOLERANCE
+                ? RouteVerdict.SPILL_RESERVED
+                : RouteVerdict.OPEN;
     }
 
-    /** A guest's setup goes out, as one of the rate. */
-    void spends(double now) {
+    /** Counts the setup of a spilled tunnel against the rate. */
+    void setupStarted(double now) {
         refill(now);
-        credit -= rate > 0 ? 1 : 0;
+        tokens -= ratePerSecond > 0 ? 1 : 0;
     }
 
     /**
-     * A guest comes and counts until it has ended, leaves ({@code -load}), or loads more or less
-     * than was taken.
+     * Adds {@code delta} to the load of a profile: a tunnel spills and counts until it ends, ends
+     * ({@code -load}), or turns out to load more or less than expected.
      */
-    public void changes(int profile, double load) {
-        if (profile >= by.length) {
-            by = Arrays.copyOf(by, profile + 1);
+    public void changeLoad(int profile, double delta) {
+        if (profile >= loadByProfile.length) {
+            loadByProfile = Arrays.copyOf(loadByProfile, profile + 1);
         }
-        by[profile] = Math.max(0, by[profile] + load);
-        guests = Math.max(0, guests + load);
+        loadByProfile[profile] = Math.max(0, loadByProfile[profile] + delta);
+        spilledLoad = Math.max(0, spilledLoad + delta);
     }
 
-    double guests(int profile) {
-        return profile < by.length ? by[profile] : 0;
+    double spilledLoad(int profile) {
+        return profile < loadByProfile.length ? loadByProfile[profile] : 0;
     }
 
-    public double guests() {
-        return guests;
+    public double spilledLoad() {
+        return spilledLoad;
     }
 
-    public double most() {
-        return most;
+    public double maxLoad() {
+        return maxLoad;
     }
 
-    private double burst() {
-        return Math.max(1, rate * BURST);
+    private double burstTokens() {
+        return Math.max(1, ratePerSecond * BURST_SECONDS);
     }
 
     private void refill(double now) {
-        credit = Math.min(burst(), credit + Math.max(0, now - at) * rate);
-        at = Math.max(at, now);
+        tokens = Math.min(burstTokens(), tokens + Math.max(0, now - refilledAt) * ratePerSecond);
+        refilledAt = Math.max(refilledAt, now);
     }
 }
--- a/routes/src/test/java/asterpulley/routes/PoolHealthTest.java
+++ b/routes/src/test/java/asterpulley/routes/PoolHealthTest.java
@@ -6,93 +6,96 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** A pool's darkness, checked over all orders of up to eight events. */
+/** Pool health, checked over all sequences of eight events. */
 class PoolHealthTest {
-    private static final PoolHealth.Thresholds BOUNDS =
+    private static final PoolHealth.Thresholds THRESHOLDS =
             new PoolHealth.Thresholds(0.7, 0.3, 0.5, 4, 32);
 
-    /** What may happen: so many silent, after so many seconds. */
+    /** Possible events: the share of silent servers, and the seconds before it. */
     private static final double[][] EVENTS = {
         {0, 0.1}, {0.5, 0.1}, {1, 0.1}, {0, 5}, {0.5, 5}, {1, 5}
     };
 
-    private static final int DEEP = 8;
-    private int orders;
+    private static final int EVENTS_PER_SEQUENCE = 8;
+    private int sequences;
 
     @Test
-    void overAllOrdersOfEightEventsItNeverFlapsAndAlwaysHasAWayOut() {
-        walk(new int[DEEP], 0);
-        assertEquals(1_679_616, orders);
+    void neverFlapsAndLeavesEveryStateOverAllSequencesOfEightEvents() {
+        checkAllFrom(new int[EVENTS_PER_SEQUENCE], 0);
+        assertEquals(1_679_616, sequences);
     }
 
-    private void walk(int[] order, int depth) {
-        if (depth == DEEP) {
-            orders++;
-            check(order);
+    private void checkAllFrom(int[] sequence, int depth) {
+        if (depth == EVENTS_PER_SEQUENCE) {
+            sequences++;
+            check(sequence);
             return;
         }
-        for (int e = 0; e < EVENTS.length; e++) {
-            order[depth] = e;
-            walk(order, depth + 1);
+        for (int event = 0; event < EVENTS.length; event++) {
+            sequence[depth] = event;
+            checkAllFrom(sequence, depth + 1);
         }
     }
 
-    private static void check(int[] order) {
-        PoolHealth health = new PoolHealth(BOUNDS);
+    private static void check(int[] sequence) {
+        PoolHealth health = new PoolHealth(THRESHOLDS);
         double now = 0;
-        double soundAt = 0;
-        double darkAt = Double.NEGATIVE_INFINITY;
-        for (int e : order) {
-            now += EVENTS[e][1];
-            PoolHealth.State was = health.state();
-            double calm = health.calm();
-            health.seen(EVENTS[e][0], now);
-            PoolHealth.State is = health.state();
-            if (is == PoolHealth.State.SOUND && was == PoolHealth.State.RETURNING) {
-                // From dark to sound takes its calm at the least: two darknesses are never closer
-                // than that.
-                assertTrue(now - darkAt >= calm - 1e-9, () -> Arrays.toString(order));
-                soundAt = now;
+        double healthyAt = 0;
+        double lastUnavailableAt = Double.NEGATIVE_INFINITY;
+        for (int event : sequence) {
+            now += EVENTS[event][1];
+            PoolHealth.State oldState = health.state();
+            double calmSeconds = health.calmSeconds();
+            health.update(EVENTS[event][0], now);
+            PoolHealth.State state = health.state();
+            if (state == PoolHealth.State.SOUND && oldState == PoolHealth.State.RETURNING) {
+                // Leaving DARK for SOUND takes at least the calm period: two outages are never
+                // closer than that.
+                assertTrue(
+                        now - lastUnavailableAt >= calmSeconds - 1e-9,
+                        () -> Arrays.toString(sequence));
+                healthyAt = now;
             }
-            if (is == PoolHealth.State.DARK && was == PoolHealth.State.SUSPECT) {
+            if (state == PoolHealth.State.DARK && oldState == PoolHealth.State.SUSPECT) {
                 assertTrue(
-                        now - soundAt >= BOUNDS.confirmSeconds() - 1e-9,
-                        () -> Arrays.toString(order));
+                        now - healthyAt >= THRESHOLDS.confirmSeconds() - 1e-9,
+                        () -> Arrays.toString(sequence));
             }
-            if (was == PoolHealth.State.DARK && is != was) {
-                darkAt = now;
+            if (oldState == PoolHealth.State.DARK && state != oldState) {
+                lastUnavailableAt = now;
             }
-            assertTrue(health.calm() <= BOUNDS.maxCalmSeconds());
+            assertTrue(health.calmSeconds() <= THRESHOLDS.maxCalmSeconds());
         }
-        // Whatever was, all answering brings it to sound, and all silent makes it dark, each in
-        // bounded time.
-        now = settle(health, 0, now, BOUNDS.maxCalmSeconds());
-        assertEquals(PoolHealth.State.SOUND, health.state(), () -> Arrays.toString(order));
-        settle(health, 1, now, BOUNDS.confirmSeconds());
-        assertEquals(PoolHealth.State.DARK, health.state(), () -> Arrays.toString(order));
+        // From any state, answers from all servers lead to SOUND, and silence of all to DARK, each
+        // in bounded time.
+        now = settle(health, 0, now, THRESHOLDS.maxCalmSeconds());
+        assertEquals(PoolHealth.State.SOUND, health.state(), () -> Arrays.toString(sequence));
+        settle(health, 1, now, THRESHOLDS.confirmSeconds());
+        assertEquals(PoolHealth.State.DARK, health.state(), () -> Arrays.toString(sequence));
     }
 
-    private static double settle(PoolHealth health, double silent, double from, double within) {
-        health.seen(silent, from);
-        health.seen(silent, from + within);
-        health.seen(silent, from + 2 * within);
-        return from + 2 * within;
+    private static double settle(
+            PoolHealth health, double silentShare, double from, double seconds) {
+        health.update(silentShare, from);
+        health.update(silentShare, from + seconds);
+        health.update(silentShare, from + 2 * seconds);
+        return from + 2 * seconds;
     }
 
     @Test
-    void aRoomThatComesAndGoesEveryTenSecondsIsTrustedLessEachTime() {
-        PoolHealth health = new PoolHealth(BOUNDS);
-        int sound = 0;
-        PoolHealth.State was = health.state();
+    void flappingPoolNeedsALongerCalmEachTime() {
+        PoolHealth health = new PoolHealth(THRESHOLDS);
+        int recoveries = 0;
+        PoolHealth.State oldState = health.state();
         for (double now = 0; now < 300; now += 0.1) {
-            health.seen((int) (now / 10) % 2 == 0 ? 0 : 1, now);
-            sound +=
-                    health.state() == PoolHealth.State.SOUND && was != PoolHealth.State.SOUND
+            health.update((int) (now / 10) % 2 == 0 ? 0 : 1, now);
+            recoveries +=
+                    health.state() == PoolHealth.State.SOUND && oldState != PoolHealth.State.SOUND
                             ? 1
                             : 0;
-            was = health.state();
+            oldState = health.state();
         }
-        // A calm of 4 s, then 8, then none that ten seconds could hold.
-        assertEquals(2, sound);
+        // Calm periods of 4 s, then 8 s, then longer than ten seconds of answers can satisfy.
+        assertEquals(2, recoveries);
     }
 }
--- a/routes/src/test/java/asterpulley/routes/PoolTest.java
+++ b/routes/src/test/java/asterpulley/routes/PoolTest.java
@@ -9,15 +9,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What is believed of a pool as a whole, over all orders of up to eight events of its list, its
- * servers and its load.
+ * The condition of a pool over all sequences of eight events of its list, its servers and its load.
  */
 class PoolTest {
-    private static final PoolHealth.Thresholds BOUNDS =
+    private static final PoolHealth.Thresholds THRESHOLDS =
             new PoolHealth.Thresholds(0.7, 0.3, 0.5, 4, 32);
-    private static final double LISTED = 6;
+    private static final double CUT_OFF_AFTER_SECONDS = 6;
 
-    /** Servers that run, those that are silent, the mean load of the others, and for how long. */
+    /** Running servers, silent ones, the mean load of the others, and the duration in seconds. */
     private static final double[][] EVENTS = {
         {4, 0, 0.3, 0.2},
         {4, 4, 0, 0.6},
@@ -28,88 +27,92 @@
         {4, 2, 0.8, 3}
     };
 
-    private static final int DEEP = 8;
-    private static final int TIMES_DOUBLED = 3;
-    private final Set<Pool.Condition> seen = EnumSet.noneOf(Pool.Condition.class);
-    private int orders;
+    private static final int EVENTS_PER_SEQUENCE = 8;
+    private static final int MAX_CALM_DOUBLINGS = 3;
+    private final Set<Pool.Condition> conditionsSeen = EnumSet.noneOf(Pool.Condition.class);
+    private int sequences;
 
-    private static void tell(Pool pool, double[] e) {
-        pool.running = (int) e[0];
-        pool.quiet = (int) e[1];
-        pool.known = pool.heard();
-        pool.loads = e[2] * pool.known;
+    private static void applyEvent(Pool pool, double[] event) {
+        pool.running = (int) event[0];
+        pool.silent = (int) event[1];
+        pool.knownLoads = pool.answering();
+        pool.loadSum = event[2] * pool.knownLoads;
     }
 
     @Test
-    void overAllOrdersOfEightEventsNoConditionLacksAWayOutAndNoneFlaps() {
-        walk(new int[DEEP], 0);
-        assertEquals(5_764_801, orders);
-        assertEquals(EnumSet.allOf(Pool.Condition.class), seen);
+    void leavesEveryConditionAndNeverFlapsOverAllSequencesOfEightEvents() {
+        checkAllFrom(new int[EVENTS_PER_SEQUENCE], 0);
+        assertEquals(5_764_801, sequences);
+        assertEquals(EnumSet.allOf(Pool.Condition.class), conditionsSeen);
     }
 
-    private void walk(int[] order, int depth) {
-        for (int e = 0; e < EVENTS.length && depth < DEEP; e++) {
-            order[depth] = e;
-            walk(order, depth + 1);
+    private void checkAllFrom(int[] sequence, int depth) {
+        for (int event = 0; event < EVENTS.length && depth < EVENTS_PER_SEQUENCE; event++) {
+            sequence[depth] = event;
+            checkAllFrom(sequence, depth + 1);
         }
-        if (depth == DEEP) {
-            orders++;
-            check(order);
+        if (depth == EVENTS_PER_SEQUENCE) {
+            sequences++;
+            check(sequence);
         }
     }
 
-    private void check(int[] order) {
-        Pool pool = new Pool(BOUNDS, 0.85, 0.7, LISTED);
+    private void check(int[] sequence) {
+        Pool pool = new Pool(THRESHOLDS, 0.85, 0.7, CUT_OFF_AFTER_SECONDS);
         double now = 0;
-        double backAt = Double.NEGATIVE_INFINITY;
-        for (int e : order) {
-            tell(pool, EVENTS[e]);
-            boolean wasDark = pool.dark();
-            pool.judge(now);
-            seen.add(pool.condition());
-            if (wasDark && !pool.dark()) {
-                backAt = now;
+        double recoveredAt = Double.NEGATIVE_INFINITY;
+        for (int event : sequence) {
+            applyEvent(pool, EVENTS[event]);
+            boolean wasUnavailable = pool.isUnavailable();
+            pool.evaluate(now);
+            conditionsSeen.add(pool.condition());
+            if (wasUnavailable && !pool.isUnavailable()) {
+                recoveredAt = now;
             }
-            now += EVENTS[e][3];
-            pool.judge(now);
-            Pool.Condition is = pool.condition();
-            seen.add(is);
+            now += EVENTS[event][3];
+            pool.evaluate(now);
+            Pool.Condition condition = pool.condition();
+            conditionsSeen.add(condition);
             boolean unlisted = pool.running == 0;
             assertEquals(
-                    pool.dark(),
+                    pool.isUnavailable(),
                     EnumSet.of(Pool.Condition.DARK, Pool.Condition.CUT_OFF, Pool.Condition.UNLISTED)
-                            .contains(is),
-                    () -> Arrays.toString(order));
-            assertTrue(is != Pool.Condition.UNLISTED || unlisted, () -> Arrays.toString(order));
+                            .contains(condition),
+                    () -> Arrays.toString(sequence));
             assertTrue(
-                    is != Pool.Condition.CUT_OFF || now - pool.since() >= LISTED,
-                    () -> Arrays.toString(order));
+                    condition != Pool.Condition.UNLISTED || unlisted,
+                    () -> Arrays.toString(sequence));
             assertTrue(
-                    is != Pool.Condition.OVERLOADED || pool.meanLoad() > 0.7,
-                    () -> Arrays.toString(order));
-            // Sound or overloaded again only after a whole calm since it was dark.
+                    condition != Pool.Condition.CUT_OFF
+                            || now - pool.since() >= CUT_OFF_AFTER_SECONDS,
+                    () -> Arrays.toString(sequence));
             assertTrue(
-                    !EnumSet.of(Pool.Condition.SOUND, Pool.Condition.OVERLOADED).contains(is)
-                            || now - backAt >= BOUNDS.calmSeconds() - 1e-9,
-                    () -> Arrays.toString(order));
+                    condition != Pool.Condition.OVERLOADED || pool.meanLoad() > 0.7,
+                    () -> Arrays.toString(sequence));
+            // Healthy or overloaded again only after a whole calm period since it was unavailable.
+            assertTrue(
+                    !EnumSet.of(Pool.Condition.SOUND, Pool.Condition.OVERLOADED).contains(condition)
+                            || now - recoveredAt >= THRESHOLDS.calmSeconds() - 1e-9,
+                    () -> Arrays.toString(sequence));
         }
-        for (double[] end : new double[][] {{4, 0, 0.3}, {4, 0, 0.95}, {4, 4, 0}, {0, 0, 0}}) {
-            tell(pool, end);
+        for (double[] finalEvent :
+                new double[][] {{4, 0, 0.3}, {4, 0, 0.95}, {4, 4, 0}, {0, 0, 0}}) {
+            applyEvent(pool, finalEvent);
             for (int i = 0; i < 3; i++) {
-                now += BOUNDS.calmSeconds() * (1 << TIMES_DOUBLED);
-                pool.judge(now);
+                now += THRESHOLDS.calmSeconds() * (1 << MAX_CALM_DOUBLINGS);
+                pool.evaluate(now);
             }
-            Pool.Condition is = pool.condition();
+            Pool.Condition condition = pool.condition();
             assertEquals(
-                    end[0] == 0
+                    finalEvent[0] == 0
                             ? Pool.Condition.UNLISTED
-                            : end[1] > 0
+                            : finalEvent[1] > 0
                                     ? Pool.Condition.CUT_OFF
-                                    : end[2] > 0.9
+                                    : finalEvent[2] > 0.9
                                             ? Pool.Condition.OVERLOADED
                                             : Pool.Condition.SOUND,
-                    is,
-                    () -> Arrays.toString(order));
+                    condition,
+                    () -> Arrays.toString(sequence));
         }
     }
 }
