--- a/bench/src/main/java/asterpulley/bench/DecisionBenchmark.java
+++ b/bench/src/main/java/asterpulley/bench/DecisionBenchmark.java
@@ -37,6 +37,7 @@
         value = 2,
         jvmArgs = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx1g"})
 public class DecisionBenchmark {
+    /** Hosts the decision module, with pool routing if {@code router} is not null. */
     private static final class BenchmarkHost implements Frontend {
         private final PoolRouter router;
         private double now = 1000;
@@ -46,13 +47,13 @@
         }
 
         @Override
-        public boolean isEligible(LoadBalancer.Tunnel tun, int server, String ep) {
-            return router == null || router.mayUse(tun.id, server, ep, now);
+        public boolean isEligible(LoadBalancer.Tunnel tunnel, int serverNumber, String serverName) {
+            return router == null || router.mayUse(tunnel.id, serverNumber, serverName, now);
         }
 
         @Override
-        public boolean widenSelection(LoadBalancer.Tunnel tun) {
-            return router != null && router.advanceTier(tun.id, now);
+        public boolean widenSelection(LoadBalancer.Tunnel tunnel) {
+            return router != null && router.advanceTier(tunnel.id, now);
         }
 
         @Override
@@ -61,30 +62,30 @@
         }
 
         @Override
-        public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
+        public void sendSetup(LoadBalancer.Tunnel tunnel, String serverName, double timeout) {
             // The benchmark opens the tunnel itself.
             if (router != null) {
-                router.setupStarted(tun.id, ep, now);
+                router.setupStarted(tunnel.id, serverName, now);
             }
         }
 
         @Override
-        public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
+        public void decline(LoadBalancer.Tunnel tunnel, double retryAfter) {
             throw new IllegalStateException("declined: the benchmark measures decisions with room");
         }
 
         @Override
-        public void closeWithError(LoadBalancer.Tunnel tun) {
+        public void closeWithError(LoadBalancer.Tunnel tunnel) {
             throw new IllegalStateException("closed with error");
         }
 
         @Override
-        public void move(LoadBalancer.Tunnel tun) {
+        public void move(LoadBalancer.Tunnel tunnel) {
             // No server is crowded here.
         }
 
         @Override
-        public void probe(String ep) {
+        public void probe(String serverName) {
             // The benchmark supplies the reports.
         }
 
@@ -118,11 +119,11 @@
 
     private BenchmarkHost host;
     private PoolRouter router;
-    private LoadBalancer balance;
+    private LoadBalancer balancer;
     private LoadReport report;
     private long lastId;
 
-    /** Creates a new decision module with its servers listed and a load report from each. */
+    /** Creates a new decision module with its servers entries and a load report from each. */
     @Setup(Level.Iteration)
     public void setUpFleet() {
         RoutingPolicy policy = new RoutingPolicy();
@@ -135,10 +136,10 @@
         Settings settings = new Settings();
         settings.profiles.add(new Settings.Profile());
         settings.probesAllowed = true;
-        balance = new LoadBalancer(settings, 1, host);
-        List<ServerEntry> listed = new ArrayList<>();
+        balancer = new LoadBalancer(settings, 1, host);
+        List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            listed.add(
+            entries.add(
                     new ServerEntry(
                             "s" + i,
                             i % POOL_COUNT,
@@ -148,9 +149,9 @@
                             Double.NEGATIVE_INFINITY));
         }
         settings.crossZoneFee = 0.02;
-        balance.onServerList(listed, true);
+        balancer.onServerList(entries, true);
         if (router != null) {
-            router.updateServerList(listed, true, host.now);
+            router.updateServerList(entries, true, host.now);
         }
         report = new LoadReport();
         report.load = 0.3;
@@ -158,7 +159,7 @@
             reportLoad(i);
         }
         for (int i = 0; rooms.equals("dark") && i < servers; i += POOL_COUNT) {
-            balance.onProbeResult("s" + i, Outcome.TIMED_OUT, new LoadReport());
+            balancer.onProbeResult("s" + i, Outcome.TIMED_OUT, new LoadReport());
             router.probeFinished("s" + i, Outcome.TIMED_OUT, new LoadReport(), host.now);
         }
         if (rooms.equals("dark")) {
@@ -172,7 +173,7 @@
         if (router != null) {
             router.tunnelAccepted(lastId + 1, 0, null, host.now);
         }
-        LoadBalancer.Tunnel tunnel = balance.openTunnel(++lastId, 0, 0, null, null, 2, false);
+        LoadBalancer.Tunnel tunnel = balancer.openTunnel(++lastId, 0, 0, null, null, 2, false);
         if (router != null) {
             router.tunnelOpened(lastId, host.now);
         }
@@ -194,7 +195,7 @@
         if (router != null) {
             router.probeFinished("s" + server, Outcome.OK, report, host.now);
         }
-        balance.onProbeResult("s" + server, Outcome.OK, report);
+        balancer.onProbeResult("s" + server, Outcome.OK, report);
     }
 
     @Benchmark
@@ -202,6 +203,6 @@
         if (router != null) {
             router.tick(host.now);
         }
-        balance.onTimer(0);
+        balancer.onTimer(0);
     }
 }
--- a/bench/src/main/java/asterpulley/bench/SizeCost.java
+++ b/bench/src/main/java/asterpulley/bench/SizeCost.java
@@ -48,28 +48,28 @@
         }
 
         @Override
-        public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
-            startedSetups.add(tun);
+        public void sendSetup(LoadBalancer.Tunnel tunnel, String serverName, double timeout) {
+            startedSetups.add(tunnel);
         }
 
         @Override
-        public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
+        public void decline(LoadBalancer.Tunnel tunnel, double retryAfter) {
             declined++;
         }
 
         @Override
-        public void closeWithError(LoadBalancer.Tunnel tun) {
+        public void closeWithError(LoadBalancer.Tunnel tunnel) {
             throw new IllegalStateException("closed with error");
         }
 
         @Override
-        public void move(LoadBalancer.Tunnel tun) {
-            throw new IllegalStateException("nobody is crowded here");
+        public void move(LoadBalancer.Tunnel tunnel) {
+            throw new IllegalStateException("no server is crowded here");
         }
 
         @Override
-        public void probe(String ep) {
-            probedServers.add(ep);
+        public void probe(String serverName) {
+            probedServers.add(serverName);
             probes++;
         }
 
@@ -89,6 +89,7 @@
         }
     }
 
+    /** A whole server list as JSON, in the form in which relays read it. */
     static String listJson(int entries) {
         List<Object> hosts = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
@@ -138,6 +139,7 @@
         return newBalancer(servers, groups, host, 0);
     }
 
+    /** A decision module with its server list, among {@link #RELAYS} relays. */
     static LoadBalancer newBalancer(
             int servers, boolean groups, CountingHost host, double probeFee) {
         Settings settings = new Settings();
@@ -146,14 +148,14 @@
         settings.groupsShareWork = groups;
         settings.relayCount = RELAYS;
         settings.probeFee = probeFee;
-        LoadBalancer balance = new LoadBalancer(settings, 1, host);
-        balance.onServerList(listedServers(servers), true);
-        return balance;
+        LoadBalancer balancer = new LoadBalancer(settings, 1, host);
+        balancer.onServerList(listedServers(servers), true);
+        return balancer;
     }
 
     /**
-     * Heap bytes in use after several collections: the serial collector compacts only every fourth
-     * time and otherwise leaves some dead objects in place.
+     * Heap bytes in use after several collections: the serial collector compacts fully only every
+     * fourth time and otherwise leaves some dead objects in place.
      */
     static long usedHeapBytes() {
         Runtime runtime = Runtime.getRuntime();
@@ -165,6 +167,7 @@
         return least;
     }
 
+    /** Bytes that this thread has allocated so far. */
     static long allocatedBytes() {
         return ((com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean())
                 .getThreadAllocatedBytes(Thread.currentThread().getId());
@@ -175,7 +178,7 @@
      * tunnel each.
      */
     static double bytesPerGroup(int servers, int groups) {
-        LoadBalancer balance = newBalancer(servers, true, new CountingHost());
+        LoadBalancer balancer = newBalancer(servers, true, new CountingHost());
         List<LoadBalancer.Tunnel> tunnels = new ArrayList<>();
         long before = usedHeapBytes();
         for (int groupIndex = 0; groupIndex < groups; groupIndex++) {
@@ -183,11 +186,11 @@
             // As after a restart: the tunnel is open where it was before, and a second one of its
             // group would be placed by the module.
             tunnels.add(
-                    balance.restoreTunnel(
+                    balancer.restoreTunnel(
                             2L * groupIndex, 0, 0, group, null, "feed-" + groupIndex % servers));
         }
         double usedBytes = usedHeapBytes() - before;
-        balance.hashCode();
+        balancer.hashCode();
         tunnels.size();
         return usedBytes / groups;
     }
@@ -195,14 +198,14 @@
     /** A decision module that has just received a light load report from every server. */
     private static LoadBalancer balancerWithReports(
             int servers, boolean groups, CountingHost host) {
-        LoadBalancer balance = newBalancer(servers, groups, host);
+        LoadBalancer balancer = newBalancer(servers, groups, host);
         LoadReport report = new LoadReport();
         report.load = 0.3;
         report.openTunnels = 1_000;
         for (int server = 0; server < servers; server++) {
-            balance.onProbeResult("feed-" + server, Outcome.OK, report);
+            balancer.onProbeResult("feed-" + server, Outcome.OK, report);
         }
-        return balance;
+        return balancer;
     }
 
     /**
@@ -211,12 +214,12 @@
      */
     static double[] bytesPerPlacedGroup(int servers, int groups) {
         CountingHost host = new CountingHost();
-        LoadBalancer balance = balancerWithReports(servers, true, host);
+        LoadBalancer balancer = balancerWithReports(servers, true, host);
         List<LoadBalancer.Tunnel> tunnels = new ArrayList<>();
         long before = usedHeapBytes();
         for (int groupIndex = 0; groupIndex < groups; groupIndex++) {
             LoadBalancer.Tunnel tunnel =
-                    balance.openTunnel(groupIndex, 0, 0, "topic-" + groupIndex, null, 2, false);
+                    balancer.openTunnel(groupIndex, 0, 0, "topic-" + groupIndex, null, 2, false);
             if (host.startedSetups.poll() != null) {
                 tunnel.onOpened(0, 0.02);
                 tunnels.add(tunnel);
@@ -230,7 +233,7 @@
         tunnels.forEach(tunnel -> tunnel.onEnded(0, Outcome.OK, 0, true));
         tunnels.clear();
         double endedBytes = usedHeapBytes() - before;
-        balance.hashCode();
+        balancer.hashCode();
         return new double[] {placedBytes / groups, endedBytes / groups};
     }
 
@@ -240,9 +243,9 @@
      */
     static int immediateSetups(int servers, int tunnels) {
         CountingHost host = new CountingHost();
-        LoadBalancer balance = balancerWithReports(servers, false, host);
+        LoadBalancer balancer = balancerWithReports(servers, false, host);
         for (int i = 0; i < tunnels; i++) {
-            balance.openTunnel(i, 0, 0, null, null, 2, false);
+            balancer.openTunnel(i, 0, 0, null, null, 2, false);
         }
         return host.startedSetups.size();
     }
@@ -255,10 +258,10 @@
     static double[] controlCost(
             int servers, int usedServers, double probeFee, double setupsPerSecond, double seconds) {
         CountingHost host = new CountingHost();
-        LoadBalancer balance = newBalancer(servers, false, host, probeFee);
+        LoadBalancer balancer = newBalancer(servers, false, host, probeFee);
         List<LoadBalancer.Tunnel> tunnels = new ArrayList<>();
         for (int server = 0; server < usedServers; server++) {
-            tunnels.add(balance.restoreTunnel(server, 0, 0, null, null, "feed-" + server));
+            tunnels.add(balancer.restoreTunnel(server, 0, 0, null, null, "feed-" + server));
         }
         LoadReport report = new LoadReport();
         report.load = 0.3;
@@ -280,9 +283,9 @@
             }
             long start = System.nanoTime();
             for (int remaining = host.probedServers.size(); remaining > 0; remaining--) {
-                balance.onProbeResult(host.probedServers.poll(), Outcome.OK, report);
+                balancer.onProbeResult(host.probedServers.poll(), Outcome.OK, report);
             }
-            balance.onTimer(0);
+            balancer.onTimer(0);
             controlNanos += System.nanoTime() - start;
             for (LoadBalancer.Tunnel tunnel = host.startedSetups.poll();
                     tunnel != null;
@@ -291,7 +294,7 @@
                 tunnel.onEnded(0, Outcome.OK, 0, true);
             }
             for (setupsDue += setupsPerSecond * TICK_SECONDS; setupsDue >= 1; setupsDue--) {
-                balance.openTunnel(++lastId, 0, 0, null, null, 2, false);
+                balancer.openTunnel(++lastId, 0, 0, null, null, 2, false);
             }
         }
         tunnels.size();
@@ -371,9 +374,9 @@
         for (int servers : new int[] {100, 1_000, 4_000, 10_000, 100_000}) {
             List<ServerEntry> listed = listedServers(servers);
             long before = usedHeapBytes();
-            LoadBalancer balance = newBalancer(servers, false, new CountingHost());
+            LoadBalancer balancer = newBalancer(servers, false, new CountingHost());
             long bytes = usedHeapBytes() - before;
-            balance.hashCode();
+            balancer.hashCode();
             listed.size();
             System.out.printf(
                     Locale.ROOT,
--- a/cli/src/main/java/asterpulley/cli/LabCommand.java
+++ b/cli/src/main/java/asterpulley/cli/LabCommand.java
@@ -473,9 +473,9 @@
                         spec.commandLine(),
                         "this would take "
                                 + Math.round(order.length())
-                                + " s; more than "
+                                + " s; split what takes more than "
                                 + Math.round(MAX_SECONDS)
-                                + " s are to be several runs");
+                                + " s into several runs");
             }
             Map<String, Object> figures = Deliveries.measure(order, System.out);
             if (json != null) {
--- a/cli/src/main/java/asterpulley/cli/RelayFileReader.java
+++ b/cli/src/main/java/asterpulley/cli/RelayFileReader.java
@@ -142,7 +142,7 @@
         for (TomlSection section : root.sections("server")) {
             String name = section.require("name", "dial").text("name", "");
             if (!names.add(name)) {
-                section.reportProblem("name", "'" + name + "' is there twice", null);
+                section.reportProblem("name", "'" + name + "' is used twice", null);
             }
             String zone = section.text("zone", String.valueOf(zones.get(0)));
             if (!zones.contains(zone)) {
--- a/cli/src/main/java/asterpulley/cli/RoutesCommand.java
+++ b/cli/src/main/java/asterpulley/cli/RoutesCommand.java
@@ -39,6 +39,9 @@
     /** Time of the trial: the decision module takes times at and before 0 for never. */
     private static final double NOW = 1e6;
 
+    /** Unanswered probes after which the decision module regards a server as silent. */
+    private static final int PROBES_TO_SILENCE = 3;
+
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
@@ -100,7 +103,8 @@
                 return Main.BAD_INPUT;
             }
             if (configuration.get("routes") == null) {
-                throw new IOException(file + ": says nothing of pools: there is no [spill]");
+                throw new IOException(
+                        file + ": has no [spill], so there is no pool routing to explain");
             }
             Map<String, Object> settings = Json.objectOrEmpty(configuration, "settings");
             int profileIndex = indexOf(settings, "profiles", profile, "--client");
@@ -134,7 +138,7 @@
                         option
                                 + ": '"
                                 + name
-                                + "' stands in no "
+                                + "' is in no "
                                 + "[["
                                 + (list.equals("tenants") ? "customer" : "profile")
                                 + "]] of "
@@ -165,7 +169,7 @@
                     }
                 } catch (JsonProcessingException e) {
                     throw new IOException(
-                            file + ":" + (i + 1) + ": this state is cut off or no JSON");
+                            file + ":" + (i + 1) + ": this state is cut off or not JSON");
                 }
             }
             try {
@@ -207,15 +211,16 @@
         }
 
         private void print(RoutingPolicy policy, boolean again, long seed) {
-            LoadBalancer balance = new LoadBalancer(settings, seed, this);
-            balance.onServerList(router.listedServers(state, NOW), true);
+            LoadBalancer balancer = new LoadBalancer(settings, seed, this);
+            balancer.onServerList(router.listedServers(state, NOW), true);
             for (Map<?, ?> server : servers()) {
                 LoadReport report = new LoadReport();
                 report.load =
                         server.get("load") instanceof Number load ? load.doubleValue() : Double.NaN;
-                // Three unanswered probes make the decision module regard the server as silent.
-                for (int i = 0; i < (Boolean.TRUE.equals(server.get("silent")) ? 3 : 1); i++) {
-                    balance.onProbeResult(
+                for (int i = 0;
+                        i < (Boolean.TRUE.equals(server.get("silent")) ? PROBES_TO_SILENCE : 1);
+                        i++) {
+                    balancer.onProbeResult(
                             name(server),
                             Boolean.TRUE.equals(server.get("silent"))
                                     ? Outcome.TIMED_OUT
@@ -224,12 +229,12 @@
                 }
             }
             // The budgets of cold servers fill with each tick. Open tunnels are not known here.
-            balance.onTimer(0);
+            balancer.onTimer(0);
             router.tunnelAccepted(1, profile, null, NOW);
             if (again) {
                 router.countFailedSetup(1);
             }
-            balance.openTunnel(1, profile, customer, null, null, 0, false);
+            balancer.openTunnel(1, profile, customer, null, null, 0, false);
             for (Object pool : Json.list(state, "pools")) {
                 printPool(Json.object(pool, "a pool"), policy);
             }
@@ -311,23 +316,24 @@
         }
 
         @Override
-        public boolean isEligible(LoadBalancer.Tunnel tun, int server, String ep) {
-            return router.mayUse(tun.id, server, ep, NOW);
+        public boolean isEligible(LoadBalancer.Tunnel tunnel, int serverNumber, String serverName) {
+            return router.mayUse(tunnel.id, serverNumber, serverName, NOW);
         }
 
         @Override
-        public boolean widenSelection(LoadBalancer.Tunnel tun) {
-            return router.advanceTier(tun.id, NOW);
+        public boolean widenSelection(LoadBalancer.Tunnel tunnel) {
+            return router.advanceTier(tunnel.id, NOW);
         }
 
         @Override
-        public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
-            chosenServer = ep;
-            result = "a setup to " + ep + ", given up after " + Tables.plain(timeout) + " s";
+        public void sendSetup(LoadBalancer.Tunnel tunnel, String serverName, double timeout) {
+            chosenServer = serverName;
+            result =
+                    "a setup to " + serverName + ", given up after " + Tables.plain(timeout) + " s";
         }
 
         @Override
-        public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
+        public void decline(LoadBalancer.Tunnel tunnel, double retryAfter) {
             result =
                     "declined"
                             + (retryAfter > 0
@@ -336,17 +342,17 @@
         }
 
         @Override
-        public void closeWithError(LoadBalancer.Tunnel tun) {
+        public void closeWithError(LoadBalancer.Tunnel tunnel) {
             result = "closed with error";
         }
 
         @Override
-        public void move(LoadBalancer.Tunnel tun) {
+        public void move(LoadBalancer.Tunnel tunnel) {
             // There are no open tunnels here.
         }
 
         @Override
-        public void probe(String ep) {
+        public void probe(String serverName) {
             // All known reports were passed in before.
         }
 
--- a/cli/src/test/java/asterpulley/cli/CommandTest.java
+++ b/cli/src/test/java/asterpulley/cli/CommandTest.java
@@ -120,15 +120,15 @@
                         "listen = \"nowhere\"\nnmae = \"x\"\n[limits]\nmemory_mb = 3\n"
                                 + "[[server]]\nname = \"a\"\ndial = \"127.0.0.1:1\"\nzone = \"c\"\n[[profile]]\neffect = \"twice\"\n");
         assertEquals(1, run("check", wrong));
-        for (String told :
+        for (String problem :
                 List.of(
                         ":1: listen: 'nowhere' is not",
-                        ":2: nmae: is no key here; do you mean name?",
+                        ":2: nmae: is not a known key; did you mean name?",
                         ":4: limits.memory_mb: 3 is not between",
                         ":8: server[0].zone: 'c' is none",
                         ":9: profile[0].name: is missing",
                         ":10: profile[0].effect: 'twice' is none")) {
-            assertTrue(out.contains(told), told + " in " + out);
+            assertTrue(out.contains(problem), problem + " in " + out);
         }
         assertEquals(1, run("serve", "--config", wrong));
         assertTrue(out.contains("limits.memory_mb"), out);
@@ -155,7 +155,7 @@
                         file("r.toml", relay + "[settings]\nservice = \"there\"\nservcie = 1\n")));
         assertTrue(
                 out.contains(":8: settings.service: 'there' is not an address")
-                        && out.contains(":9: settings.servcie: is no key"),
+                        && out.contains(":9: settings.servcie: is not a known key"),
                 out);
     }
 
@@ -453,7 +453,7 @@
                 spare = ["nobody"]
                 """)),
                 out);
-        for (String said :
+        for (String problem :
                 new String[] {
                     ":6: spill.share",
                     ":8: spill.keep.storm",
@@ -462,7 +462,7 @@
                     ":13: pools.prefer.west",
                     ":15: return.spare"
                 }) {
-            assertTrue(out.contains(said), said + " not in " + out);
+            assertTrue(out.contains(problem), problem + " not in " + out);
         }
         assertEquals(
                 1,
@@ -471,7 +471,7 @@
                         file(
                                 "alone.toml",
                                 "listen=\"127.0.0.1:0\"\n[[profile]]\nname=\"live\"\n[return]\n")));
-        assertTrue(out.contains("needs [spill]"), out);
+        assertTrue(out.contains("needs [spill]: without it"), out);
     }
 
     private static String relayFile(ServerSocket server) {
--- a/files/src/main/java/asterpulley/files/PoolsReader.java
+++ b/files/src/main/java/asterpulley/files/PoolsReader.java
@@ -15,7 +15,8 @@
  * with one is reported.
  */
 public final class PoolsReader {
-    private static final double MAX_SECONDS = 1e5, MAX_LOAD = 1e7;
+    private static final double MAX_SECONDS = 1e5, MAX_LOAD_OR_RATE = 1e7;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private PoolsReader() {}
 
@@ -70,15 +71,15 @@
                         overloadEnterLoad - 0.01));
         config.put("listed_s", pools.number("listed_s", 6, 0, MAX_SECONDS));
         config.put("share", spill.number("share", 0.2, 0, 1));
-        config.put("rate_per_s", spill.number("rate_per_s", 0, 0, MAX_LOAD));
-        config.put("holds", spill.number("holds", serverCapacity, 1, MAX_LOAD));
+        config.put("rate_per_s", spill.number("rate_per_s", 0, 0, MAX_LOAD_OR_RATE));
+        config.put("holds", spill.number("holds", serverCapacity, 1, MAX_LOAD_OR_RATE));
         config.put("below", spill.number("below", 0.75, 0.01, 10));
         config.put("guests_kept", readReservedShares(spill.section("keep"), profiles, 1));
         config.put("kept", readReservedShares(root.section("keep"), profiles, 0.7));
         if (root.has("retries")) {
             TomlSection retries = root.section("retries");
             config.put("retry_share", retries.number("share", 0.2, 0, 100));
-            config.put("retry_least_per_s", retries.number("least_per_s", 1, 0, MAX_LOAD));
+            config.put("retry_least_per_s", retries.number("least_per_s", 1, 0, MAX_LOAD_OR_RATE));
         }
         if (root.has("return")) {
             double share = failback.number("share_per_s", 0.02, 0, 1);
@@ -95,13 +96,13 @@
         }
         for (String dependent : List.of("return", "keep", "retries", "pools")) {
             if (root.has(dependent)) {
-                root.reportProblem(
-                        dependent, "needs [spill]: without it nothing is asked of pools", null);
+                root.reportProblem(dependent, "needs [spill]: without it pools are not used", null);
             }
         }
         return null;
     }
 
+    /** For each pool, the indexes of the other pools in order of preference. */
     private static List<Object> readPreferences(TomlSection section, List<String> names) {
         List<Object> preferences = new ArrayList<>();
         for (String pool : names) {
@@ -111,7 +112,7 @@
                 int otherIndex = names.indexOf(other);
                 if (otherIndex < 0 || other.equals(pool) || !seen.add(otherIndex)) {
                     section.reportProblem(
-                            pool, "'" + other + "' names no other pool, or one twice", null);
+                            pool, "'" + other + "' is not another pool, or is named twice", null);
                 } else {
                     preferred.add(otherIndex);
                 }
@@ -122,6 +123,7 @@
         return preferences;
     }
 
+    /** Shares by profile, whose sum must not exceed {@code max}. */
     private static Map<String, Object> readReservedShares(
             TomlSection section, List<String> profiles, double max) {
         Map<String, Object> shares = new LinkedHashMap<>();
@@ -131,10 +133,10 @@
                 "names no profile",
                 (name, table) -> shares.put(name, table.number(name, 0, 0, max)));
         double sum = shares.values().stream().mapToDouble(v -> (Double) v).sum();
-        if (sum > max + 1e-9) {
+        if (sum > max + ROUNDING_TOLERANCE) {
             section.reportProblem(
                     section.keys().get(0),
-                    "all that is kept makes " + sum + ", and at most " + max + " can be",
+                    "reserved shares add up to " + sum + ", and at most " + max + " is allowed",
                     null);
         }
         return shares;
--- a/files/src/main/java/asterpulley/files/TomlDocument.java
+++ b/files/src/main/java/asterpulley/files/TomlDocument.java
@@ -37,14 +37,17 @@
         root = new TomlSection(this, toml, List.of(), null);
     }
 
+    /** Reads and parses a file. Syntax errors are problems of the document. */
     public static TomlDocument read(Path file) throws IOException {
         return new TomlDocument(file.toString(), Toml.parse(Files.readString(file)));
     }
 
+    /** Parses a text; {@code name} stands for the file in problems. */
     public static TomlDocument parse(String name, String text) {
         return new TomlDocument(name, Toml.parse(text));
     }
 
+    /** The top-level table. */
     public TomlSection root() {
         return root;
     }
--- a/files/src/main/java/asterpulley/files/TomlSection.java
+++ b/files/src/main/java/asterpulley/files/TomlSection.java
@@ -30,6 +30,7 @@
         document.register(this);
     }
 
+    /** Whether the key is there; from then on it counts as known. */
     public boolean has(String key) {
         requestedKeys.add(key);
         return table.contains(List.of(key));
@@ -45,6 +46,7 @@
         return this;
     }
 
+    /** A string. */
     public String text(String key, String fallback) {
         Object value = value(key);
         if (value == null) {
@@ -63,6 +65,7 @@
                         key, "'" + value + "' is none of " + String.join(", ", choices), fallback);
     }
 
+    /** A number from {@code min} to {@code max}. */
     public double number(String key, double fallback, double min, double max) {
         Object value = value(key);
         if (value == null) {
@@ -84,6 +87,7 @@
                         fallback);
     }
 
+    /** A whole number from {@code min} to {@code max}. */
     public int integer(String key, int fallback, int min, int max) {
         Object value = value(key);
         if (value == null) {
@@ -97,6 +101,7 @@
                 : reportProblem(key, number + " is not between " + min + " and " + max, fallback);
     }
 
+    /** A boolean. */
     public boolean flag(String key, boolean fallback) {
         Object value = value(key);
         if (value == null) {
@@ -177,10 +182,12 @@
         return fallback;
     }
 
+    /** The path of this table in the file; empty for the root. */
     public String path() {
         return String.join(".", path);
     }
 
+    /** Passes the line and the message of each key that nothing has asked for. */
     void reportUnknownKeys(BiConsumer<Integer, String> report) {
         for (String key : table.keySet()) {
             if (!requestedKeys.contains(key)) {
@@ -189,11 +196,12 @@
                 report.accept(
                         line,
                         document.formatProblem(
-                                line, fullPath(key), "is no key here" + suggestion(key)));
+                                line, fullPath(key), "is not a known key" + suggestion(key)));
             }
         }
     }
 
+    /** The closest known key if one is close enough, else all of them. */
     private String suggestion(String key) {
         String closest = null;
         int bestDistance = Math.max(2, key.length() / 3) + 1;
@@ -205,8 +213,8 @@
             }
         }
         return closest != null
-                ? "; do you mean " + closest + "?"
-                : "; known are " + String.join(", ", requestedKeys);
+                ? "; did you mean " + closest + "?"
+                : "; known keys are " + String.join(", ", requestedKeys);
     }
 
     /** The Levenshtein distance of two keys. */
@@ -232,6 +240,7 @@
         return table.get(List.of(key));
     }
 
+    /** The position of a key in the file, or that of the table if it is missing. */
     private TomlPosition positionOf(String key) {
         TomlPosition keyPosition =
                 table.contains(List.of(key)) ? table.inputPositionOf(List.of(key)) : null;
--- a/files/src/test/java/asterpulley/files/TomlDocumentTest.java
+++ b/files/src/test/java/asterpulley/files/TomlDocumentTest.java
@@ -39,7 +39,7 @@
                         "f.toml:1: rate: 11 is not between 0 and 10",
                         "f.toml:2: count: is not a whole number",
                         "f.toml:3: kind: 'c' is none of a, b",
-                        "f.toml:4: zonse: is no key here; do you mean zones?",
+                        "f.toml:4: zonse: is not a known key; did you mean zones?",
                         "f.toml:5: on: is neither true nor false",
                         "f.toml:6: server[0].dial: is missing",
                         "f.toml:8: server[0].warm.up_s: is not a number",
--- a/routes/src/main/java/asterpulley/routes/Pool.java
+++ b/routes/src/main/java/asterpulley/routes/Pool.java
@@ -100,6 +100,7 @@
         condition = restored;
     }
 
+    /** The condition as of the last evaluation. */
     public Condition condition() {
         return condition;
     }
@@ -120,6 +121,7 @@
         return health.isUnavailable() || health.recoveredWithin(warmUpSeconds, now);
     }
 
+    /** Whether the pool is recovering after an earlier recovery that proved false. */
     boolean isFlapping() {
         return health.isFlapping();
     }
--- a/routes/src/main/java/asterpulley/routes/PoolHealth.java
+++ b/routes/src/main/java/asterpulley/routes/PoolHealth.java
@@ -36,7 +36,7 @@
                     && calmSeconds > 0
                     && maxCalmSeconds >= calmSeconds)) {
                 throw new IllegalArgumentException(
-                        "leave < enter, and a calm between 0 and the longest");
+                        "exit share below enter share, and a calm above 0 and up to the longest");
             }
         }
     }
--- a/routes/src/main/java/asterpulley/routes/PoolRouter.java
+++ b/routes/src/main/java/asterpulley/routes/PoolRouter.java
@@ -96,6 +96,9 @@
 
     // ---- Server list and probes
 
+    /**
+     * Takes a server list, or changes to it. {@code whole}: servers that it does not name are gone.
+     */
     public void updateServerList(List<ServerEntry> servers, boolean whole, double now) {
         boolean[] named = new boolean[serverNames.size() + servers.size()];
         for (ServerEntry server : servers) {
@@ -132,6 +135,7 @@
         }
     }
 
+    /** Records the outcome of a load probe; servers that no list named are ignored. */
     public void probeFinished(String server, Outcome outcome, LoadReport report, double now) {
         Integer serverIndex = indexByName.get(server);
         if (serverIndex == null) {
@@ -150,6 +154,7 @@
 
     // ---- Tunnels
 
+    /** Adds a tunnel that a client asks for. {@code key} identifies the client, or is null. */
     public void tunnelAccepted(long id, int profile, String key, double now) {
         RoutedTunnel tunnel = new RoutedTunnel(profile, key);
         tunnel.tier = table.initialTier(profile, expectedLoad(profile), now);
@@ -213,6 +218,7 @@
         return verdict(id, indexByModuleNumber[moduleNumber], now) == RouteVerdict.OPEN;
     }
 
+    /** Whether this tunnel may use that server now and, if not, why. */
     public RouteVerdict verdict(long id, String server, double now) {
         return verdict(id, indexByName.getOrDefault(server, -1), now);
     }
@@ -278,15 +284,16 @@
         if (spentNow != retryBudgetSpent) {
             retryBudgetSpent = spentNow;
             log.accept(
-                    "further setups "
+                    "retry budget "
                             + (spentNow
-                                    ? "spent: tunnels that failed once are given up"
-                                    : "to be had again")
+                                    ? "spent: tunnels whose setup failed are given up"
+                                    : "available again")
                             + ", tunnels "
                             + tunnels.size());
         }
     }
 
+    /** Records that a setup of this tunnel is sent to that server. */
     public void setupStarted(long id, String server, double now) {
         RoutedTunnel tunnel = find(id);
         Integer serverIndex = indexByName.get(server);
@@ -314,11 +321,12 @@
                                 + table.pool(table.policy().homePool).condition().text()
                                 + ", at most "
                                 + Math.round(table.spillLimit(pool).maxLoad())
-                                + " mean loads from here");
+                                + " mean loads from this relay");
             }
         }
     }
 
+    /** Records that the last setup of this tunnel has opened it. */
     public void tunnelOpened(long id, double now) {
         RoutedTunnel tunnel = find(id);
         if (tunnel != null && tunnel.serverIndex >= 0) {
@@ -438,11 +446,11 @@
         if (failbackActive != (failbackRate > 0 && !spilledTunnelIds.isEmpty())) {
             failbackActive = !failbackActive;
             log.accept(
-                    "way back "
+                    "failback "
                             + (failbackActive ? "begins" : "ends")
-                            + ", guests "
+                            + ", spilled tunnels "
                             + spilledTunnelIds.size()
-                            + ", home bears "
+                            + ", home takes "
                             + Math.round(failbackRate * 100) / 100.0
                             + " mean loads a second, sent home "
                             + failbackCount);
@@ -474,6 +482,7 @@
                         && surgeDetector(profile, now).isActive(now);
     }
 
+    /** The present condition of a pool. */
     public Pool.Condition condition(int pool) {
         return table.pool(pool).condition();
     }
@@ -483,6 +492,7 @@
         return table.spillLimit(pool).spilledLoad();
     }
 
+    /** Number of tunnels that are not closed yet. */
     public int tunnelCount() {
         return tunnels.size();
     }
--- a/routes/src/main/java/asterpulley/routes/RetryBudget.java
+++ b/routes/src/main/java/asterpulley/routes/RetryBudget.java
@@ -18,6 +18,7 @@
         refilledAt = now;
     }
 
+    /** Changes the limits; what is saved up above the new capacity is lost. */
     public void reconfigure(double newRetryShare, double newMinPerSecond) {
         retryShare = newRetryShare;
         minPerSecond = newMinPerSecond;
@@ -33,6 +34,7 @@
         refilledAt = Math.max(refilledAt, now);
     }
 
+    /** Whether a retry may be sent now. */
     public boolean allowsRetry(double now) {
         refill(now);
         return retryShare < 0 || tokens >= 1;
--- a/routes/src/main/java/asterpulley/routes/RoutingPolicy.java
+++ b/routes/src/main/java/asterpulley/routes/RoutingPolicy.java
@@ -87,10 +87,12 @@
      */
     public double coldStartShare = 0.1, warmUpSeconds = 20, fallMultiple = 2;
 
+    /** Whether spilled tunnels fail back at all. */
     public boolean failbackEnabled() {
         return failbackColdShare >= 0;
     }
 
+    /** The share of the spill limit that is reserved for this profile. */
     public double spillReservedShare(int profile) {
         return profile < spillReservedShares.length ? spillReservedShares[profile] : 0;
     }
--- a/routes/src/main/java/asterpulley/routes/RoutingTable.java
+++ b/routes/src/main/java/asterpulley/routes/RoutingTable.java
@@ -28,6 +28,9 @@
      */
     private static final double FAILBACK_SHARE_OF_COLD_BUDGET = 0.5;
 
+    /** A start time that is later by no more than this is not a restart. */
+    private static final double START_TIME_TOLERANCE_SECONDS = 1e-3;
+
     private RoutingPolicy policy;
     private final Pool[] pools;
     private final SpillLimit[] spillLimits;
@@ -48,6 +51,7 @@
     private long verdictTunnel = Long.MIN_VALUE;
     private int verdictTier;
 
+    /** Creates a table without servers. {@code log} takes lines for the operators. */
     public RoutingTable(RoutingPolicy policy, double now, Consumer<String> log) {
         this.policy = policy;
         this.log = log;
@@ -104,7 +108,7 @@
             grow(Math.max(server + 1, 2 * poolOf.length));
         }
         addToPoolCounts(server, -1);
-        if (startTime > startedAt[server] + 1e-3) {
+        if (startTime > startedAt[server] + START_TIME_TOLERANCE_SECONDS) {
             startedAt[server] = startTime;
             reportedLoad[server] = Double.NaN;
             placedLoad[server] = 0;
@@ -187,6 +191,7 @@
         }
     }
 
+    /** Evaluates a pool's condition; a change is logged and updates tiers and limits. */
     private void evaluatePool(int poolIndex, double now) {
         Pool pool = pools[poolIndex];
         Pool.Condition oldCondition = pool.condition();
@@ -292,7 +297,7 @@
                             ? RouteVerdict.RETRY_BUDGET_SPENT
                             : tiers[pool] > tier
                                     ? RouteVerdict.LATER_TIER
-                                    : pool(pool, profile, tunnelLoad, now);
+                                    : poolVerdict(pool, profile, tunnelLoad, now);
             poolVerdicts[pool] = verdict;
         }
         if (verdict != RouteVerdict.OPEN) {
@@ -328,7 +333,7 @@
         return pool.isUnavailable() && !(answeredAt[server] > pool.since());
     }
 
-    private RouteVerdict pool(int poolIndex, int profile, double tunnelLoad, double now) {
+    private RouteVerdict poolVerdict(int poolIndex, int profile, double tunnelLoad, double now) {
         if (poolIndex == policy.homePool) {
             return RouteVerdict.OPEN;
         }
@@ -353,6 +358,7 @@
                                 / (policy.serverCapacity * warmCapacityShare(server, now)));
     }
 
+    /** The share of its capacity that the server has now, by its time since its start. */
     private double warmCapacityShare(int server, double now) {
         double ageSeconds = now - startedAt[server];
         return ageSeconds >= policy.warmUpSeconds
@@ -373,7 +379,8 @@
         }
         int next = Integer.MAX_VALUE;
         for (int pool = 0; pool < pools.length; pool++) {
-            if (tiers[pool] > tier && pool(pool, profile, tunnelLoad, now) == RouteVerdict.OPEN) {
+            if (tiers[pool] > tier
+                    && poolVerdict(pool, profile, tunnelLoad, now) == RouteVerdict.OPEN) {
                 next = Math.min(next, tiers[pool]);
             }
         }
@@ -430,6 +437,7 @@
         verdictTunnel = Long.MIN_VALUE;
     }
 
+    /** The pool of a server. */
     public int poolOf(int server) {
         return poolOf[server];
     }
@@ -469,10 +477,12 @@
         return loadPerSecond / policy.relaysPerPool;
     }
 
+    /** The pool with that index. */
     public Pool pool(int poolIndex) {
         return pools[poolIndex];
     }
 
+    /** This relay's limit of spilled tunnels in that pool. */
     public SpillLimit spillLimit(int pool) {
         return spillLimits[pool];
     }
@@ -502,6 +512,7 @@
         updateSpillLimits(now);
     }
 
+    /** Takes over what another relay found of a pool; the pool has no spilled tunnels yet. */
     void restore(
             int pool,
             Pool.Condition condition,
--- a/routes/src/main/java/asterpulley/routes/SpillLimit.java
+++ b/routes/src/main/java/asterpulley/routes/SpillLimit.java
@@ -93,10 +93,12 @@
         return profile < loadByProfile.length ? loadByProfile[profile] : 0;
     }
 
+    /** Load of all spilled tunnels, in mean tunnel loads. */
     public double spilledLoad() {
         return spilledLoad;
     }
 
+    /** The limit of {@link #spilledLoad()}. */
     public double maxLoad() {
         return maxLoad;
     }
--- a/routes/src/test/java/asterpulley/routes/PoolRouterTest.java
+++ b/routes/src/test/java/asterpulley/routes/PoolRouterTest.java
@@ -289,7 +289,14 @@
             router.tunnelClosed(id);
         }
         assertEquals(110, retries, 2);
-        assertEquals(1, log.stream().filter(l -> l.startsWith("further setups spent")).count());
+        assertEquals(
+                1,
+                log.stream()
+                        .filter(
+                                l ->
+                                        l.startsWith(
+                                                "retry budget spent: tunnels whose setup failed are given up"))
+                        .count());
         assertTrue(counters.contains("retries_refused"));
     }
 
