--- a/bench/src/main/java/asterpulley/bench/DecisionBenchmark.java
+++ b/bench/src/main/java/asterpulley/bench/DecisionBenchmark.java
@@ -168,6 +168,7 @@
         }
     }
 
+    /** Takes, opens and ends one tunnel. */
     @Benchmark
     public boolean decision() {
         if (router != null) {
@@ -186,6 +187,7 @@
         return tunnel.isFinished();
     }
 
+    /** Passes in one load report. */
     @Benchmark
     public void report() {
         reportLoad((int) (++lastId % servers));
@@ -198,6 +200,7 @@
         balancer.onProbeResult("s" + server, Outcome.OK, report);
     }
 
+    /** Runs one tick. */
     @Benchmark
     public void tick() {
         if (router != null) {
--- a/bench/src/main/java/asterpulley/bench/PoolsCost.java
+++ b/bench/src/main/java/asterpulley/bench/PoolsCost.java
@@ -14,6 +14,7 @@
     private static final String[] VARIANTS = {"fee", "pools", "dark"};
     private static final int[] SERVER_COUNTS = {15, 400, 4000};
     private static final int ROUNDS = 15;
+    private static final int WARM_UP_ROUNDS = 3;
     private static final long ROUND_NANOS = 150_000_000;
 
     private PoolsCost() {}
@@ -37,7 +38,7 @@
             double[] feeMicros = new double[ROUNDS],
                     poolsRatio = new double[ROUNDS],
                     darkRatio = new double[ROUNDS];
-            for (int round = -3; round < ROUNDS; round++) {
+            for (int round = -WARM_UP_ROUNDS; round < ROUNDS; round++) {
                 double[] nanos = new double[VARIANTS.length];
                 for (int i = 0; i < VARIANTS.length; i++) {
                     // Each variant is first in a third of the rounds.
@@ -60,6 +61,7 @@
         }
     }
 
+    /** Runs decisions for one round. */
     private static double nanosPerDecision(DecisionBenchmark benchmark) {
         benchmark.setUpFleet();
         long start = System.nanoTime();
--- a/bench/src/main/java/asterpulley/bench/SizeCost.java
+++ b/bench/src/main/java/asterpulley/bench/SizeCost.java
@@ -393,7 +393,7 @@
                 "bytes a group, reopened",
                 "bytes a group, placed",
                 "once all have ended");
-        for (int[] of :
+        for (int[] scenario :
                 new int[][] {
                     {100, 2_000},
                     {400, 2_000},
@@ -402,13 +402,13 @@
                     {4_000, 4_000},
                     {10_000, 2_000}
                 }) {
-            double[] placed = bytesPerPlacedGroup(of[0], of[1]);
+            double[] placed = bytesPerPlacedGroup(scenario[0], scenario[1]);
             System.out.printf(
                     Locale.ROOT,
                     "%8d %8d %26.0f %26.0f %26.0f%n",
-                    of[0],
-                    of[1],
-                    bytesPerGroup(of[0], of[1]),
+                    scenario[0],
+                    scenario[1],
+                    bytesPerGroup(scenario[0], scenario[1]),
                     placed[0],
                     placed[1]);
         }
@@ -430,7 +430,7 @@
                 "declined",
                 "probes a second",
                 "core share of ticks and reports");
-        for (double[] of :
+        for (double[] scenario :
                 new double[][] {
                     {10, 10, 0, 0},
                     {100, 100, 0, 0},
@@ -450,7 +450,12 @@
             double probes = 0, declined = 0;
             for (int i = 0; i < coreShares.length; i++) {
                 double[] cost =
-                        controlCost((int) of[0], (int) of[1], of[2], of[3], of[0] > 1_000 ? 6 : 20);
+                        controlCost(
+                                (int) scenario[0],
+                                (int) scenario[1],
+                                scenario[2],
+                                scenario[3],
+                                scenario[0] > 1_000 ? 6 : 20);
                 probes = cost[0];
                 declined = cost[2];
                 coreShares[i] = cost[1] * 100;
@@ -458,10 +463,10 @@
             System.out.printf(
                     Locale.ROOT,
                     "%8.0f %8.0f %8.3f %10.0f %10.0f %18.1f %32s %%%n",
-                    of[0],
-                    of[1],
-                    of[2],
-                    of[3],
+                    scenario[0],
+                    scenario[1],
+                    scenario[2],
+                    scenario[3],
                     declined,
                     probes,
                     spread(coreShares));
