--- a/relay/src/test/java/asterpulley/serve/ToldTest.java
+++ b/relay/src/test/java/asterpulley/serve/ConfigTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a relay is told: any part of it may be missing, null or of the wrong kind, and no name
- * passes for another.
+ * Reads configurations in which any field may be missing, null or of the wrong type. Guards against
+ * errors that don't name the field, and against unknown names that are taken for known ones.
  */
-class ToldTest {
+class ConfigTest {
     private static Map<String, Object> map(Object... namesAndValues) {
         Map<String, Object> map = new LinkedHashMap<>();
         for (int i = 0; i < namesAndValues.length; i += 2) {
@@ -29,7 +29,7 @@
         return map;
     }
 
-    private static Map<String, Object> told() {
+    private static Map<String, Object> validConfig() {
         return map(
                 "name",
                 "n1",
@@ -145,10 +145,10 @@
     }
 
     /**
-     * Where a message names the place by other words than the field itself, or a field within it
-     * that is missing then.
+     * Text by which a message may refer to a field instead of its name: another term, or a field
+     * within it that is then missing.
      */
-    private static final Map<String, String> PLACES =
+    private static final Map<String, String> ACCEPTED_MESSAGE_PARTS =
             Map.of(
                     "tenants",
                     "a tenant",
@@ -166,38 +166,41 @@
                     "address");
 
     private interface Edit {
-        void at(Map<String, Object> in, String name);
+        void apply(Map<String, Object> in, String name);
     }
 
-    /** Each place of what is told, in turn, as this edit leaves it. */
-    private static void each(Object value, String place, Edit edit, Consumer<String> then) {
+    /**
+     * Applies {@code edit} to each field in turn, calls {@code then} with the field's name, and
+     * undoes the edit.
+     */
+    private static void forEachField(Object value, String place, Edit edit, Consumer<String> then) {
         if (value instanceof List<?> list) {
             for (Object o : list) {
-                each(o, place, edit, then);
+                forEachField(o, place, edit, then);
             }
         } else if (value instanceof Map<?, ?>) {
             Map<String, Object> map = Json.object(value, place);
             for (String name : List.copyOf(map.keySet())) {
                 Object was = map.get(name);
-                edit.at(map, name);
+                edit.apply(map, name);
                 then.accept(name);
                 map.put(name, was);
-                each(was, name, edit, then);
+                forEachField(was, name, edit, then);
             }
         }
     }
 
     @Test
-    void whatIsMissingNullOrOfTheWrongKindIsReadAsUsualOrToldByItsPlace() {
+    void missingNullOrMistypedFieldsGetDefaultsOrAreReportedByName() {
         List<Object> wrong =
                 Arrays.asList(
                         null, "words", -1L, new ArrayList<>(List.of(7L)), new HashMap<>(), true);
         List<String> unplaced = new ArrayList<>();
-        Map<String, Object> told = told();
+        Map<String, Object> told = validConfig();
         List<Edit> edits = new ArrayList<>(List.of((in, name) -> in.remove(name)));
         wrong.forEach(value -> edits.add((in, name) -> in.put(name, value)));
         for (Edit edit : edits) {
-            each(
+            forEachField(
                     told,
                     "the configuration",
                     edit,
@@ -206,7 +209,10 @@
                             Config.of(told);
                         } catch (Json.MalformedException e) {
                             if (!e.getMessage().contains(name)
-                                    && !e.getMessage().contains(PLACES.getOrDefault(name, name))) {
+                                    && !e.getMessage()
+                                            .contains(
+                                                    ACCEPTED_MESSAGE_PARTS.getOrDefault(
+                                                            name, name))) {
                                 unplaced.add(name + ": " + e.getMessage());
                             }
                         } catch (RuntimeException e) {
@@ -215,12 +221,15 @@
                     });
         }
         assertEquals(List.of(), unplaced);
-        assertEquals(4, Config.of(told).initialServerList.version(), "as it was");
+        assertEquals(
+                4,
+                Config.of(told).initialServerList.version(),
+                "the original configuration is unchanged");
     }
 
     @Test
-    void whoNamesNoCustomerIsNoneAndNobodyElses() {
-        Config config = Config.of(told());
+    void requestWithoutCustomerBelongsToNone() {
+        Config config = Config.of(validConfig());
         LineCodec words = config.lineCodec;
         assertEquals(1, words.parseOpen("OPEN 1 2 c=chat,t=umbra,d=100").customer());
         assertEquals(0, words.parseOpen("OPEN 1 2 c=chat,t=acme,d=100").customer());
@@ -228,8 +237,8 @@
     }
 
     @Test
-    void aZoneOrCellThatTheSettingsDoNotNameIsNoOther() {
-        Config config = Config.of(told());
+    void unknownZonesAndCellsStayDistinct() {
+        Config config = Config.of(validConfig());
         List<Object> hosts = new ArrayList<>();
         for (String site : List.of("a", "b", "c", "d", "c")) {
             hosts.add(
@@ -269,7 +278,7 @@
         assertNotEquals(servers.get(2).cell(), servers.get(3).cell());
         assertNotEquals(servers.get(0).model(), servers.get(1).model());
         assertTrue(
-                Config.of(told()).nameIndex != config.nameIndex,
-                "two relays of one process share nothing of it");
+                Config.of(validConfig()).nameIndex != config.nameIndex,
+                "two relays of one process share no names");
     }
 }
--- a/relay/src/test/java/asterpulley/serve/BordersTest.java
+++ b/relay/src/test/java/asterpulley/serve/DependencyRulesTest.java
@@ -8,15 +8,18 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The borders within the relay; those between modules are the build's own. */
-class BordersTest {
+/**
+ * Checks the allowed dependencies between the relay's packages. Dependencies between modules are
+ * enforced by the build.
+ */
+class DependencyRulesTest {
     private final JavaClasses relay =
             new ClassFileImporter()
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages("asterpulley");
 
     @Test
-    void whatEveryFrontSharesKnowsNoProtocol() {
+    void sharedNetworkCodeDependsOnNoProtocol() {
         classes()
                 .that()
                 .resideInAPackage("asterpulley.net..")
@@ -28,7 +31,7 @@
     }
 
     @Test
-    void theLineProtocolAndTheListKnowNothingOfEachOther() {
+    void lineProtocolAndServerListAreIndependent() {
         noClasses()
                 .that()
                 .resideInAPackage("asterpulley.line..")
@@ -46,7 +49,7 @@
     }
 
     @Test
-    void whichSettingsAreInForceIsDecidedWithoutInputOrOutput() {
+    void activeSettingsDoNoInputOrOutput() {
         noClasses()
                 .that()
                 .resideInAPackage("asterpulley.settings")
--- /dev/null
+++ b/relay/src/test/java/asterpulley/serve/DiscoveryRecoveryTest.java
@@ -0,0 +1,435 @@
+package asterpulley.serve;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.BindException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import java.nio.file.Files;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.Semaphore;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.locks.ReentrantLock;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/**
+ * Discovery fails and recovers. Guards against relays that ask again too late: whatever a request
+ * failed on, the new list has to be read before its changes count as known to the relay.
+ */
+@Timeout(90)
+class DiscoveryRecoveryTest extends RelayFixture {
+    /**
+     * Seconds after discovery can be reached again at which a change counts as known to the relay,
+     * and how late the test may read its clock.
+     */
+    private static final double CHANGE_DEADLINE_S = 6, CLOCK_MARGIN_S = 0.1;
+
+    private static final String SERVICE_UNAVAILABLE =
+            "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+
+    /** What happens to a request. */
+    private enum Fault {
+        NONE,
+        DOWN,
+        REFUSES,
+        RESETS,
+        SILENT,
+        CUT,
+        FULL,
+        MALFORMED,
+        LATE,
+        OVERBOOKED
+    }
+
+    /** Serves the requests of all simulated services that share it, one at a time. */
+    private static final class SharedWorker {
+        private static final int QUEUE_CAPACITY = 3;
+        private final ReentrantLock lock = new ReentrantLock(true);
+        private final Semaphore queueSlots = new Semaphore(QUEUE_CAPACITY);
+
+        /** Waits for its turn and serves a request; false where the queue is bounded and full. */
+        boolean tryServe(boolean hasBoundedQueue) throws InterruptedException {
+            if (hasBoundedQueue && !queueSlots.tryAcquire()) {
+                return false;
+            }
+            lock.lock();
+            try {
+                // The simulated service time of a request.
+                TimeUnit.MILLISECONDS.sleep(50);
+            } finally {
+                lock.unlock();
+                queueSlots.release(hasBoundedQueue ? 1 : 0);
+            }
+            return true;
+        }
+    }
+
+    /** Discovery as one relay reaches it, with one list and one fault at a time. */
+    private final class FaultyDiscovery {
+        private static final Pattern INDEX_AND_WAIT = Pattern.compile("index=(\\d+)&wait=(\\d+)");
+        private final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
+        private final Set<TestConnection> connections = ConcurrentHashMap.newKeySet();
+        private final SharedWorker worker;
+        private final int port;
+        private volatile Fault fault = Fault.NONE;
+        private volatile ServerSocket serverSocket;
+        private int version = 41;
+        private String entries = "";
+
+        /**
+         * When a request named the version published at the recovery, that is, when the new list
+         * had been read.
+         */
+        private final CompletableFuture<Long> newListReadAt = new CompletableFuture<>();
+
+        FaultyDiscovery(SharedWorker worker) throws IOException {
+            this.worker = worker;
+            // Bound but never used: keeps the port reserved while nothing listens there.
+            Socket holder = new Socket();
+            resources.add(holder);
+            holder.setReuseAddress(true);
+            holder.bind(new InetSocketAddress("127.0.0.1", 0));
+            port = holder.getLocalPort();
+            serverSocket = bindAgain(50);
+            acceptConnections(serverSocket);
+        }
+
+        private void acceptConnections(ServerSocket at) {
+            resources.add(at);
+            runInBackground(
+                    () -> {
+                        while (true) {
+                            TestConnection end = new TestConnection(at.accept());
+                            end.socket.setSoTimeout(60_000);
+                            resources.add(end);
+                            connections.add(end);
+                            runInBackground(() -> serve(end));
+                        }
+                    });
+        }
+
+        private void serve(TestConnection end) throws Exception {
+            for (String line = end.readLine(); line != null; line = end.readLine()) {
+                String call = line.split(" ")[1];
+                while (!end.readLine().isEmpty()) {
+                    continue;
+                }
+                Fault met = fault;
+                requests.add(call);
+                if (call.contains("index=42&")) {
+                    newListReadAt.complete(System.nanoTime());
+                }
+                switch (met) {
+                    case REFUSES -> end.send(SERVICE_UNAVAILABLE);
+                    // A connection accepted just as the service went down is reset too.
+                    case RESETS, DOWN, FULL -> end.reset();
+                    case CUT ->
+                            end.send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\":42,");
+                    case MALFORMED ->
+                            end.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"seq\":{}");
+                    case SILENT -> end.readLine();
+                    default -> respond(end, call, met);
+                }
+                if (met == Fault.REFUSES || met == Fault.CUT) {
+                    end.close();
+                    return;
+                }
+            }
+        }
+
+        private void respond(TestConnection end, String call, Fault met) throws Exception {
+            if ((met == Fault.LATE || met == Fault.OVERBOOKED)
+                    && !worker.tryServe(met == Fault.OVERBOOKED)) {
+                end.send(SERVICE_UNAVAILABLE);
+                return;
+            }
+            Matcher index = INDEX_AND_WAIT.matcher(call);
+            boolean changes = index.find();
+            synchronized (this) {
+                if (changes && Integer.parseInt(index.group(1)) == version) {
+                    long until = System.nanoTime() + Long.parseLong(index.group(2)) * 1_000_000;
+                    for (int was = version; version == was && System.nanoTime() < until; ) {
+                        wait(1 + (until - System.nanoTime()) / 1_000_000);
+                    }
+                }
+                boolean newer = !changes || Integer.parseInt(index.group(1)) < version;
+                String body =
+                        "{\"seq\":%d,\"whole\":%s,\"hosts\":[%s]}"
+                                .formatted(version, !changes, newer ? entries : "");
+                end.send(
+                        "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
+                                .formatted(body.length(), body));
+            }
+        }
+
+        /** Starts a fault and resets all open connections, with their pending requests. */
+        void startFault(Fault into) throws IOException {
+            fault = into;
+            if (into == Fault.DOWN || into == Fault.FULL) {
+                serverSocket.close();
+            }
+            if (into == Fault.FULL) {
+                serverSocket = bindAgain(1);
+                resources.add(serverSocket);
+                fillBacklog();
+            }
+            for (TestConnection end : connections) {
+                connections.remove(end);
+                end.reset();
+            }
+        }
+
+        /** Binds the same port again, as soon as the system allows it. */
+        private ServerSocket bindAgain(int queue) throws IOException {
+            while (true) {
+                try {
+                    return new ServerSocket(port, queue, InetAddress.getByName("127.0.0.1"));
+                } catch (BindException e) {
+                    Thread.yield();
+                }
+            }
+        }
+
+        /** Fills the backlog until a connection is no longer established. */
+        private void fillBacklog() throws IOException {
+            while (true) {
+                Socket filler = new Socket();
+                resources.add(filler);
+                try {
+                    filler.connect(serverSocket.getLocalSocketAddress(), 200);
+                } catch (SocketTimeoutException e) {
+                    return;
+                }
+            }
+        }
+
+        /** Returns the number of connection attempts to this port that are not established. */
+        private long pendingConnects() throws IOException {
+            long pending = 0;
+            for (String table : List.of("/proc/self/net/tcp", "/proc/self/net/tcp6")) {
+                pending +=
+                        Files.readString(java.nio.file.Path.of(table))
+                                .lines()
+                                .filter(
+                                        l ->
+                                                l.matches(
+                                                        " *\\d+: \\S+ \\S+:%04X 02 .*"
+                                                                .formatted(port)))
+                                .count();
+            }
+            return pending;
+        }
+
+        /** Makes the service reachable again with a new list; returns when that was. */
+        synchronized long recover(Fault then, String... list) throws IOException {
+            version++;
+            entries = String.join(",", list);
+            notifyAll();
+            Fault was = fault;
+            fault = then;
+            if (was == Fault.DOWN) {
+                serverSocket = bindAgain(50);
+            }
+            if (was == Fault.DOWN || was == Fault.FULL) {
+                acceptConnections(serverSocket);
+            }
+            return System.nanoTime();
+        }
+    }
+
+    /** A relay and its discovery service. */
+    private final class RelayWithDiscovery implements AutoCloseable {
+        final FaultyDiscovery discovery;
+        final RelayInstance relay;
+
+        RelayWithDiscovery(SharedWorker worker, boolean pushed, String... entries)
+                throws IOException {
+            discovery = new FaultyDiscovery(worker);
+            relay =
+                    new RelayInstance(
+                            createConfig(
+                                    told -> editConfig(told, discovery, pushed), 1000, entries),
+                            null);
+            resources.add(this);
+            relay.open();
+        }
+
+        private long counterValue(String what) throws Exception {
+            CompletableFuture<Long> got = new CompletableFuture<>();
+            relay.readCounters(book -> got.complete(book.counterValue(what)));
+            return got.get(20, TimeUnit.SECONDS);
+        }
+
+        /** Waits until one more request has met the fault, and returns right after that. */
+        void awaitFailedRequest(FaultyDiscovery at) throws Exception {
+            if (at.fault == Fault.DOWN || at.fault == Fault.FULL) {
+                for (long before = counterValue("list_failures");
+                        counterValue("list_failures") == before; ) {
+                    TimeUnit.MILLISECONDS.sleep(2);
+                }
+            } else {
+                at.requests.clear();
+                at.requests.take();
+            }
+        }
+
+        @Override
+        public void close() throws IOException {
+            relay.kill();
+        }
+    }
+
+    private static String editConfig(String usual, FaultyDiscovery service, boolean pushed) {
+        String told =
+                usual.replaceFirst(
+                        "\"discovery\":\"[^\"]*\"",
+                        "\"discovery\":\"127.0.0.1:" + service.port + "\"");
+        return pushed ? told.replace("\"subscribe\"", "\"automatic\"") : told;
+    }
+
+    /**
+     * Returns the seconds from the recovery until the relay, having read the new list, asks for a
+     * newer one.
+     */
+    private static double secondsUntilRead(FaultyDiscovery service, long since) throws Exception {
+        return (service.newListReadAt.get(30, TimeUnit.SECONDS) - since) / 1e9;
+    }
+
+    private interface Measurement {
+        double run() throws Exception;
+    }
+
+    private static void assertAllInTime(Map<String, Measurement> paths) throws Exception {
+        Map<String, CompletableFuture<Double>> running = new TreeMap<>();
+        paths.forEach(
+                (name, path) -> {
+                    CompletableFuture<Double> took = new CompletableFuture<>();
+                    running.put(name, took);
+                    runInBackground(
+                            () -> {
+                                try {
+                                    took.complete(path.run());
+                                } catch (Throwable e) {
+                                    took.completeExceptionally(e);
+                                }
+                            });
+                });
+        List<String> late = new ArrayList<>();
+        for (String name : running.keySet()) {
+            double took = running.get(name).get(60, TimeUnit.SECONDS);
+            if (took > CHANGE_DEADLINE_S - CLOCK_MARGIN_S) {
+                late.add("%s after %.2f s".formatted(name, took));
+            }
+        }
+        assertEquals(List.of(), late, "list read later than its changes count as known");
+    }
+
+    @Test
+    void readsListInTimeAfterAnyDiscoveryFault() throws Exception {
+        Backend one = new Backend();
+        Backend two = new Backend();
+        String[] known = {one.listEntry("s1", "up")};
+        String[] anew = {one.listEntry("s1", "draining"), two.listEntry("s2", "up")};
+        Map<String, Measurement> paths = new TreeMap<>();
+        for (boolean pushed : new boolean[] {false, true}) {
+            for (Fault trouble :
+                    List.of(
+                            Fault.DOWN,
+                            Fault.REFUSES,
+                            Fault.RESETS,
+                            Fault.SILENT,
+                            Fault.CUT,
+                            Fault.FULL,
+                            Fault.MALFORMED)) {
+                for (int seconds : new int[] {1, 4}) {
+                    RelayWithDiscovery path = new RelayWithDiscovery(null, pushed, known);
+                    paths.put(
+                            trouble + ", " + seconds + " s" + (pushed ? ", pushed" : ""),
+                            () -> {
+                                path.discovery.startFault(trouble);
+                                // The simulated length of the fault, which then ends right after a
+                                // request that met it.
+                                TimeUnit.SECONDS.sleep(seconds);
+                                path.awaitFailedRequest(path.discovery);
+                                if (trouble == Fault.FULL) {
+                                    // The filler that found the backlog full was closed; the relay
+                                    // has at most one connection attempt.
+                                    assertTrue(
+                                            path.discovery.pendingConnects() <= 1,
+                                            "connection attempts abandoned but not closed: "
+                                                    + path.discovery.pendingConnects());
+                                }
+                                return secondsUntilRead(
+                                        path.discovery, path.discovery.recover(Fault.NONE, anew));
+                            });
+                }
+            }
+            for (Fault trouble : List.of(Fault.NONE, Fault.DOWN, Fault.SILENT)) {
+                RelayWithDiscovery path = new RelayWithDiscovery(null, pushed, known);
+                FaultyDiscovery other = new FaultyDiscovery(null);
+                Config to = createConfig(told -> editConfig(told, other, pushed), 1000, known);
+                paths.put(
+                        "moved to " + trouble + (pushed ? ", pushed" : ""),
+                        () -> {
+                            path.discovery.startFault(Fault.DOWN);
+                            TimeUnit.SECONDS.sleep(4);
+                            other.startFault(trouble);
+                            if (trouble == Fault.NONE) {
+                                other.recover(Fault.NONE, anew);
+                            }
+                            long moved = System.nanoTime();
+                            path.relay.applyConfig(to);
+                            if (trouble != Fault.NONE) {
+                                path.awaitFailedRequest(other);
+                                moved = other.recover(Fault.NONE, anew);
+                            }
+                            return secondsUntilRead(other, moved);
+                        });
+            }
+        }
+        assertAllInTime(paths);
+    }
+
+    @Test
+    void twentyRelaysReadListInTimeFromAnOverloadedDiscovery() throws Exception {
+        Backend one = new Backend();
+        Backend two = new Backend();
+        Map<String, Measurement> paths = new TreeMap<>();
+        for (Fault trouble : List.of(Fault.LATE, Fault.OVERBOOKED)) {
+            SharedWorker worker = new SharedWorker();
+            for (int i = 0; i < 20; i++) {
+                RelayWithDiscovery path =
+                        new RelayWithDiscovery(worker, false, one.listEntry("s1", "up"));
+                paths.put(
+                        trouble + ", relay " + i,
+                        () -> {
+                            path.discovery.startFault(Fault.DOWN);
+                            TimeUnit.SECONDS.sleep(2);
+                            return secondsUntilRead(
+                                    path.discovery,
+                                    path.discovery.recover(
+                                            trouble,
+                                            one.listEntry("s1", "draining"),
+                                            two.listEntry("s2", "up")));
+                        });
+            }
+        }
+        assertAllInTime(paths);
+    }
+}
--- /dev/null
+++ b/relay/src/test/java/asterpulley/serve/IdleClientsTest.java
@@ -0,0 +1,330 @@
+package asterpulley.serve;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.SelectionKey;
+import java.nio.channels.Selector;
+import java.nio.channels.SocketChannel;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/**
+ * More idle clients connect than the relay has file descriptors. Guards against a relay that then
+ * can neither reach discovery nor backends, so that active clients are declined or routed by an
+ * outdated server list.
+ */
+@Timeout(60)
+class IdleClientsTest extends RelayFixture {
+    private static final int IDLE_CLIENTS = 200, ACTIVE_CLIENTS = 12;
+
+    /** Seconds after discovery can be reached again by which a relay has to know a list change. */
+    private static final double CHANGE_DEADLINE_S = 6;
+
+    /**
+     * Idle clients, all run by one thread. Each connects, sends nothing, and reconnects soon after
+     * its connection was closed.
+     */
+    private final class IdleClients implements AutoCloseable {
+        private static final long RECONNECT_DELAY_NS = 50_000_000;
+        private final AtomicInteger closedCount = new AtomicInteger();
+        private final Selector selector = Selector.open();
+        private final InetSocketAddress relayAddress;
+        private volatile boolean stopped;
+
+        IdleClients(InetSocketAddress relay, int count) throws IOException {
+            this.relayAddress = relay;
+            resources.add(this);
+            runInBackground(() -> runClients(count));
+        }
+
+        private void runClients(int count) throws IOException {
+            ArrayDeque<Long> due = new ArrayDeque<>();
+            IntStream.range(0, count).forEach(i -> due.add(System.nanoTime()));
+            while (!stopped) {
+                for (; !due.isEmpty() && due.peek() <= System.nanoTime(); due.poll()) {
+                    SocketChannel idle = SocketChannel.open();
+                    idle.configureBlocking(false);
+                    idle.register(
+                            selector,
+                            idle.connect(relayAddress)
+                                    ? SelectionKey.OP_READ
+                                    : SelectionKey.OP_CONNECT);
+                }
+                selector.select(10);
+                for (SelectionKey key : selector.selectedKeys()) {
+                    if (isClosed(key)) {
+                        closedCount.incrementAndGet();
+                        key.channel().close();
+                        due.add(System.nanoTime() + RECONNECT_DELAY_NS);
+                    }
+                }
+                selector.selectedKeys().clear();
+            }
+            for (SelectionKey key : selector.keys()) {
+                key.channel().close();
+            }
+            selector.close();
+        }
+
+        private boolean isClosed(SelectionKey key) {
+            SocketChannel idle = (SocketChannel) key.channel();
+            try {
+                if (key.isConnectable()) {
+                    idle.finishConnect();
+                    key.interestOps(SelectionKey.OP_READ);
+                    return false;
+                }
+                return idle.read(ByteBuffer.allocate(64)) < 0;
+            } catch (IOException reset) {
+                return true;
+            }
+        }
+
+        /**
+         * Waits until the relay has closed a connection, that is, until there are more clients than
+         * it accepts.
+         */
+        void awaitFirstClose() throws InterruptedException {
+            for (long until = System.nanoTime() + 5_000_000_000L;
+                    closedCount.get() == 0 && System.nanoTime() < until; ) {
+                Thread.sleep(1);
+            }
+        }
+
+        @Override
+        public void close() {
+            stopped = true;
+            selector.wakeup();
+        }
+    }
+
+    /** A backend that opens every tunnel and closes it once its client has closed. */
+    private Backend openingBackend() throws IOException {
+        Backend b = new Backend();
+        runInBackground(
+                () -> {
+                    while (true) {
+                        TestConnection end = b.openNextTunnel();
+                        runInBackground(
+                                () -> {
+                                    end.readLine();
+                                    end.close();
+                                });
+                    }
+                });
+        return b;
+    }
+
+    /**
+     * Connects this many clients one after the other, each sending its request at once, and returns
+     * their answers.
+     */
+    private List<String> answers(InetSocketAddress relay, int count) {
+        List<String> answers = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            try (TestConnection client = connectClient(relay, "chat", 2000)) {
+                client.socket.setSoTimeout(2500);
+                answers.add(client.readLine());
+            } catch (IOException e) {
+                answers.add(e.getMessage());
+            }
+        }
+        return answers;
+    }
+
+    /**
+     * Restarts discovery with a list change and returns the seconds until the relay has read it and
+     * asks for the next one.
+     */
+    private double secondsUntilChangeRead(int port, String... entries) throws Exception {
+        long back = System.nanoTime();
+        discovery = new StubDiscovery(port);
+        discovery.publish(42, entries);
+        assertTrue(
+                discovery.requests.poll(20, TimeUnit.SECONDS) != null,
+                "it requests the list again");
+        String next = discovery.requests.poll(20, TimeUnit.SECONDS);
+        assertEquals("/registry/instances?index=42&wait=10000", next, "the change was read");
+        return (System.nanoTime() - back) / 1e9;
+    }
+
+    private int socketCount() throws Exception {
+        CompletableFuture<Integer> got = new CompletableFuture<>();
+        relay.readCounters(book -> got.complete(book.sockets));
+        return got.get(20, TimeUnit.SECONDS);
+    }
+
+    @Test
+    void servesActiveClientsAndReadsListAmongManyIdleOnes() throws Exception {
+        Backend one = openingBackend();
+        Backend two = openingBackend();
+        startRelay(createConfig(64, one.listEntry("s1", "up")));
+        discovery.requests.take();
+        discovery.shutDown();
+        awaitCounter("list_failures", 1);
+        IdleClients crowd = new IdleClients(relay.address(), IDLE_CLIENTS);
+        crowd.awaitFirstClose();
+        List<String> all = new ArrayList<>(answers(relay.address(), ACTIVE_CLIENTS));
+        assertEquals(
+                ACTIVE_CLIENTS,
+                all.stream().filter("UP r1"::equals).count(),
+                "while discovery is down: " + all);
+        double heard =
+                secondsUntilChangeRead(
+                        discovery.serverSocket.getLocalPort(),
+                        one.listEntry("s1", "draining"),
+                        two.listEntry("s2", "up"));
+        assertTrue(heard < CHANGE_DEADLINE_S, "list read after " + heard);
+        one.openRequests.clear();
+        all = answers(relay.address(), ACTIVE_CLIENTS);
+        assertEquals(
+                ACTIVE_CLIENTS,
+                all.stream().filter("UP r1"::equals).count(),
+                "after its return: " + all);
+        assertEquals(List.of(), List.copyOf(one.openRequests), "by the current list");
+        assertEquals(0, counterValue("declined_no_sockets"));
+    }
+
+    @Test
+    void servesClientsWithFewerDescriptorsThanConfigured() throws Exception {
+        Backend one = openingBackend();
+        Backend two = openingBackend();
+        createConfig(100, one.listEntry("s1", "up"));
+        discovery.shutDown();
+        Path log = folder.resolve("log");
+        ProcessBuilder run = relayProcessBuilder(folder.resolve("config.json"), log);
+        List<String> words =
+                new ArrayList<>(List.of("sh", "-c", "ulimit -n 50; exec \"$@\"", "sh"));
+        words.addAll(run.command());
+        Process relay = run.command(words).start();
+        resources.add(relay::destroyForcibly);
+        Matcher serving = awaitLogLine(log, relay, "serving n1 at 127.0.0.1:(\\d+)");
+        InetSocketAddress at =
+                new InetSocketAddress("127.0.0.1", Integer.parseInt(serving.group(1)));
+        // The relay loads its classes from files, which need descriptors too: one request loads all
+        // that are needed.
+        assertEquals(List.of("UP r1"), answers(at, 1));
+        IdleClients crowd = new IdleClients(at, IDLE_CLIENTS);
+        crowd.awaitFirstClose();
+        List<String> all = answers(at, ACTIVE_CLIENTS);
+        assertEquals(
+                ACTIVE_CLIENTS,
+                all.stream().filter("UP r1"::equals).count(),
+                "while discovery is down: " + all);
+        double heard =
+                secondsUntilChangeRead(
+                        discovery.serverSocket.getLocalPort(),
+                        one.listEntry("s1", "draining"),
+                        two.listEntry("s2", "up"));
+        assertTrue(heard < CHANGE_DEADLINE_S, "list read after " + heard);
+        one.openRequests.clear();
+        all = answers(at, ACTIVE_CLIENTS);
+        assertEquals(
+                ACTIVE_CLIENTS,
+                all.stream().filter("UP r1"::equals).count(),
+                "after its return: " + all);
+        assertEquals(List.of(), List.copyOf(one.openRequests), "by the current list");
+        new ProcessBuilder("kill", "-USR1", Long.toString(relay.pid())).start().waitFor();
+        int refused =
+                Integer.parseInt(awaitLogLine(log, relay, " accepts_refused=(\\d+)").group(1));
+        assertTrue(
+                refused < 50, "accept failures do not recur in every loop iteration: " + refused);
+    }
+
+    private static Matcher awaitLogLine(Path log, Process relay, String line) throws Exception {
+        while (true) {
+            Matcher told = Pattern.compile(line).matcher(Files.readString(log));
+            if (told.find()) {
+                return told;
+            }
+            assertTrue(relay.isAlive(), Files.readString(log));
+            Thread.sleep(5);
+        }
+    }
+
+    @Test
+    void reservesSocketsForPendingSetups() throws Exception {
+        Backend b = new Backend();
+        SaturatedListener gate = new SaturatedListener();
+        // More setups than the setup window allows at once, and none connects. The relay has 24
+        // sockets, 4 of which idle clients never get.
+        startRelay(
+                createConfig(
+                        told ->
+                                told.replace("\"setupGoalMs\":2000", "\"setupGoalMs\":9000")
+                                        .replace(
+                                                "\"clientTimeoutMs\":3000",
+                                                "\"clientTimeoutMs\":9000")
+                                        .replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":9000")
+                                        .replace("\"probes\":true", "\"probes\":false"),
+                        64,
+                        gate.listEntry(b, "s1")));
+        for (int i = 0; i < 6; i++) {
+            connectClient("chat", 9000);
+        }
+        awaitCounter("taken", 6);
+        long out = counterValue("setups");
+        assertTrue(out < 4, "the others wait for the setup window: " + out);
+        for (int i = 0; i < 30; i++) {
+            connect();
+        }
+        awaitCounter("accepted", 36);
+        int used = socketCount();
+        assertTrue(used + 6 - out <= 20, "in use " + used + ", yet to be connected " + (6 - out));
+    }
+
+    @Test
+    void idleClientsGiveWayToSetupsAndProbes() throws Exception {
+        Backend b = new Backend();
+        Backend[] others = new Backend[12];
+        startRelay(createConfig(64, b.listEntry("s1", "up")));
+        awaitCounter("probes_answered", 1);
+        for (int i = 0; i < others.length; i++) {
+            others[i] = new Backend();
+        }
+        for (int i = 0; i < 30; i++) {
+            connect();
+        }
+        awaitCounter("accepted", 30);
+        discovery.publish(
+                42,
+                IntStream.range(0, others.length)
+                        .mapToObj(i -> others[i].listEntry("t" + i, "up"))
+                        .toArray(String[]::new));
+        awaitCounter("probes", 1 + others.length);
+        int used = socketCount();
+        assertTrue(used <= 24, "no more than there are: " + used);
+    }
+
+    @Test
+    void idleProbeConnectionsGiveWayToActiveClients() throws Exception {
+        String[] entries = new String[20];
+        for (int i = 0; i < entries.length; i++) {
+            entries[i] = openingBackend().listEntry("s" + i, "up");
+        }
+        startRelay(createConfig(64, entries));
+        awaitCounter("probes_answered", entries.length);
+        List<String> all = answers(relay.address(), ACTIVE_CLIENTS);
+        assertEquals(ACTIVE_CLIENTS, all.stream().filter("UP r1"::equals).count(), all.toString());
+        new IdleClients(relay.address(), IDLE_CLIENTS).awaitFirstClose();
+        all = answers(relay.address(), 4);
+        assertEquals(4, all.stream().filter("UP r1"::equals).count(), "among idle ones: " + all);
+        int used = socketCount();
+        assertTrue(used <= 24, "no more than there are: " + used);
+    }
+}
--- a/relay/src/test/java/asterpulley/serve/FuzzTest.java
+++ b/relay/src/test/java/asterpulley/serve/OpenRequestFuzzTest.java
@@ -35,27 +35,30 @@
 import net.jqwik.api.lifecycle.BeforeContainer;
 
 /**
- * Generated openings against a relay on a socket: none serves what is not to the letter, keeps a
- * socket or grows memory.
+ * Sends generated open requests to a relay. Guards against malformed requests that reach a backend,
+ * leak a socket or tunnel, or grow the heap.
  */
-class FuzzTest {
-    private static final Logger QUIET = Logger.getLogger("asterpulley");
-    private static final Set<String> REACHED = ConcurrentHashMap.newKeySet();
-    private static final Set<String> MALFORMED = ConcurrentHashMap.newKeySet();
-    private static final long MOST_GROWTH = 16 << 20;
+class OpenRequestFuzzTest {
+    private static final Logger LOGGER = Logger.getLogger("asterpulley");
+    private static final Set<String> FORWARDED_IDS = ConcurrentHashMap.newKeySet();
+    private static final Set<String> MALFORMED_IDS = ConcurrentHashMap.newKeySet();
+    private static final long MAX_HEAP_GROWTH_BYTES = 16 << 20;
     private static ServerSocket backend;
     private static ExecutorService threads;
-    private static RelayInstance serve;
-    private static long ids;
-    private static int tries;
-    private static long heapAtFirst;
+    private static RelayInstance relay;
+    private static long lastId;
+    private static int attempts;
+    private static long baselineHeapBytes;
 
-    /** What a client sends, and whether it is an opening to the letter; the id stands for %s. */
-    private record Sent(String text, boolean good) {}
+    /**
+     * What a client sends, and whether it is a well-formed open request. {@code %s} stands for the
+     * id.
+     */
+    private record ClientInput(String text, boolean wellFormed) {}
 
     @BeforeContainer
-    static void start() throws IOException {
-        QUIET.setLevel(Level.WARNING);
+    static void startBackendAndRelay() throws IOException {
+        LOGGER.setLevel(Level.WARNING);
         threads =
                 Executors.newCachedThreadPool(
                         r -> {
@@ -68,12 +71,12 @@
                 () -> {
                     while (true) {
                         Socket s = backend.accept();
-                        threads.submit(() -> answer(s));
+                        threads.submit(() -> serveBackend(s));
                     }
                 });
         Map<String, Object> host =
                 Map.of("host", "b", "dial", "127.0.0.1:" + backend.getLocalPort(), "health", "up");
-        serve =
+        relay =
                 new RelayInstance(
                         Config.of(
                                 Map.of(
@@ -105,17 +108,17 @@
                                                 "limits",
                                                 Map.of("probes", true, "mostSetups", 2)))),
                         null);
-        serve.open();
+        relay.open();
     }
 
-    private static Void answer(Socket s) throws IOException {
+    private static Void serveBackend(Socket s) throws IOException {
         try (s) {
             BufferedReader in =
                     new BufferedReader(
                             new InputStreamReader(s.getInputStream(), StandardCharsets.ISO_8859_1));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.startsWith("OPEN")) {
-                    REACHED.add(line.split(" ", -1)[1]);
+                    FORWARDED_IDS.add(line.split(" ", -1)[1]);
                 }
                 s.getOutputStream()
                         .write(
@@ -127,41 +130,46 @@
     }
 
     @AfterContainer
-    static void nothingIsLeft() throws Exception {
-        // Two of the sockets are the questions for load; all tunnels and newcomers must be gone
-        // within their times.
+    static void checkForLeaksAndStop() throws Exception {
+        // Two of the sockets are probe connections. All tunnels and pending connections must end
+        // within their timeouts.
         long left = Long.MAX_VALUE;
         for (int i = 0; i < 100 && left > 2; i++) {
             Thread.sleep(50);
-            left = now(book -> (long) book.sockets + book.held());
+            left = readOnEventLoop(book -> (long) book.sockets + book.held());
         }
         long wide = left;
         assertTrue(wide <= 2, "sockets and tunnels left: " + wide);
-        MALFORMED.retainAll(REACHED);
-        assertEquals(Set.of(), MALFORMED, "reached a backend though malformed");
-        assertTrue(now(book -> book.counterValue("opened")) > 100, "good openings open");
-        long heap = heap();
-        assertTrue(heap - heapAtFirst < MOST_GROWTH, "the heap grew by " + (heap - heapAtFirst));
-        serve.kill();
+        MALFORMED_IDS.retainAll(FORWARDED_IDS);
+        assertEquals(Set.of(), MALFORMED_IDS, "reached a backend though malformed");
+        assertTrue(
+                readOnEventLoop(book -> book.counterValue("opened")) > 100,
+                "well-formed requests open tunnels");
+        long heap = usedHeapBytes();
+        assertTrue(
+                heap - baselineHeapBytes < MAX_HEAP_GROWTH_BYTES,
+                "the heap grew by " + (heap - baselineHeapBytes));
+        relay.kill();
         backend.close();
         threads.shutdownNow();
-        QUIET.setLevel(null);
+        LOGGER.setLevel(null);
     }
 
-    private static long now(java.util.function.ToLongFunction<asterpulley.net.TunnelRegistry> what)
+    private static long readOnEventLoop(
+            java.util.function.ToLongFunction<asterpulley.net.TunnelRegistry> what)
             throws Exception {
         CompletableFuture<Long> got = new CompletableFuture<>();
-        serve.readCounters(book -> got.complete(what.applyAsLong(book)));
+        relay.readCounters(book -> got.complete(what.applyAsLong(book)));
         return got.get(20, TimeUnit.SECONDS);
     }
 
-    private static long heap() {
+    private static long usedHeapBytes() {
         System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
     @Provide
-    Arbitrary<Sent> openings() {
+    Arbitrary<ClientInput> openings() {
         Arbitrary<String> key =
                 Arbitraries.strings()
                         .withChars("0123456789abcdefABCDEF")
@@ -170,11 +178,11 @@
         Arbitrary<Integer> wait = Arbitraries.integers().between(500, 3000);
         Arbitrary<String> extra =
                 Arbitraries.of("", ",g=5c", ",r=1", ",again=1", ",h=0.3,x=y", ",note=a=b");
-        Arbitrary<Sent> good =
+        Arbitrary<ClientInput> good =
                 Combinators.combine(key, wait, extra)
                         .as(
                                 (k, d, x) ->
-                                        new Sent(
+                                        new ClientInput(
                                                 "OPEN %s "
                                                         + k
                                                         + " c=live,t=acme,d="
@@ -207,17 +215,17 @@
                         "c=live,d=\u0000500",
                         "c=live,d=+500",
                         "c=live,d=0500");
-        Arbitrary<Sent> wrong =
+        Arbitrary<ClientInput> wrong =
                 Combinators.combine(key, wrongPairs)
-                        .as((k, p) -> new Sent("OPEN %s " + k + " " + p + "\r\n", false));
-        Arbitrary<Sent> words =
+                        .as((k, p) -> new ClientInput("OPEN %s " + k + " " + p + "\r\n", false));
+        Arbitrary<ClientInput> words =
                 Combinators.combine(
                                 Arbitraries.of(
                                         "open", "OPEN ", " OPEN", "OPENED", "GET", "MOVE", "UP", "",
                                         "STATS", "PONG", "BUSY", "OPEN\t"),
                                 key)
-                        .as((w, k) -> new Sent(w + " %s " + k + " c=live,d=500\r\n", false));
-        Arbitrary<Sent> marks =
+                        .as((w, k) -> new ClientInput(w + " %s " + k + " c=live,d=500\r\n", false));
+        Arbitrary<ClientInput> marks =
                 Combinators.combine(
                                 Arbitraries.strings()
                                         .ofMinLength(1)
@@ -226,12 +234,12 @@
                                 Arbitraries.of(true, false))
                         .as(
                                 (m, first) ->
-                                        new Sent(
+                                        new ClientInput(
                                                 first
                                                         ? "OPEN " + m + "%s a c=live,d=500\r\n"
                                                         : "OPEN %s " + m + " c=live,d=500\r\n",
                                                 false));
-        Arbitrary<Sent> ends =
+        Arbitrary<ClientInput> ends =
                 Arbitraries.of(
                                 "OPEN %s a c=live,d=500\n",
                                 "OPEN %s a c=live,d=500\r\nOPEN",
@@ -240,24 +248,24 @@
                                 "OPEN %s a",
                                 "OPEN %s a c=live,d=500\r",
                                 "OPEN %s a c=live,d=500\r\r\n")
-                        .map(t -> new Sent(t, false));
-        Arbitrary<Sent> longs =
+                        .map(t -> new ClientInput(t, false));
+        Arbitrary<ClientInput> longs =
                 Arbitraries.integers()
                         .between(4097, 20_000)
                         .map(
                                 n ->
-                                        new Sent(
+                                        new ClientInput(
                                                 "OPEN %s a c=live,d=500,g="
                                                         + "x".repeat(n)
                                                         + "\r\n",
                                                 false));
-        Arbitrary<Sent> noise =
+        Arbitrary<ClientInput> noise =
                 Arbitraries.strings()
                         .withCharRange('\u0000', '\u00ff')
                         .ofMinLength(1)
                         .ofMaxLength(300)
                         .filter(s -> !s.startsWith("PING"))
-                        .map(s -> new Sent(s.replace("%", "") + "\r\n", false));
+                        .map(s -> new ClientInput(s.replace("%", "") + "\r\n", false));
         return Arbitraries.frequencyOf(
                 net.jqwik.api.Tuple.of(3, good),
                 net.jqwik.api.Tuple.of(4, wrong),
@@ -273,12 +281,12 @@
             seed = "41",
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void onlyOpeningsToTheLetterReachABackend(@ForAll("openings") Sent sent) throws Exception {
-        if (++tries == 500) {
-            heapAtFirst = heap();
+    void forwardsOnlyWellFormedOpenRequests(@ForAll("openings") ClientInput sent) throws Exception {
+        if (++attempts == 500) {
+            baselineHeapBytes = usedHeapBytes();
         }
-        String id = Long.toHexString(++ids);
-        InetSocketAddress at = serve.address();
+        String id = Long.toHexString(++lastId);
+        InetSocketAddress at = relay.address();
         try (Socket s = new Socket(at.getAddress(), at.getPort())) {
             s.setSoTimeout(10_000);
             boolean whole = true;
@@ -293,7 +301,7 @@
                                                         s.getInputStream(), LineCodec.CHARSET))
                                         .readLine()
                                 : null;
-                if (sent.good) {
+                if (sent.wellFormed) {
                     assertTrue(
                             answer != null && (answer.equals("UP r1") || answer.startsWith("BUSY")),
                             answer);
@@ -301,11 +309,11 @@
                     assertTrue(answer == null || answer.equals(LineCodec.ERR), answer);
                 }
             } catch (SocketException e) {
-                assertEquals(false, sent.good, "a good opening was cut off");
+                assertEquals(false, sent.wellFormed, "a well-formed request was cut off");
             }
         }
-        if (!sent.good) {
-            MALFORMED.add(id);
+        if (!sent.wellFormed) {
+            MALFORMED_IDS.add(id);
         }
     }
 }
--- /dev/null
+++ b/relay/src/test/java/asterpulley/serve/ProbeFilterTest.java
@@ -0,0 +1,60 @@
+package asterpulley.serve;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/**
+ * Probes of a backend's load in conflict with other events: their timeout, the next probe, and the
+ * close of an idle probe connection.
+ */
+@Timeout(60)
+class ProbeFilterTest extends RelayFixture {
+
+    @Test
+    void connectOfAnEarlierProbeDoesNotSettleTheNext() throws Exception {
+        Backend b = new Backend();
+        SaturatedListener gate = new SaturatedListener();
+        // The probe timeout is the shorter setup goal, and so is the connect timeout: both end in
+        // the same loop iteration. A tunnel with the longer goal waits for the answer and has the
+        // backend probed again in that iteration.
+        startRelay(
+                createConfig(
+                        told ->
+                                told.replaceFirst("\"setupGoalMs\":2000", "\"setupGoalMs\":300")
+                                        .replaceFirst(
+                                                "\"setupGoalMs\":2000", "\"setupGoalMs\":5000")
+                                        .replace(
+                                                "\"clientTimeoutMs\":3000",
+                                                "\"clientTimeoutMs\":9000"),
+                        1000,
+                        gate.listEntry(b, "s1")));
+        TestConnection client = connectClient("pay", 9000);
+        awaitCounter("probes_given_up", 2);
+        assertEquals(
+                0,
+                counterValue("probes_broken"),
+                "each probe has its own timeout, and nothing else ended one");
+        long asked = counterValue("probes");
+        assertTrue(asked <= counterValue("probes_given_up") + 1, "one probe at a time: " + asked);
+        client.close();
+    }
+
+    @Test
+    void probesAgainAfterIdleCloseWithoutBlamingTheBackend() throws Exception {
+        Backend b = new Backend();
+        startRelay(b.listEntry("s1", "up"));
+        for (int i = 0; i < 5; i++) {
+            long answered = counterValue("probes_answered");
+            awaitCounter("probes_answered", answered + 1);
+            Runnable on = pauseEventLoop();
+            b.closeProbeConnections();
+            on.run();
+        }
+        long answered = counterValue("probes_answered");
+        awaitCounter("probes_answered", answered + 1);
+        assertEquals(0, counterValue("probes_broken") + counterValue("probes_given_up"));
+    }
+}
--- /dev/null
+++ b/relay/src/test/java/asterpulley/serve/RelayFixture.java
@@ -0,0 +1,471 @@
+package asterpulley.serve;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.net.SocketException;
+import java.net.SocketTimeoutException;
+import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.Semaphore;
+import java.util.concurrent.TimeUnit;
+import java.util.function.UnaryOperator;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * Base class of tests on loopback sockets: runs a relay and simulates its clients, backends and
+ * discovery.
+ */
+abstract class RelayFixture {
+    static final String OPEN_REQUEST_FORMAT = "OPEN %x 7f3a c=%s,t=acme,d=%d,g=5c0f";
+    final List<AutoCloseable> resources = Collections.synchronizedList(new ArrayList<>());
+    @TempDir Path folder;
+
+    // ---- Simulated peers
+
+    /**
+     * The test's end of a connection, read in lines or in bytes. Reads block until the data
+     * arrives, up to 20 s.
+     */
+    static final class TestConnection implements AutoCloseable {
+        final Socket socket;
+        final InputStream input;
+
+        TestConnection(Socket socket) throws IOException {
+            this.socket = socket;
+            socket.setSoTimeout(20_000);
+            input = socket.getInputStream();
+        }
+
+        void send(String text) throws IOException {
+            socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+        }
+
+        /** Returns the next line without its line end, or null at the end of the connection. */
+        String readLine() throws IOException {
+            ByteArrayOutputStream line = new ByteArrayOutputStream();
+            for (int b = input.read(); b != '\n'; b = input.read()) {
+                if (b < 0) {
+                    return line.size() == 0 ? null : line + " (cut off)";
+                }
+                line.write(b);
+            }
+            String text = line.toString(StandardCharsets.ISO_8859_1);
+            assertTrue(text.endsWith("\r"), text);
+            return text.substring(0, text.length() - 1);
+        }
+
+        void reset() throws IOException {
+            socket.setSoLinger(true, 0);
+            socket.close();
+        }
+
+        @Override
+        public void close() throws IOException {
+            socket.close();
+        }
+    }
+
+    /**
+     * A backend that answers probes by itself and hands every connection with an open request to
+     * the test.
+     */
+    final class Backend {
+        final ServerSocket serverSocket;
+        final BlockingQueue<TestConnection> tunnelConnections = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> openRequests = new LinkedBlockingQueue<>();
+        volatile String loadReport = "x0=0.1,rif=1,busy=0.1";
+
+        /** Closes a probe connection at the second probe on it, without an answer. */
+        volatile boolean closesAfterProbe;
+
+        private final Set<TestConnection> probeConnections = ConcurrentHashMap.newKeySet();
+
+        /** Permits for answers to probes; a probe without one waits. */
+        final Semaphore probeAnswerPermits = new Semaphore(Integer.MAX_VALUE / 2);
+
+        volatile int probeCount;
+
+        Backend() throws IOException {
+            serverSocket = listen(this::serve);
+        }
+
+        private void serve(TestConnection end) throws Exception {
+            for (String line = end.readLine(); line != null; line = end.readLine()) {
+                if (!line.equals("STATS")) {
+                    openRequests.add(line);
+                    tunnelConnections.add(end);
+                    return;
+                }
+                probeCount++;
+                probeConnections.add(end);
+                probeAnswerPermits.acquire();
+                end.send("PONG " + loadReport + "\r\n");
+                if (closesAfterProbe) {
+                    end.readLine();
+                    end.close();
+                    return;
+                }
+            }
+        }
+
+        /** Closes all probe connections, as if they had been idle. */
+        void closeProbeConnections() throws IOException {
+            for (TestConnection end : probeConnections) {
+                probeConnections.remove(end);
+                end.close();
+            }
+        }
+
+        String address() {
+            return "127.0.0.1:" + serverSocket.getLocalPort();
+        }
+
+        String listEntry(String host, String health) {
+            return ("{\"host\":\"%s\",\"dial\":\"%s\",\"site\":\"a\",\"class\":\"m\",\"block\":0,"
+                            + "\"health\":\"%s\",\"born_ms\":0}")
+                    .formatted(host, address(), health);
+        }
+
+        TestConnection awaitTunnel() throws InterruptedException {
+            return tunnelConnections.take();
+        }
+
+        /** Opens every tunnel from now on, in the background. */
+        void openAllTunnels() {
+            runInBackground(
+                    () -> {
+                        while (true) {
+                            openNextTunnel();
+                        }
+                    });
+        }
+
+        /** Waits for the next tunnel and opens it. */
+        TestConnection openNextTunnel() throws IOException, InterruptedException {
+            TestConnection end = awaitTunnel();
+            end.send("UP r1\r\n");
+            return end;
+        }
+    }
+
+    /** A discovery service whose requests wait until the test provides a response. */
+    final class StubDiscovery {
+        final ServerSocket serverSocket;
+        final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> responses = new LinkedBlockingQueue<>();
+
+        private final Set<TestConnection> connections = ConcurrentHashMap.newKeySet();
+
+        StubDiscovery() throws IOException {
+            this(0);
+        }
+
+        /** Listens on {@code port}, where an earlier instance was shut down. */
+        StubDiscovery(int port) throws IOException {
+            serverSocket = listen(port, this::serve);
+        }
+
+        /**
+         * Closes all connections and refuses new ones until another instance listens on the port.
+         */
+        void shutDown() throws IOException {
+            serverSocket.close();
+            for (TestConnection caller : connections) {
+                caller.close();
+            }
+        }
+
+        private void serve(TestConnection end) throws Exception {
+            connections.add(end);
+            for (String line = end.readLine(); line != null; line = end.readLine()) {
+                if (line.startsWith("GET ")) {
+                    requests.add(line.split(" ")[1]);
+                } else if (line.isEmpty()) {
+                    String answer = responses.take();
+                    end.send(answer);
+                    if (!answer.contains(" 200 ")) {
+                        end.close();
+                        return;
+                    }
+                }
+            }
+        }
+
+        void publish(int version, String... entries) {
+            publish(version, false, entries);
+        }
+
+        void publish(int version, boolean whole, String... entries) {
+            String body =
+                    "{\"seq\":%d,\"whole\":%s,\"hosts\":[%s]}"
+                            .formatted(version, whole, String.join(",", entries));
+            responses.add(
+                    "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
+                            .formatted(body.length(), body));
+        }
+    }
+
+    /**
+     * A listener whose backlog is full: a connection to it is neither established nor refused. Once
+     * there is room, it is established with the kernel's next SYN, a second after the first, as a
+     * late connection is.
+     */
+    final class SaturatedListener {
+        final ServerSocket serverSocket;
+        private final Set<Integer> fillerPorts = new HashSet<>();
+
+        SaturatedListener() throws IOException {
+            this(1);
+        }
+
+        /**
+         * Creates a listener with this backlog, which is how many connections are established
+         * together once they are accepted.
+         */
+        SaturatedListener(int backlog) throws IOException {
+            serverSocket = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
+            serverSocket.setSoTimeout(20_000);
+            resources.add(serverSocket);
+            for (boolean room = true; room; ) {
+                Socket filler = new Socket();
+                resources.add(filler);
+                try {
+                    filler.connect(serverSocket.getLocalSocketAddress(), 200);
+                } catch (SocketTimeoutException e) {
+                    room = false;
+                }
+                fillerPorts.add(filler.getLocalPort());
+            }
+        }
+
+        /** Returns the list entry of {@code backend}, but with this listener's address. */
+        String listEntry(Backend backend, String host) {
+            return backend.listEntry(host, "up").replace(backend.address(), address());
+        }
+
+        String address() {
+            return "127.0.0.1:" + serverSocket.getLocalPort();
+        }
+
+        /** Accepts the next connection, skipping those that filled the backlog. */
+        TestConnection acceptNext() throws IOException {
+            while (true) {
+                TestConnection end = new TestConnection(serverSocket.accept());
+                resources.add(end);
+                if (!fillerPorts.contains(end.socket.getPort())) {
+                    return end;
+                }
+            }
+        }
+
+        /**
+         * Accepts all connections attempted so far that still exist, closes each after its first
+         * line, and returns these lines.
+         */
+        List<String> acceptAllAndReadFirstLines() throws IOException {
+            // It connects after them, so it is accepted after them.
+            SocketChannel last = SocketChannel.open();
+            resources.add(last);
+            last.bind(new InetSocketAddress("127.0.0.1", 0));
+            last.configureBlocking(false);
+            last.connect(serverSocket.getLocalSocketAddress());
+            int port = ((InetSocketAddress) last.getLocalAddress()).getPort();
+            List<String> said = new ArrayList<>();
+            for (TestConnection end = acceptNext();
+                    end.socket.getPort() != port;
+                    end = acceptNext()) {
+                try {
+                    String line = end.readLine();
+                    if (line != null) {
+                        said.add(line);
+                    }
+                } catch (SocketException e) {
+                    // It was reset, so it sends nothing more.
+                    continue;
+                } finally {
+                    end.close();
+                }
+            }
+            return said;
+        }
+    }
+
+    interface ThrowingRunnable {
+        void run() throws Exception;
+    }
+
+    interface ConnectionHandler {
+        void serve(TestConnection end) throws Exception;
+    }
+
+    ServerSocket listen(ConnectionHandler host) throws IOException {
+        return listen(0, host);
+    }
+
+    ServerSocket listen(int port, ConnectionHandler host) throws IOException {
+        ServerSocket listening = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
+        resources.add(listening);
+        runInBackground(
+                () -> {
+                    while (true) {
+                        TestConnection end = new TestConnection(listening.accept());
+                        resources.add(end);
+                        runInBackground(() -> host.serve(end));
+                    }
+                });
+        return listening;
+    }
+
+    static void runInBackground(ThrowingRunnable work) {
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                work.run();
+                            } catch (Exception e) {
+                                // Connections are closed at the end of a test; what is expected of
+                                // them is asserted in the test.
+                                return;
+                            }
+                        });
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    int clientCount;
+    StubDiscovery discovery;
+    RelayInstance relay;
+
+    Config createConfig(int sockets, String... entries) throws IOException {
+        return createConfig(told -> told, sockets, entries);
+    }
+
+    /** Writes a configuration with a new stub discovery. {@code edit} changes its JSON text. */
+    Config createConfig(UnaryOperator<String> edit, int sockets, String... entries)
+            throws IOException {
+        discovery = new StubDiscovery();
+        Path file = folder.resolve("config.json");
+        Files.writeString(
+                file,
+                edit.apply(
+                        """
+                {"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"8c1f30d27a5be964",
+                 "limits":{"sockets":%d},"known":{"seq":41,"whole":true,"hosts":[%s]},
+                 "settings":{"zones":["a"],"models":["m"],"tenants":[{"name":"acme","share":1}],"siblings":1,
+                 "registryMode":"subscribe","profiles":[
+                 {"name":"chat","effect":"read_like","clientTimeoutMs":3000,"setupGoalMs":2000},
+                 {"name":"pay","effect":"non_idempotent","clientTimeoutMs":3000,"setupGoalMs":2000}],
+                 "limits":{"probes":true,"retryAfter":true,"maxRetryAfterMs":1000,"mostSetups":4,"dialTimeoutMs":1000},
+                 "rules":{"askEveryMs":10000}}}
+                """
+                                .formatted(
+                                        discovery.serverSocket.getLocalPort(),
+                                        sockets,
+                                        String.join(",", entries))));
+        return Config.read(file);
+    }
+
+    void startRelay(String... entries) throws IOException {
+        startRelay(createConfig(1000, entries));
+    }
+
+    void startRelay(Config config) throws IOException {
+        relay = new RelayInstance(config, null);
+        resources.add(relay::kill);
+        relay.open();
+    }
+
+    /** Returns a builder for a relay in a process of its own. */
+    static ProcessBuilder relayProcessBuilder(Path config, Path log) {
+        ProcessBuilder run =
+                new ProcessBuilder(
+                        ProcessHandle.current().info().command().orElse("java"),
+                        "-XX:+UseSerialGC",
+                        "-Xmx64m",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "asterpulley.serve.Main",
+                        "serve");
+        run.environment().put("LB_CONFIG", config.toString());
+        return run.redirectErrorStream(true).redirectOutput(log.toFile());
+    }
+
+    TestConnection connect() throws IOException {
+        TestConnection end =
+                new TestConnection(
+                        new Socket(relay.address().getAddress(), relay.address().getPort()));
+        resources.add(end);
+        return end;
+    }
+
+    TestConnection connectClient(String profile, int patience) throws IOException {
+        return connectClient(relay.address(), profile, patience);
+    }
+
+    TestConnection connectClient(InetSocketAddress relay, String profile, int patience)
+            throws IOException {
+        TestConnection end = new TestConnection(new Socket(relay.getAddress(), relay.getPort()));
+        resources.add(end);
+        end.send(OPEN_REQUEST_FORMAT.formatted(++clientCount, profile, patience) + "\r\n");
+        return end;
+    }
+
+    /**
+     * Blocks the relay's event loop until the returned action runs, so that everything that happens
+     * meanwhile is handled in one iteration. Returns once the loop is blocked.
+     */
+    Runnable pauseEventLoop() throws InterruptedException {
+        CountDownLatch stopped = new CountDownLatch(1);
+        CountDownLatch on = new CountDownLatch(1);
+        relay.readCounters(
+                book -> {
+                    stopped.countDown();
+                    try {
+                        on.await(20, TimeUnit.SECONDS);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
+        stopped.await();
+        return on::countDown;
+    }
+
+    long counterValue(String what) throws Exception {
+        CompletableFuture<Long> got = new CompletableFuture<>();
+        relay.readCounters(book -> got.complete(book.counterValue(what)));
+        return got.get(20, TimeUnit.SECONDS);
+    }
+
+    void awaitCounter(String what, long atLeast) throws Exception {
+        while (counterValue(what) < atLeast) {
+            Thread.yield();
+        }
+    }
+
+    @AfterEach
+    void closeResources() throws Exception {
+        for (int i = resources.size() - 1; i >= 0; i--) {
+            resources.get(i).close();
+        }
+    }
+}
--- a/relay/src/test/java/asterpulley/serve/DeployTest.java
+++ b/relay/src/test/java/asterpulley/serve/RunScriptTest.java
@@ -9,18 +9,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators start, with a stand-in for the JVM that only tells how it was called. */
-class DeployTest {
+/** Runs the operators' start script with a fake {@code java} that only prints its arguments. */
+class RunScriptTest {
     @TempDir Path folder;
 
-    private String runWith(String config) throws Exception {
+    private String runWithConfig(String config) throws Exception {
         Path java = folder.resolve("java");
         Files.writeString(java, "#!/bin/sh\necho \"$@\"\n");
         assertTrue(java.toFile().setExecutable(true));
         Path file = folder.resolve("config.json");
         Files.writeString(file, config);
         ProcessBuilder run = new ProcessBuilder("sh", "../deploy/run").redirectErrorStream(true);
-        // Nothing but the stand-in can be found: a start that needs other programs fails.
+        // Only the fake java is on the PATH, so a script that needs other programs fails.
         run.command().set(0, "/bin/sh");
         run.environment().put("PATH", folder.toString());
         run.environment().put("LB_CONFIG", file.toString());
@@ -31,23 +31,25 @@
     }
 
     @Test
-    void theHeapIsWhatTheToldMemoryLeavesForIt() throws Exception {
+    void heapSizeFollowsFromTheMemoryLimit() throws Exception {
         String limits =
                 "{\"limits\":{\"cores\":0.5,\n \"memory_mb\" : %d,\"sockets\":384},\"settings\":{}}";
         for (int[] c : new int[][] {{192, 124}, {144, 82}, {96, 40}, {64, 12}, {32, 12}}) {
-            String called = runWith(limits.formatted(c[0]));
+            String called = runWithConfig(limits.formatted(c[0]));
             assertTrue(called.contains(" -Xmx" + c[1] + "m "), c[0] + ": " + called);
             assertTrue(called.endsWith(" serve\n"), called);
         }
         String shared =
                 "{\"operator\":\"10.0.0.4:9800\",\"limits\":{\"memory_mb\":208},\"known\":{}}";
         assertTrue(
-                runWith(shared).contains(" -Xmx47m "),
-                "where an upgrade starts a second process each gets half");
+                runWithConfig(shared).contains(" -Xmx47m "),
+                "each process gets half where an upgrade starts a second one");
         String spread = "{\"limits\":{\"memory_mb\"\n :\n 96}, \"known\":{}}";
         assertTrue(
-                runWith(spread).contains(" -Xmx40m "),
-                "spread over lines, the last without an end");
-        assertTrue(runWith("{}").contains(" -Xmx124m "), "without a limit, as for the largest");
+                runWithConfig(spread).contains(" -Xmx40m "),
+                "spread over lines, the last without a line end");
+        assertTrue(
+                runWithConfig("{}").contains(" -Xmx124m "),
+                "without a limit, the heap of the largest size");
     }
 }
--- /dev/null
+++ b/relay/src/test/java/asterpulley/serve/ServerListChangeTest.java
@@ -0,0 +1,89 @@
+package asterpulley.serve;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Sudden changes on real sockets: a server list that replaces most servers, a burst of clients, and
+ * a start with an empty list while discovery refuses requests.
+ */
+class ServerListChangeTest extends RelayFixture {
+    private void assertTunnelsOpen(int tunnels) throws Exception {
+        for (int i = 0; i < tunnels; i++) {
+            assertEquals("UP r1", connectClient("chat", 3000).readLine());
+        }
+    }
+
+    @Test
+    void listReplacingMostServersTakesEffectAtOnce() throws Exception {
+        List<String> before = new ArrayList<>(), after = new ArrayList<>();
+        List<Backend> gone = new ArrayList<>();
+        for (int i = 0; i < 10; i++) {
+            Backend b = new Backend();
+            b.openAllTunnels();
+            before.add(b.listEntry("s" + i, "up"));
+            if (i < 4) {
+                after.add(b.listEntry("s" + i, "up"));
+            } else {
+                gone.add(b);
+                Backend anew = new Backend();
+                anew.openAllTunnels();
+                after.add(
+                        anew.listEntry("n" + i, "up")
+                                .replace(
+                                        "\"born_ms\":0",
+                                        "\"born_ms\":" + System.currentTimeMillis()));
+            }
+        }
+        startRelay(before.toArray(String[]::new));
+        assertTunnelsOpen(10);
+        discovery.requests.take();
+        discovery.publish(42, true, after.toArray(String[]::new));
+        assertTrue(discovery.requests.take().startsWith("/registry/instances?index=42&"));
+        int[] had = gone.stream().mapToInt(b -> b.openRequests.size()).toArray();
+        assertTunnelsOpen(20);
+        for (int i = 0; i < had.length; i++) {
+            assertEquals(
+                    had[i],
+                    gone.get(i).openRequests.size(),
+                    "no new tunnels to servers that the list dropped");
+        }
+        assertEquals(0, counterValue("declined"));
+    }
+
+    @Test
+    void burstBeyondTheSetupWindowIsFullyServed() throws Exception {
+        Backend b = new Backend();
+        startRelay(b.listEntry("s1", "up"));
+        List<TestConnection> rush = new ArrayList<>();
+        for (int i = 0; i < 12; i++) {
+            rush.add(connectClient("chat", 3000));
+        }
+        awaitCounter("taken", 12);
+        awaitCounter("setups", 1);
+        b.openAllTunnels();
+        for (TestConnection client : rush) {
+            assertEquals("UP r1", client.readLine());
+        }
+        assertEquals(0, counterValue("declined"));
+    }
+
+    @Test
+    void declinesWithAnEmptyListUntilTheFirstListArrives() throws Exception {
+        Backend b = new Backend();
+        b.openAllTunnels();
+        startRelay();
+        discovery.responses.add("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        discovery.requests.take();
+        awaitCounter("list_failures", 1);
+        assertTrue(connectClient("chat", 3000).readLine().matches("BUSY \\d+"));
+        discovery.publish(42, true, b.listEntry("s1", "up"));
+        discovery.requests.take();
+        assertTrue(discovery.requests.take().startsWith("/registry/instances?index=42&"));
+        assertTunnelsOpen(3);
+    }
+}
--- a/relay/src/test/java/asterpulley/serve/StartTest.java
+++ b/relay/src/test/java/asterpulley/serve/StartupTest.java
@@ -17,43 +17,50 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A relay starts while its discovery cannot be had: it is ready in time all the same. */
+/**
+ * Relays start while discovery cannot be reached. Guards against a start that waits for the server
+ * list until the relay is ready too late.
+ */
 @Timeout(60)
-class StartTest extends RelayStage {
-    private static final Pattern SERVING = Pattern.compile("serving n1 at 127\\.0\\.0\\.1:(\\d+)");
-    private static final int PROCESSES = 20;
+class StartupTest extends RelayFixture {
+    private static final Pattern SERVING_LINE =
+            Pattern.compile("serving n1 at 127\\.0\\.0\\.1:(\\d+)");
+    private static final int PROCESS_COUNT = 20;
 
-    /** Nine in ten of them are to be ready by then. */
-    private static final double READY = 10;
+    /** Seconds by which nine in ten processes have to be ready. */
+    private static final double READY_DEADLINE_S = 10;
 
-    /** The address of a discovery that is in this trouble. */
-    private String discovery(int trouble) throws IOException {
+    /**
+     * Returns the address of a discovery that refuses connections (0), answers with an error (1) or
+     * is silent (2).
+     */
+    private String faultyDiscoveryAddress(int trouble) throws IOException {
         if (trouble == 0) {
-            // Bound and never listened at: nobody is there, and nobody else comes there.
+            // Bound but not listening: connections are refused, and no other process gets the port.
             Socket nobody = new Socket();
-            open.add(nobody);
+            resources.add(nobody);
             nobody.bind(new InetSocketAddress("127.0.0.1", 0));
             return "127.0.0.1:" + nobody.getLocalPort();
         }
         return "127.0.0.1:"
                 + listen(
                                 end -> {
-                                    for (String line = end.line();
+                                    for (String line = end.readLine();
                                             line != null;
-                                            line = end.line()) {
+                                            line = end.readLine()) {
                                         if (line.isEmpty() && trouble == 1) {
-                                            end.say(
+                                            end.send(
                                                     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                                         }
-                                        // Else it takes the call and says nothing.
+                                        // Otherwise it reads the request and sends nothing.
                                     }
                                 })
                         .getLocalPort();
     }
 
-    private Path told(int n, String entry) throws IOException {
-        String discovery = discovery(n % 3);
-        config(1000, entry);
+    private Path writeConfig(int n, String entry) throws IOException {
+        String discovery = faultyDiscoveryAddress(n % 3);
+        createConfig(1000, entry);
         Path file = folder.resolve("config-" + n + ".json");
         return Files.writeString(
                 file,
@@ -63,18 +70,22 @@
                         .replace("\"subscribe\"", "\"automatic\""));
     }
 
-    /** Seconds from the start of the process to its first yes to a check of the front. */
-    private double ready(ProcessBuilder run, Path log) throws Exception {
+    /**
+     * Starts a process and returns the seconds until it first answers a health check (PING) with
+     * PONG.
+     */
+    private double secondsUntilReady(ProcessBuilder run, Path log) throws Exception {
         long since = System.nanoTime();
         Process process = run.start();
-        open.add(() -> process.destroyForcibly().waitFor());
+        resources.add(() -> process.destroyForcibly().waitFor());
         while (true) {
-            Matcher serving = SERVING.matcher(Files.exists(log) ? Files.readString(log) : "");
+            Matcher serving = SERVING_LINE.matcher(Files.exists(log) ? Files.readString(log) : "");
             if (serving.find()) {
-                try (End end =
-                        new End(new Socket("127.0.0.1", Integer.parseInt(serving.group(1))))) {
-                    end.say("PING\r\n");
-                    assertEquals("PONG", end.line());
+                try (TestConnection end =
+                        new TestConnection(
+                                new Socket("127.0.0.1", Integer.parseInt(serving.group(1))))) {
+                    end.send("PING\r\n");
+                    assertEquals("PONG", end.readLine());
                     return (System.nanoTime() - since) / 1e9;
                 }
             }
@@ -84,36 +95,35 @@
     }
 
     @Test
-    void nineInTenOfTwentyProcessesThatStartAtOnceAreReadyInTimeWithoutTheirDiscovery()
-            throws Exception {
+    void nineInTenProcessesAreReadyInTimeWithoutDiscovery() throws Exception {
         Backend one = new Backend();
-        Config slow = Config.read(told(2, one.entry("s1", "up")));
+        Config slow = Config.read(writeConfig(2, one.listEntry("s1", "up")));
         CompletableFuture<Double> slowStart = new CompletableFuture<>();
-        background(
+        runInBackground(
                 () -> {
                     try {
-                        slowStart.complete(slowStart(slow));
+                        slowStart.complete(secondsWaitedAfterSlowStart(slow));
                     } catch (Throwable e) {
                         slowStart.completeExceptionally(e);
                     }
                 });
         List<CompletableFuture<Double>> starts = new ArrayList<>();
         List<Path> configs = new ArrayList<>();
-        for (int i = 0; i < PROCESSES; i++) {
-            configs.add(told(i, one.entry("s1", "up")));
+        for (int i = 0; i < PROCESS_COUNT; i++) {
+            configs.add(writeConfig(i, one.listEntry("s1", "up")));
         }
-        for (int i = 0; i < PROCESSES; i++) {
+        for (int i = 0; i < PROCESS_COUNT; i++) {
             Path log = folder.resolve("log-" + i);
-            ProcessBuilder run = process(configs.get(i), log);
-            // As deploy/run starts it.
+            ProcessBuilder run = relayProcessBuilder(configs.get(i), log);
+            // The flags of deploy/run.
             run.command()
                     .addAll(1, List.of("-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xss512k"));
             CompletableFuture<Double> start = new CompletableFuture<>();
             starts.add(start);
-            background(
+            runInBackground(
                     () -> {
                         try {
-                            start.complete(ready(run, log));
+                            start.complete(secondsUntilReady(run, log));
                         } catch (Throwable e) {
                             start.completeExceptionally(e);
                         }
@@ -124,21 +134,22 @@
             took.add(start.get(40, TimeUnit.SECONDS));
         }
         took.sort(null);
-        assertTrue(took.get(PROCESSES * 9 / 10 - 1) < READY, "ready after " + took);
+        assertTrue(took.get(PROCESS_COUNT * 9 / 10 - 1) < READY_DEADLINE_S, "ready after " + took);
         double waited = slowStart.get(20, TimeUnit.SECONDS);
         assertTrue(
                 waited < 1.5,
-                "a start of 4.6 s waits no 2.5 s more for a silent discovery: " + waited);
+                "a start that took 4.6 s does not wait 2.5 s more for a silent discovery: "
+                        + waited);
     }
 
-    /** Seconds that a start waits for the list which has taken 4.6 s until then. */
-    private double slowStart(Config config) throws Exception {
-        serve = new RelayInstance(config, null);
-        open.add(serve::kill);
-        // The machine is slow: so long it takes until it could listen.
+    /** Returns the seconds that a start which has already taken 4.6 s waits for the server list. */
+    private double secondsWaitedAfterSlowStart(Config config) throws Exception {
+        relay = new RelayInstance(config, null);
+        resources.add(relay::kill);
+        // Simulates a slow machine, on which it takes this long until the relay could listen.
         TimeUnit.MILLISECONDS.sleep(4600);
         long since = System.nanoTime();
-        serve.open();
+        relay.open();
         return (System.nanoTime() - since) / 1e9;
     }
 }
--- a/relay/src/test/java/asterpulley/serve/KeptTest.java
+++ b/relay/src/test/java/asterpulley/serve/StateFilesTest.java
@@ -16,8 +16,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The files by which processes of one relay know of each other, whole, cut, foreign and gone. */
-class KeptTest {
+/**
+ * Tests the files that processes of one relay share: complete, truncated, with foreign content, and
+ * missing.
+ */
+class StateFilesTest {
     @TempDir Path folder;
 
     private Path file(String kind) {
@@ -25,14 +28,14 @@
     }
 
     @Test
-    void whatIsKeptIsReadAgainByAnotherProcess() throws IOException {
+    void cordonsAreReadByAnotherProcess() throws IOException {
         StateFiles one = new StateFiles(folder, "n1");
         StateFiles two = new StateFiles(folder, "n1");
         assertEquals(Optional.empty(), one.cordons());
         assertEquals(Optional.empty(), two.cordons());
         assertFalse(two.cordonsChanged());
         one.cordons(new TreeSet<>(Set.of("s-2", "s-1")));
-        assertFalse(one.cordonsChanged(), "its own change is none");
+        assertFalse(one.cordonsChanged(), "its own write does not count as a change");
         assertTrue(two.cordonsChanged());
         assertEquals(Optional.of(Set.of("s-1", "s-2")), two.cordons());
         assertFalse(two.cordonsChanged());
@@ -40,12 +43,12 @@
         assertTrue(two.cordonsChanged());
         assertEquals(Optional.of(Set.of()), two.cordons());
         try (var files = Files.list(folder)) {
-            assertEquals(1, files.count(), "nothing but the file is left");
+            assertEquals(1, files.count(), "no temporary file is left");
         }
     }
 
     @Test
-    void cutAtAnyByteTheWholeLinesCountAndNothingCrashes() throws IOException {
+    void readsCompleteLinesOfATruncatedFile() throws IOException {
         StateFiles kept = new StateFiles(folder, "n1");
         Set<String> all = new TreeSet<>(Set.of("s-1", "s-22", "s-333"));
         kept.cordons(all);
@@ -55,7 +58,7 @@
             Files.write(file("cordons"), Arrays.copyOf(whole, cut));
             Set<String> read = kept.cordons().orElseThrow();
             assertTrue(all.containsAll(read), read + " at " + cut);
-            assertTrue(read.size() >= most, "more of the file never tells less");
+            assertTrue(read.size() >= most, "a longer part of the file never yields fewer names");
             most = read.size();
         }
         assertEquals(3, most);
@@ -69,7 +72,7 @@
     }
 
     @Test
-    void whatCannotBeReadOrWrittenIsToldAndChangesNothing() throws IOException {
+    void reportsFilesThatCannotBeReadOrWritten() throws IOException {
         StateFiles kept = new StateFiles(folder, "n1");
         Files.createDirectories(file("cordons").resolve("inside"));
         assertEquals(Optional.empty(), kept.cordons());
@@ -82,7 +85,7 @@
     }
 
     @Test
-    void whatWasLearnedIsReadAgainAndAnythingElseIsNothing() throws IOException {
+    void restoresLearnedValuesAndIgnoresMalformedFiles() throws IOException {
         StateFiles kept = new StateFiles(folder, "n1");
         assertEquals(0, kept.learned().length);
         kept.learned(new double[] {0, 0.25, 46});
@@ -94,9 +97,9 @@
     }
 
     @Test
-    void onlyAnotherProcessThatRunsHasTakenOver() throws Exception {
+    void onlyARunningOtherProcessHasTakenOver() throws Exception {
         StateFiles kept = new StateFiles(folder, "n1");
-        assertFalse(kept.isSuperseded(), "nobody says so");
+        assertFalse(kept.isSuperseded(), "no process is recorded");
         kept.markServing();
         assertFalse(kept.isSuperseded(), "it is this process");
         Process other = new ProcessBuilder("sleep", "60").start();
--- a/relay/src/test/java/asterpulley/serve/SettingsService.java
+++ b/relay/src/test/java/asterpulley/serve/StubSettingsService.java
@@ -23,11 +23,12 @@
 import java.util.regex.Pattern;
 
 /**
- * A settings service as the tests play it: one document with its history, and a way in for each
- * relay that can be cut by itself. It waits with its answer until there is news, as a service does.
+ * A settings service for tests: one document with its history, and an endpoint for each relay that
+ * can be disconnected separately. It answers a long poll once there is a newer version, as the real
+ * service does.
  */
-final class SettingsService implements AutoCloseable {
-    private static final Pattern CALL =
+final class StubSettingsService implements AutoCloseable {
+    private static final Pattern REQUEST_LINE =
             Pattern.compile(
                     "GET /registry/settings(?:\\?index=([0-9]+)&wait=([0-9]+)&epoch=(-?[0-9]+))? HTTP/1.1");
 
@@ -35,42 +36,45 @@
 
     private final List<Change> history = new ArrayList<>();
     private Object document;
-    private long epoch, seq, oldest;
-    private final List<Way> ways = new CopyOnWriteArrayList<>();
+    private long epoch, seq, oldestVersionInHistory;
+    private final List<Endpoint> endpoints = new CopyOnWriteArrayList<>();
 
-    SettingsService(long epoch, long seq, Object document) {
-        restart(epoch, seq, document);
+    StubSettingsService(long epoch, long seq, Object document) {
+        replaceHistory(epoch, seq, document);
     }
 
-    /** Another history, as after a restart that lost the old one. */
-    synchronized void restart(long epoch, long seq, Object document) {
+    /** Starts another history, as after a restart that lost the old one. */
+    synchronized void replaceHistory(long epoch, long seq, Object document) {
         this.epoch = epoch;
         this.seq = seq;
         this.document = document;
         history.clear();
-        oldest = seq;
+        oldestVersionInHistory = seq;
         notifyAll();
     }
 
-    /** The next version. */
-    synchronized void change(Object patch) {
+    /** Publishes the next version. */
+    synchronized void publish(Object patch) {
         document = MergePatch.apply(document, patch);
         history.add(new Change(++seq, patch));
         notifyAll();
     }
 
-    /** Only whole copies from now on, but for what changes later. */
-    synchronized void compact() {
+    /** Drops the history: relays with an older version get the whole document. */
+    synchronized void compactHistory() {
         history.clear();
-        oldest = seq;
+        oldestVersionInHistory = seq;
     }
 
     synchronized long seq() {
         return seq;
     }
 
-    /** The answer to who has this version, or to who has none; waits for news so long. */
-    private synchronized String answer(String index, String wait, String of)
+    /**
+     * Returns the response for a relay with version {@code index}, or with none; waits up to {@code
+     * wait} ms for a newer one.
+     */
+    private synchronized String awaitResponse(String index, String wait, String of)
             throws InterruptedException {
         long until = System.nanoTime() + (wait == null ? 0 : Long.parseLong(wait)) * 1_000_000;
         while (index != null
@@ -83,7 +87,9 @@
         answer.put("epoch", epoch);
         answer.put("seq", seq);
         boolean whole =
-                index == null || Long.parseLong(of) != epoch || Long.parseLong(index) < oldest;
+                index == null
+                        || Long.parseLong(of) != epoch
+                        || Long.parseLong(index) < oldestVersionInHistory;
         answer.put("whole", whole);
         if (whole) {
             answer.put("settings", document);
@@ -99,82 +105,85 @@
         return Json.text(answer);
     }
 
-    Way way() throws IOException {
-        Way way = new Way();
-        ways.add(way);
+    Endpoint addEndpoint() throws IOException {
+        Endpoint way = new Endpoint();
+        endpoints.add(way);
         return way;
     }
 
     @Override
     public void close() throws IOException {
-        for (Way way : ways) {
-            way.cut();
-            way.listening.close();
+        for (Endpoint way : endpoints) {
+            way.disconnect();
+            way.serverSocket.close();
         }
     }
 
-    /** One relay's way to the service, at an address of its own. */
-    final class Way {
-        private final ServerSocket listening;
-        private volatile boolean cut;
+    /** The service as one relay reaches it, at an address of its own. */
+    final class Endpoint {
+        private final ServerSocket serverSocket;
+        private volatile boolean disconnected;
 
-        /** How many came while it was cut. */
-        volatile int refused;
+        /** How many connections came while it was disconnected. */
+        volatile int refusedCount;
 
-        private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+        private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-        /** The queries as they came, and the bodies as they went out. */
-        final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
+        /** The paths of all requests, and the bodies of all responses. */
+        final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
 
-        final List<String> bodies = new CopyOnWriteArrayList<>();
+        final List<String> responses = new CopyOnWriteArrayList<>();
 
-        /** Instead of the service's answer, in their order: whole answers, "" for silence. */
-        final BlockingQueue<String> instead = new LinkedBlockingQueue<>();
+        /**
+         * Responses to send instead of the service's own, in order: a body, or a whole HTTP
+         * response; "" sends nothing.
+         */
+        final BlockingQueue<String> scriptedResponses = new LinkedBlockingQueue<>();
 
         volatile long bytesIn, bytesOut;
 
-        private Way() throws IOException {
-            listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-            RelayStage.background(
+        private Endpoint() throws IOException {
+            serverSocket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+            RelayFixture.runInBackground(
                     () -> {
                         while (true) {
-                            Socket socket = listening.accept();
-                            open.add(socket);
-                            if (cut) {
-                                refused++;
+                            Socket socket = serverSocket.accept();
+                            openSockets.add(socket);
+                            if (disconnected) {
+                                refusedCount++;
                                 reset(socket);
                             } else {
-                                RelayStage.background(() -> serve(socket));
+                                RelayFixture.runInBackground(() -> serve(socket));
                             }
                         }
                     });
         }
 
         String address() {
-            return "127.0.0.1:" + listening.getLocalPort();
+            return "127.0.0.1:" + serverSocket.getLocalPort();
         }
 
         /**
-         * What is open is reset, and so is whoever comes. The port stays taken: it must be nobody
-         * else's meanwhile.
+         * Resets all open connections and every new one. The port stays bound, so that no other
+         * process gets it meanwhile.
          */
-        void cut() throws IOException {
-            cut = true;
-            for (Socket socket : open) {
+        void disconnect() throws IOException {
+            disconnected = true;
+            for (Socket socket : openSockets) {
                 reset(socket);
             }
         }
 
-        void mend() {
-            cut = false;
+        void reconnect() {
+            disconnected = false;
         }
 
         private void reset(Socket socket) throws IOException {
-            open.remove(socket);
+            openSockets.remove(socket);
             try {
                 socket.setSoLinger(true, 0);
             } catch (SocketException e) {
-                // Its own thread has closed it just now.
+                // The thread that serves it has just closed it.
                 return;
             }
             socket.close();
@@ -191,19 +200,19 @@
                     bytesIn += line.length() + 2;
                     call = line.startsWith("GET ") ? line : call;
                     if (line.isEmpty()) {
-                        Matcher m = CALL.matcher(call);
-                        calls.add(call.split(" ")[1]);
-                        String told = instead.poll();
+                        Matcher m = REQUEST_LINE.matcher(call);
+                        requests.add(call.split(" ")[1]);
+                        String told = scriptedResponses.poll();
                         String body =
                                 told != null
                                         ? told
                                         : m.matches()
-                                                ? answer(m.group(1), m.group(2), m.group(3))
+                                                ? awaitResponse(m.group(1), m.group(2), m.group(3))
                                                 : "{}";
                         if (body.isEmpty()) {
                             continue;
                         }
-                        bodies.add(body);
+                        responses.add(body);
                         byte[] bytes =
                                 (body.startsWith("HTTP/")
                                                 ? body
@@ -219,7 +228,7 @@
                     }
                 }
             } finally {
-                open.remove(socket);
+                openSockets.remove(socket);
             }
         }
     }
--- a/relay/src/test/java/asterpulley/serve/ToldRelay.java
+++ b/relay/src/test/java/asterpulley/serve/ToldRelay.java
@@ -3,8 +3,8 @@
 import java.nio.file.Path;
 
 /**
- * A relay as a process of its own that is told as by an operator's file: the platform's start would
- * drop a settings service.
+ * Main class of a relay process that reads its configuration as an operator's file. The platform's
+ * start would drop the settings service from it.
  */
 final class ToldRelay {
     private ToldRelay() {}
--- a/relay/src/test/java/asterpulley/serve/UpgradeTest.java
+++ b/relay/src/test/java/asterpulley/serve/UpgradeTest.java
@@ -21,72 +21,73 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A relay that is replaced while it serves, as operators do it: two processes of their own, one
- * address for clients.
+ * Replaces a relay while it serves, as operators do: two processes share one client address. Guards
+ * against connections that are lost in the change, and against cordons that the new process does
+ * not know.
  */
 @Timeout(120)
-class UpgradeTest extends RelayStage {
-    private int listen;
+class UpgradeTest extends RelayFixture {
+    private int clientPort;
 
-    /** One process of the relay and its operators' address. */
-    private final class Relay implements AutoCloseable {
+    /** A relay process and its operator address. */
+    private final class RelayProcess implements AutoCloseable {
         final Process process;
-        final int door;
-        final Path log;
+        final int operatorPort;
+        final Path logFile;
 
-        Relay(Backend... backends) throws IOException {
-            door = freePort();
-            Path config = folder.resolve("config-" + door + ".json");
+        RelayProcess(Backend... backends) throws IOException {
+            operatorPort = freePort();
+            Path config = folder.resolve("config-" + operatorPort + ".json");
             List<String> entries = new ArrayList<>();
             for (int b = 0; b < backends.length; b++) {
-                entries.add(backends[b].entry("s" + (b + 1), "up"));
+                entries.add(backends[b].listEntry("s" + (b + 1), "up"));
             }
-            config(1000, entries.toArray(String[]::new));
+            createConfig(1000, entries.toArray(String[]::new));
             Files.writeString(
                     config,
                     Files.readString(folder.resolve("config.json"))
                             .replace(
                                     "127.0.0.1:0\"",
                                     "127.0.0.1:"
-                                            + listen
+                                            + clientPort
                                             + "\",\"operator\":\"127.0.0.1:"
-                                            + door
+                                            + operatorPort
                                             + "\""));
-            registry.tells(41);
-            log = folder.resolve("log-" + door);
-            ProcessBuilder run = process(config, log);
+            discovery.publish(41);
+            logFile = folder.resolve("log-" + operatorPort);
+            ProcessBuilder run = relayProcessBuilder(config, logFile);
             run.environment().put("TMPDIR", folder.toString());
             process = run.start();
-            open.add(this);
+            resources.add(this);
         }
 
-        /** Waits until it says yes. */
-        Relay ready() throws Exception {
+        /** Waits until its health check succeeds. */
+        RelayProcess awaitReady() throws Exception {
             while (call("GET", "health") != 200) {
-                assertTrue(process.isAlive(), Files.readString(log));
+                assertTrue(process.isAlive(), Files.readString(logFile));
                 Thread.sleep(5);
             }
             return this;
         }
 
-        /** The status; 0 where nobody answers. */
+        /** Returns the HTTP status, or 0 if nobody answers. */
         int call(String method, String path) {
-            try (End end = new End(new Socket("127.0.0.1", door))) {
-                end.say(
+            try (TestConnection end = new TestConnection(new Socket("127.0.0.1", operatorPort))) {
+                end.send(
                         method
                                 + " /admin/"
                                 + path
                                 + " HTTP/1.1\r\nHost: d\r\nContent-Length: 0\r\n\r\n");
-                return Integer.parseInt(end.line().split(" ")[1]);
+                return Integer.parseInt(end.readLine().split(" ")[1]);
             } catch (IOException e) {
                 return 0;
             }
         }
 
-        long figure(String name) throws IOException {
-            try (End end = new End(new Socket("127.0.0.1", door))) {
-                end.say("GET /admin/stats HTTP/1.1\r\nHost: d\r\n\r\n");
-                return new String(end.in.readAllBytes(), StandardCharsets.UTF_8)
+        long metric(String name) throws IOException {
+            try (TestConnection end = new TestConnection(new Socket("127.0.0.1", operatorPort))) {
+                end.send("GET /admin/stats HTTP/1.1\r\nHost: d\r\n\r\n");
+                return new String(end.input.readAllBytes(), StandardCharsets.UTF_8)
                         .lines()
                         .filter(l -> l.startsWith("relay_" + name + " "))
                         .map(l -> Long.parseLong(l.split(" ")[1]))
@@ -95,11 +96,11 @@
             }
         }
 
-        /** Sends SIGTERM and waits for its orderly end. */
-        void leave() throws Exception {
+        /** Sends SIGTERM and waits for the graceful shutdown. */
+        void terminate() throws Exception {
             process.destroy();
             assertTrue(process.waitFor(6, TimeUnit.SECONDS));
-            assertEquals(0, process.exitValue(), Files.readString(log));
+            assertEquals(0, process.exitValue(), Files.readString(logFile));
         }
 
         @Override
@@ -114,18 +115,18 @@
         }
     }
 
-    private Backend openingBackend() throws IOException {
+    private Backend echoBackend() throws IOException {
         Backend b = new Backend();
-        background(
+        runInBackground(
                 () -> {
                     while (true) {
-                        End end = b.opens();
-                        background(
+                        TestConnection end = b.openNextTunnel();
+                        runInBackground(
                                 () -> {
-                                    for (String line = end.line();
+                                    for (String line = end.readLine();
                                             line != null;
-                                            line = end.line()) {
-                                        end.say(line + "\r\n");
+                                            line = end.readLine()) {
+                                        end.send(line + "\r\n");
                                     }
                                     end.close();
                                 });
@@ -134,9 +135,11 @@
         return b;
     }
 
-    /** One client: what became of its connection, {@code null} where it had its answer. */
-    private String tries(String id) {
-        try (Socket socket = new Socket("127.0.0.1", listen)) {
+    /**
+     * Sends one client's open request; returns what went wrong, or {@code null} if it was answered.
+     */
+    private String failureOfOpen(String id) {
+        try (Socket socket = new Socket("127.0.0.1", clientPort)) {
             socket.setSoTimeout(5000);
             socket.getOutputStream()
                     .write(
@@ -152,20 +155,22 @@
 
     @Test
     void upgradesUnderLoadLoseNoConnection() throws Exception {
-        listen = freePort();
-        Backend b = openingBackend();
-        Relay now = new Relay(b).ready();
+        clientPort = freePort();
+        Backend b = echoBackend();
+        RelayProcess now = new RelayProcess(b).awaitReady();
         AtomicBoolean over = new AtomicBoolean();
         AtomicInteger ids = new AtomicInteger(), served = new AtomicInteger();
         ConcurrentLinkedQueue<String> lost = new ConcurrentLinkedQueue<>();
         List<Thread> load = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
-            // So many at once that some always wait in the queue.
+            // Enough at once that some always wait in the listen backlog.
             load.add(
                     new Thread(
                             () -> {
                                 while (!over.get()) {
-                                    String what = tries(Integer.toHexString(ids.incrementAndGet()));
+                                    String what =
+                                            failureOfOpen(
+                                                    Integer.toHexString(ids.incrementAndGet()));
                                     if (what == null) {
                                         served.incrementAndGet();
                                     } else {
@@ -177,11 +182,11 @@
         load.forEach(Thread::start);
         int upgrades = 3;
         for (int i = 0; i < upgrades; i++) {
-            Relay next = new Relay(b).ready();
-            now.leave();
+            RelayProcess next = new RelayProcess(b).awaitReady();
+            now.terminate();
             assertTrue(
-                    Files.readString(now.log).contains("another process serves"),
-                    Files.readString(now.log));
+                    Files.readString(now.logFile).contains("another process serves"),
+                    Files.readString(now.logFile));
             now = next;
         }
         over.set(true);
@@ -194,66 +199,67 @@
     }
 
     @Test
-    void aCordonOutlivesUpgradesAndIsLiftedByWhicheverProcessIsAsked() throws Exception {
-        listen = freePort();
-        Backend one = openingBackend();
-        Backend two = openingBackend();
-        Relay old = new Relay(one, two).ready();
+    void cordonSurvivesUpgradesAndAnyProcessLiftsIt() throws Exception {
+        clientPort = freePort();
+        Backend one = echoBackend();
+        Backend two = echoBackend();
+        RelayProcess old = new RelayProcess(one, two).awaitReady();
         assertEquals(200, old.call("POST", "cordon/s1"));
-        Relay next = new Relay(one, two).ready();
-        assertEquals(1, next.figure("members_unavailable"), "known before its yes");
+        RelayProcess next = new RelayProcess(one, two).awaitReady();
+        assertEquals(
+                1, next.metric("members_unavailable"), "known before its health check succeeds");
         assertEquals(200, next.call("POST", "cordon/s2"));
-        while (old.figure("members_unavailable") != 2) {
-            // It looks for what the other was told.
+        while (old.metric("members_unavailable") != 2) {
+            // The old process polls for cordons that the other has written.
             Thread.sleep(5);
         }
-        old.leave();
+        old.terminate();
         assertEquals(200, next.call("POST", "uncordon/s2"));
-        int before = one.openings.size();
+        int before = one.openRequests.size();
         for (int i = 0; i < 10; i++) {
-            assertEquals(null, tries("a" + i));
+            assertEquals(null, failureOfOpen("a" + i));
         }
-        assertEquals(before, one.openings.size());
-        // Restarted meanwhile: the new process's list says so, and it stays left out.
-        Backend anew = openingBackend();
-        Relay last = new Relay(anew, two).ready();
-        next.leave();
+        assertEquals(before, one.openRequests.size());
+        // The server was restarted meanwhile, as the new process's list says; it stays cordoned.
+        Backend anew = echoBackend();
+        RelayProcess last = new RelayProcess(anew, two).awaitReady();
+        next.terminate();
         for (int i = 0; i < 10; i++) {
-            assertEquals(null, tries("c" + i));
+            assertEquals(null, failureOfOpen("c" + i));
         }
-        assertEquals(0, anew.openings.size());
+        assertEquals(0, anew.openRequests.size());
         assertEquals(200, last.call("POST", "uncordon/s1"));
-        assertEquals(0, last.figure("members_unavailable"));
-        for (int i = 0; anew.openings.isEmpty(); i++) {
+        assertEquals(0, last.metric("members_unavailable"));
+        for (int i = 0; anew.openRequests.isEmpty(); i++) {
             assertTrue(i < 200, "it is used again");
-            assertEquals(null, tries("d" + i));
+            assertEquals(null, failureOfOpen("d" + i));
         }
     }
 
     @Test
-    void aNewProcessThatDiesLeavesTheOldOneServingAndAStandingClientIsMovedOver() throws Exception {
-        listen = freePort();
-        Backend b = openingBackend();
-        Relay old = new Relay(b).ready();
-        Relay stillborn = new Relay(b);
+    void failedUpgradeKeepsOldProcessServingAndNextUpgradeMovesClients() throws Exception {
+        clientPort = freePort();
+        Backend b = echoBackend();
+        RelayProcess old = new RelayProcess(b).awaitReady();
+        RelayProcess stillborn = new RelayProcess(b);
         stillborn.process.destroyForcibly().waitFor();
         for (int i = 0; i < 20; i++) {
-            assertEquals(null, tries("b" + i));
+            assertEquals(null, failureOfOpen("b" + i));
         }
-        End standing = new End(new Socket("127.0.0.1", listen));
-        open.add(standing);
-        standing.say("OPEN c1 7f3a c=chat,t=acme,d=2000\r\n");
-        assertEquals("UP r1", standing.line());
+        TestConnection standing = new TestConnection(new Socket("127.0.0.1", clientPort));
+        resources.add(standing);
+        standing.send("OPEN c1 7f3a c=chat,t=acme,d=2000\r\n");
+        assertEquals("UP r1", standing.readLine());
         while (!Files.exists(folder.resolve("asterpulley-n1.learned"))) {
             Thread.sleep(5);
         }
-        Relay next = new Relay(b).ready();
+        RelayProcess next = new RelayProcess(b).awaitReady();
         assertTrue(
-                Files.readString(next.log)
+                Files.readString(next.logFile)
                         .contains("taken over: what another process had learned"));
-        old.leave();
-        assertEquals("MOVE", standing.line());
-        assertEquals(null, tries("c2"));
-        assertEquals(1, next.figure("upstream_requests_total"));
+        old.terminate();
+        assertEquals("MOVE", standing.readLine());
+        assertEquals(null, failureOfOpen("c2"));
+        assertEquals(1, next.metric("upstream_requests_total"));
     }
 }
--- a/relay/src/test/java/asterpulley/settings/InForceTest.java
+++ b/relay/src/test/java/asterpulley/settings/ActiveSettingsTest.java
@@ -24,8 +24,11 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Which version is in force, whatever the service tells and in whatever order. */
-class InForceTest {
+/**
+ * Which version of the settings is active, whatever the service sends and in whatever order. Guards
+ * against mixed versions, steps back to an older one, and entries that change their index.
+ */
+class ActiveSettingsTest {
     static Map<String, Object> map(Object... namesAndValues) {
         Map<String, Object> map = new LinkedHashMap<>();
         for (int i = 0; i < namesAndValues.length; i += 2) {
@@ -34,7 +37,7 @@
         return map;
     }
 
-    private static Map<String, Object> own() {
+    private static Map<String, Object> ownSettings() {
         return map(
                 "zones",
                 List.of("a", "b"),
@@ -57,14 +60,15 @@
     }
 
     private static ActiveSettings relay() {
-        return new ActiveSettings(own(), all -> {}, 0);
+        return new ActiveSettings(ownSettings(), all -> {}, 0);
     }
 
-    private static Map<String, Object> whole(long epoch, long seq, Object settings) {
+    private static Map<String, Object> wholeAnswer(long epoch, long seq, Object settings) {
         return map("epoch", epoch, "seq", seq, "whole", true, "settings", settings);
     }
 
-    private static Map<String, Object> changes(long epoch, long seq, Object... seqsAndPatches) {
+    private static Map<String, Object> changesAnswer(
+            long epoch, long seq, Object... seqsAndPatches) {
         List<Object> all = new ArrayList<>();
         for (int i = 0; i < seqsAndPatches.length; i += 2) {
             all.add(map("seq", seqsAndPatches[i], "patch", seqsAndPatches[i + 1]));
@@ -73,10 +77,10 @@
     }
 
     /**
-     * What is in force, by name and without what was taken away: places may differ by the way that
-     * led there.
+     * Returns the active settings with profiles and tenants by name and without removed ones: their
+     * indexes depend on the sequence of changes.
      */
-    private static Map<String, Object> inForce(ActiveSettings relay) {
+    private static Map<String, Object> activeByName(ActiveSettings relay) {
         Map<String, Object> all = new TreeMap<>(relay.effectiveDocument());
         for (String list : List.of("profiles", "tenants")) {
             Map<String, Object> byName = new TreeMap<>();
@@ -89,10 +93,10 @@
         return all;
     }
 
-    // ---- Any sequence
+    // ---- Random sequences
 
-    /** A history of changes, some of which cannot be in force; drawn. */
-    private static List<Object> history(Random random, int length) {
+    /** Returns random patches, some of which lead to invalid settings. */
+    private static List<Object> randomPatches(Random random, int length) {
         List<Object> patches = new ArrayList<>();
         for (int i = 0; i < length; i++) {
             String name = List.of("chat", "bulk", "pay").get(random.nextInt(3));
@@ -136,7 +140,7 @@
         return patches;
     }
 
-    private static List<Object> documents(List<Object> patches) {
+    private static List<Object> documentVersions(List<Object> patches) {
         List<Object> documents = new ArrayList<>();
         documents.add(map("profiles", map("chat", map("setupGoalMs", 200))));
         patches.forEach(
@@ -147,26 +151,28 @@
     }
 
     @Property(tries = 600, seed = "6")
-    void anySequenceEndsAsAllInTheirOrderWouldAndIsNeverBetweenTwo(
+    void anyAnswerSequenceConvergesAndNeverMixesVersions(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 12) int length,
             @ForAll @IntRange(max = 12) int answers) {
         Random random = new Random(seed);
         Map<Version, Map<String, Object>> good = new HashMap<>();
-        good.put(Version.NONE, inForce(relay()));
-        List<List<Object>> patches = List.of(history(random, length), history(random, length));
-        List<List<Object>> documents = patches.stream().map(InForceTest::documents).toList();
+        good.put(Version.NONE, activeByName(relay()));
+        List<List<Object>> patches =
+                List.of(randomPatches(random, length), randomPatches(random, length));
+        List<List<Object>> documents =
+                patches.stream().map(ActiveSettingsTest::documentVersions).toList();
         for (int e = 0; e < 2; e++) {
             ActiveSettings ordered = relay();
             for (int v = 0; v <= length; v++) {
                 var verdict =
                         ordered.received(
                                 v == 0
-                                        ? whole(e + 1, 0, documents.get(e).get(0))
-                                        : changes(e + 1, v, v, patches.get(e).get(v - 1)),
+                                        ? wholeAnswer(e + 1, 0, documents.get(e).get(0))
+                                        : changesAnswer(e + 1, v, v, patches.get(e).get(v - 1)),
                                 v);
                 if (verdict.kind() == Kind.IN_FORCE) {
-                    good.put(new Version(e + 1, v), inForce(ordered));
+                    good.put(new Version(e + 1, v), activeByName(ordered));
                 }
             }
         }
@@ -186,7 +192,7 @@
                             : random.nextInt(3) == 0;
             Map<String, Object> answer;
             if (whole) {
-                answer = whole(e + 1, to, documents.get(e).get(to));
+                answer = wholeAnswer(e + 1, to, documents.get(e).get(to));
             } else {
                 List<Object> some = new ArrayList<>();
                 for (int v = from + 1; v <= to; v++) {
@@ -203,13 +209,13 @@
             assertEquals(!relay.version().equals(before), verdict.changed());
             assertTrue(
                     relay.version().compareTo(before) >= 0,
-                    "never back: " + before + " to " + relay.version());
+                    "never back to an older version: " + before + " to " + relay.version());
             assertEquals(
                     good.get(relay.version()),
-                    inForce(relay),
-                    "one of the versions, whole: " + relay.version());
+                    activeByName(relay),
+                    "exactly one of the versions: " + relay.version());
             List<String> now = relay.settings().profiles.stream().map(p -> p.name).toList();
-            assertEquals(places, now.subList(0, places.size()), "a place is a name's for good");
+            assertEquals(places, now.subList(0, places.size()), "a name keeps its index for good");
             places = now;
         }
         assertEquals(new Version(2, length), relay.received());
@@ -221,41 +227,42 @@
     }
 
     /**
-     * The same changes one by one, all at once, and in two parts: the same version is in force, the
-     * last good one.
+     * The same changes arrive one by one, all at once, and in two parts: each time the last valid
+     * version is active.
      */
     @Property(tries = 300, seed = "6")
-    void howManyComeInOneAnswerMakesNoDifference(
+    void groupingOfChangesIntoAnswersMakesNoDifference(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int length) {
         Random random = new Random(seed);
-        List<Object> patches = history(random, length);
+        List<Object> patches = randomPatches(random, length);
         int cut = random.nextInt(length + 1);
         List<ActiveSettings> relays = List.of(relay(), relay(), relay());
-        relays.forEach(relay -> relay.received(whole(1, 0, documents(patches).get(0)), 0));
+        relays.forEach(
+                relay -> relay.received(wholeAnswer(1, 0, documentVersions(patches).get(0)), 0));
         Object[] all = new Object[2 * length];
         for (int v = 1; v <= length; v++) {
-            relays.get(0).received(changes(1, v, v, patches.get(v - 1)), v);
+            relays.get(0).received(changesAnswer(1, v, v, patches.get(v - 1)), v);
             all[2 * v - 2] = v;
             all[2 * v - 1] = patches.get(v - 1);
         }
-        relays.get(1).received(changes(1, length, all), 1);
-        relays.get(2).received(changes(1, cut, Arrays.copyOf(all, 2 * cut)), 1);
-        relays.get(2).received(changes(1, length, all), 2);
+        relays.get(1).received(changesAnswer(1, length, all), 1);
+        relays.get(2).received(changesAnswer(1, cut, Arrays.copyOf(all, 2 * cut)), 1);
+        relays.get(2).received(changesAnswer(1, length, all), 2);
         for (ActiveSettings relay : relays) {
             assertEquals(relays.get(0).version(), relay.version());
-            assertEquals(inForce(relays.get(0)), inForce(relay));
+            assertEquals(activeByName(relays.get(0)), activeByName(relay));
         }
     }
 
-    // ---- Case by case
+    // ---- Single cases
 
     @Test
-    void whatIsRefusedIsToldByItsPlaceAndTheLastGoodOneStays() {
+    void reportsPathOfRefusedSettingsAndKeepsTheLastGoodOnes() {
         ActiveSettings relay = relay();
         assertEquals(
                 Kind.IN_FORCE,
-                relay.received(whole(1, 5, map("limits", map("mostSetups", 2))), 5).kind());
-        Map<String, Object> was = inForce(relay);
+                relay.received(wholeAnswer(1, 5, map("limits", map("mostSetups", 2))), 5).kind());
+        Map<String, Object> was = activeByName(relay);
         long seq = 5;
         Object[][] wrong = {
             {map("limits", map("mostSetups", "two")), "limits.mostSetups: not a number"},
@@ -297,7 +304,7 @@
             {"words", "settings: not an object"}
         };
         for (Object[] one : wrong) {
-            var verdict = relay.received(whole(1, ++seq, one[0]), seq);
+            var verdict = relay.received(wholeAnswer(1, ++seq, one[0]), seq);
             assertEquals(
                     Kind.REFUSED,
                     verdict.kind(),
@@ -307,18 +314,21 @@
                     relay.lastRefusal().reason());
             assertEquals(new Version(1, seq), relay.lastRefusal().version());
             assertEquals(new Version(1, 5), relay.version());
-            assertEquals(was, inForce(relay));
+            assertEquals(was, activeByName(relay));
             assertEquals(
-                    Kind.SAME, relay.received(whole(1, seq, one[0]), seq).kind(), "refused once");
+                    Kind.SAME,
+                    relay.received(wholeAnswer(1, seq, one[0]), seq).kind(),
+                    "refused once");
         }
         assertEquals(wrong.length, relay.refusalCount());
         assertEquals(5, relay.activeSince());
-        // A good one after them, as a change from what was refused.
-        relay.received(whole(1, ++seq, map("limits", map("mostSetups", 0))), 30);
+        // A valid version after them, as a change from the refused one.
+        relay.received(wholeAnswer(1, ++seq, map("limits", map("mostSetups", 0))), 30);
         assertEquals(
                 Kind.IN_FORCE,
                 relay.received(
-                                changes(1, seq + 1, seq + 1, map("limits", map("mostSetups", 4))),
+                                changesAnswer(
+                                        1, seq + 1, seq + 1, map("limits", map("mostSetups", 4))),
                                 31)
                         .kind());
         assertEquals(4, relay.settings().maxSetupsPerTunnel);
@@ -326,10 +336,10 @@
     }
 
     @Test
-    void whoElseReadsSettingsMayRefuseThem() {
+    void otherReadersMayRefuseSettings() {
         ActiveSettings relay =
                 new ActiveSettings(
-                        own(),
+                        ownSettings(),
                         all -> {
                             if (Json.list(all, "tenants").size() > 1) {
                                 throw new Json.MalformedException("pools: one customer too many");
@@ -338,45 +348,47 @@
                         0);
         assertEquals(
                 Kind.REFUSED,
-                relay.received(whole(1, 1, map("tenants", map("a", map(), "b", map()))), 1).kind());
+                relay.received(wholeAnswer(1, 1, map("tenants", map("a", map(), "b", map()))), 1)
+                        .kind());
         assertEquals("pools: one customer too many", relay.lastRefusal().reason());
         assertEquals(List.of(0.5), relay.settings().customerShares);
     }
 
     @Test
-    void oldAnswersAndOtherHistoriesAreToldApart() {
+    void distinguishesStaleAnswersFromOtherEpochs() {
         ActiveSettings relay = relay();
         assertEquals(
                 Kind.GAP,
-                relay.received(changes(3, 9, 9, map()), 1).kind(),
-                "nothing to change yet");
+                relay.received(changesAnswer(3, 9, 9, map()), 1).kind(),
+                "no document to change yet");
         assertTrue(relay.needsFullDocument());
-        relay.received(whole(3, 9, map("siblings", 4)), 1);
-        assertEquals(Kind.STALE, relay.received(whole(3, 8, map("siblings", 5)), 2).kind());
+        relay.received(wholeAnswer(3, 9, map("siblings", 4)), 1);
+        assertEquals(Kind.STALE, relay.received(wholeAnswer(3, 8, map("siblings", 5)), 2).kind());
         assertEquals(
                 Kind.STALE,
-                relay.received(whole(2, 99, map("siblings", 5)), 2).kind(),
-                "an older history");
+                relay.received(wholeAnswer(2, 99, map("siblings", 5)), 2).kind(),
+                "an older epoch");
         assertEquals(
                 Kind.GAP,
-                relay.received(changes(3, 11, 11, map("siblings", 6)), 2).kind(),
+                relay.received(changesAnswer(3, 11, 11, map("siblings", 6)), 2).kind(),
                 "10 is missing");
-        assertEquals(Kind.IN_FORCE, relay.received(whole(3, 11, map("siblings", 6)), 2).kind());
+        assertEquals(
+                Kind.IN_FORCE, relay.received(wholeAnswer(3, 11, map("siblings", 6)), 2).kind());
         assertEquals(
                 Kind.GAP,
-                relay.received(changes(4, 12, 12, map("siblings", 7)), 2).kind(),
-                "of another history");
+                relay.received(changesAnswer(4, 12, 12, map("siblings", 7)), 2).kind(),
+                "of another epoch");
         assertEquals(6, relay.settings().relayCount);
         assertEquals(
                 Kind.IN_FORCE,
-                relay.received(whole(4, 2, map("siblings", 8)), 2).kind(),
-                "lower, but of the later one");
+                relay.received(wholeAnswer(4, 2, map("siblings", 8)), 2).kind(),
+                "lower, but of a later epoch");
         assertEquals(8, relay.settings().relayCount);
         relay.serviceChanged();
         assertEquals(
                 Kind.IN_FORCE,
-                relay.received(whole(1, 1, map("siblings", 9)), 2).kind(),
-                "another service's whole counts");
+                relay.received(wholeAnswer(1, 1, map("siblings", 9)), 2).kind(),
+                "the whole document of another service counts");
         for (Map<String, Object> malformed :
                 List.of(
                         map("seq", 5),
@@ -399,7 +411,7 @@
                                 "changes",
                                 List.of(map("seq", 2, "patch", map("siblings", 1)), 7)),
                         map("epoch", "x", "seq", 5, "whole", true, "settings", map()),
-                        whole(1, -1, map()))) {
+                        wholeAnswer(1, -1, map()))) {
             assertThrows(Json.MalformedException.class, () -> relay.received(malformed, 3));
             assertEquals(new Version(1, 1), relay.received());
             assertEquals(9, relay.settings().relayCount);
@@ -407,31 +419,35 @@
     }
 
     /**
-     * One machine of a service that tells what is nobody's version must not shut out the others'
-     * for good.
+     * A faulty instance of the service that sends a version which was never published must not
+     * block the versions of the others for good.
      */
     @Test
-    void aRefusedVersionFarAheadShutsNothingOut() {
+    void refusedFutureVersionDoesNotBlockLaterOnes() {
         ActiveSettings relay = relay();
-        relay.received(whole(1, 5, map("siblings", 5)), 1);
+        relay.received(wholeAnswer(1, 5, map("siblings", 5)), 1);
         assertEquals(
-                Kind.REFUSED, relay.received(whole(9, 999, map("siblings", "many")), 2).kind());
+                Kind.REFUSED,
+                relay.received(wholeAnswer(9, 999, map("siblings", "many")), 2).kind());
         assertEquals(
                 Kind.GAP,
-                relay.received(changes(1, 5), 3).kind(),
+                relay.received(changesAnswer(1, 5), 3).kind(),
                 "the others know no such version");
-        assertEquals(Kind.SAME, relay.received(whole(1, 5, map("siblings", 5)), 3).kind());
-        assertEquals(Kind.IN_FORCE, relay.received(changes(1, 6, 6, map("siblings", 6)), 4).kind());
-        relay.received(changes(1, 999, 7, map("siblings", "many")), 5);
-        assertEquals(Kind.IN_FORCE, relay.received(whole(1, 8, map("siblings", 8)), 6).kind());
+        assertEquals(Kind.SAME, relay.received(wholeAnswer(1, 5, map("siblings", 5)), 3).kind());
+        assertEquals(
+                Kind.IN_FORCE,
+                relay.received(changesAnswer(1, 6, 6, map("siblings", 6)), 4).kind());
+        relay.received(changesAnswer(1, 999, 7, map("siblings", "many")), 5);
+        assertEquals(
+                Kind.IN_FORCE, relay.received(wholeAnswer(1, 8, map("siblings", 8)), 6).kind());
         assertEquals(8, relay.settings().relayCount);
     }
 
     @Test
-    void whatWasTakenAwayKeepsItsPlaceAndComesBackToIt() {
+    void removedEntriesKeepTheirIndexAndReturnToIt() {
         ActiveSettings relay = relay();
         relay.received(
-                whole(
+                wholeAnswer(
                         1,
                         1,
                         map(
@@ -452,18 +468,21 @@
         assertEquals(
                 List.of(1.0, 0.2),
                 relay.settings().customerShares,
-                "who was taken away is over no share");
-        assertEquals(0.3, relay.settings().profiles.get(0).setupGoal, "as it was last");
+                "a removed customer has no share to exceed");
+        assertEquals(0.3, relay.settings().profiles.get(0).setupGoal, "with its last values");
         relay.received(
-                changes(1, 2, 2, map("profiles", map("pay", null, "chat", map("credit", 5)))), 1);
+                changesAnswer(1, 2, 2, map("profiles", map("pay", null, "chat", map("credit", 5)))),
+                1);
         assertEquals(
                 Map.of("chat", 0, "bulk", 2),
                 SettingsDecoder.activeIndexes(relay.effectiveDocument(), "profiles"));
         assertEquals(3, relay.settings().profiles.get(1).credit);
-        assertEquals(0.5, relay.settings().profiles.get(0).setupGoal, "told anew, as told now");
+        assertEquals(0.5, relay.settings().profiles.get(0).setupGoal, "with its new values");
         for (int i = 3; i < 300; i++) {
             relay.received(
-                    changes(1, i, i, map("profiles", map("p" + (i - 1), null, "p" + i, map()))), i);
+                    changesAnswer(
+                            1, i, i, map("profiles", map("p" + (i - 1), null, "p" + i, map()))),
+                    i);
         }
         assertTrue(
                 relay.lastRefusal().reason().startsWith("profiles: more than 256 names"),
@@ -472,27 +491,28 @@
     }
 
     @Test
-    void whatIsKeptIsGoneOnFromAndWhatIsDamagedIsNot() {
+    void restoresPersistedStateAndRejectsDamagedState() {
         ActiveSettings relay = relay();
         assertNull(relay.snapshot());
         relay.received(
-                whole(1, 6, map("profiles", map("once", map(), "pay", map("credit", 3)))), 6);
-        relay.received(changes(1, 7, 7, map("profiles", map("once", null))), 7);
-        relay.received(changes(1, 8, 8, map("profiles", map("pay", map("credit", "much")))), 8);
+                wholeAnswer(1, 6, map("profiles", map("once", map(), "pay", map("credit", 3)))), 6);
+        relay.received(changesAnswer(1, 7, 7, map("profiles", map("once", null))), 7);
+        relay.received(
+                changesAnswer(1, 8, 8, map("profiles", map("pay", map("credit", "much")))), 8);
         ActiveSettings next = relay();
         next.restore(relay.snapshot());
-        assertEquals(new Version(1, 7), next.version(), "the last good one");
-        assertEquals(inForce(relay), inForce(next));
+        assertEquals(new Version(1, 7), next.version(), "the last valid version");
+        assertEquals(activeByName(relay), activeByName(next));
         assertEquals(
                 List.of("chat", "once", "pay"),
                 next.settings().profiles.stream().map(p -> p.name).toList(),
-                "at the same places");
+                "with the same indexes");
         assertEquals(7, next.activeSince());
         assertFalse(next.needsFullDocument(), "changes are enough");
         assertEquals(
                 Kind.REFUSED,
                 next.received(
-                                changes(
+                                changesAnswer(
                                         1,
                                         8,
                                         8,
@@ -509,7 +529,9 @@
                 } catch (Json.MalformedException e) {
                     assertEquals(Version.NONE, other.version());
                     assertEquals(
-                            inForce(relay()), inForce(other), "as without: " + part + " " + wrong);
+                            activeByName(relay()),
+                            activeByName(other),
+                            "as without a stored state: " + part + " " + wrong);
                     assertEquals(
                             List.of("chat"),
                             other.settings().profiles.stream().map(p -> p.name).toList());
