--- a/relay/src/test/java/asterpulley/serve/ConfigTest.java
+++ b/relay/src/test/java/asterpulley/serve/ConfigTest.java
@@ -166,74 +166,75 @@
                     "address");
 
     private interface Edit {
-        void apply(Map<String, Object> in, String name);
+        void apply(Map<String, Object> fields, String name);
     }
 
     /**
      * Applies {@code edit} to each field in turn, calls {@code then} with the field's name, and
      * undoes the edit.
      */
-    private static void forEachField(Object value, String place, Edit edit, Consumer<String> then) {
+    private static void forEachField(
+            Object value, String path, Edit edit, Consumer<String> action) {
         if (value instanceof List<?> list) {
-            for (Object o : list) {
-                forEachField(o, place, edit, then);
+            for (Object element : list) {
+                forEachField(element, path, edit, action);
             }
         } else if (value instanceof Map<?, ?>) {
-            Map<String, Object> map = Json.object(value, place);
+            Map<String, Object> map = Json.object(value, path);
             for (String name : List.copyOf(map.keySet())) {
-                Object was = map.get(name);
+                Object original = map.get(name);
                 edit.apply(map, name);
-                then.accept(name);
-                map.put(name, was);
-                forEachField(was, name, edit, then);
+                action.accept(name);
+                map.put(name, original);
+                forEachField(original, name, edit, action);
             }
         }
     }
 
     @Test
     void missingNullOrMistypedFieldsGetDefaultsOrAreReportedByName() {
-        List<Object> wrong =
+        List<Object> wrongValues =
                 Arrays.asList(
                         null, "words", -1L, new ArrayList<>(List.of(7L)), new HashMap<>(), true);
-        List<String> unplaced = new ArrayList<>();
-        Map<String, Object> told = validConfig();
-        List<Edit> edits = new ArrayList<>(List.of((in, name) -> in.remove(name)));
-        wrong.forEach(value -> edits.add((in, name) -> in.put(name, value)));
+        List<String> unnamedErrors = new ArrayList<>();
+        Map<String, Object> document = validConfig();
+        List<Edit> edits = new ArrayList<>(List.of((fields, name) -> fields.remove(name)));
+        wrongValues.forEach(value -> edits.add((fields, name) -> fields.put(name, value)));
         for (Edit edit : edits) {
             forEachField(
-                    told,
+                    document,
                     "the configuration",
                     edit,
                     name -> {
                         try {
-                            Config.of(told);
+                            Config.of(document);
                         } catch (Json.MalformedException e) {
                             if (!e.getMessage().contains(name)
                                     && !e.getMessage()
                                             .contains(
                                                     ACCEPTED_MESSAGE_PARTS.getOrDefault(
                                                             name, name))) {
-                                unplaced.add(name + ": " + e.getMessage());
+                                unnamedErrors.add(name + ": " + e.getMessage());
                             }
                         } catch (RuntimeException e) {
-                            unplaced.add(name + ": " + e);
+                            unnamedErrors.add(name + ": " + e);
                         }
                     });
         }
-        assertEquals(List.of(), unplaced);
+        assertEquals(List.of(), unnamedErrors);
         assertEquals(
                 4,
-                Config.of(told).initialServerList.version(),
+                Config.of(document).initialServerList.version(),
                 "the original configuration is unchanged");
     }
 
     @Test
     void requestWithoutCustomerBelongsToNone() {
         Config config = Config.of(validConfig());
-        LineCodec words = config.lineCodec;
-        assertEquals(1, words.parseOpen("OPEN 1 2 c=chat,t=umbra,d=100").customer());
-        assertEquals(0, words.parseOpen("OPEN 1 2 c=chat,t=acme,d=100").customer());
-        assertEquals(-1, words.parseOpen("OPEN 1 2 c=chat,d=100").customer());
+        LineCodec codec = config.lineCodec;
+        assertEquals(1, codec.parseOpen("OPEN 1 2 c=chat,t=umbra,d=100").customer());
+        assertEquals(0, codec.parseOpen("OPEN 1 2 c=chat,t=acme,d=100").customer());
+        assertEquals(-1, codec.parseOpen("OPEN 1 2 c=chat,d=100").customer());
     }
 
     @Test
--- a/relay/src/test/java/asterpulley/serve/DiscoveryRecoveryTest.java
+++ b/relay/src/test/java/asterpulley/serve/DiscoveryRecoveryTest.java
@@ -110,96 +110,100 @@
             acceptConnections(serverSocket);
         }
 
-        private void acceptConnections(ServerSocket at) {
-            resources.add(at);
+        private void acceptConnections(ServerSocket listener) {
+            resources.add(listener);
             runInBackground(
                     () -> {
                         while (true) {
-                            TestConnection end = new TestConnection(at.accept());
-                            end.socket.setSoTimeout(60_000);
-                            resources.add(end);
-                            connections.add(end);
-                            runInBackground(() -> serve(end));
+                            TestConnection connection = new TestConnection(listener.accept());
+                            connection.socket.setSoTimeout(60_000);
+                            resources.add(connection);
+                            connections.add(connection);
+                            runInBackground(() -> serve(connection));
                         }
                     });
         }
 
-        private void serve(TestConnection end) throws Exception {
-            for (String line = end.readLine(); line != null; line = end.readLine()) {
-                String call = line.split(" ")[1];
-                while (!end.readLine().isEmpty()) {
+        private void serve(TestConnection connection) throws Exception {
+            for (String line = connection.readLine(); line != null; line = connection.readLine()) {
+                String requestPath = line.split(" ")[1];
+                while (!connection.readLine().isEmpty()) {
                     continue;
                 }
-                Fault met = fault;
-                requests.add(call);
-                if (call.contains("index=42&")) {
+                Fault currentFault = fault;
+                requests.add(requestPath);
+                if (requestPath.contains("index=42&")) {
                     newListReadAt.complete(System.nanoTime());
                 }
-                switch (met) {
-                    case REFUSES -> end.send(SERVICE_UNAVAILABLE);
+                switch (currentFault) {
+                    case REFUSES -> connection.send(SERVICE_UNAVAILABLE);
                     // A connection accepted just as the service went down is reset too.
-                    case RESETS, DOWN, FULL -> end.reset();
+                    case RESETS, DOWN, FULL -> connection.reset();
                     case CUT ->
-                            end.send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\":42,");
+                            connection.send(
+                                    "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\":42,");
                     case MALFORMED ->
-                            end.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"seq\":{}");
-                    case SILENT -> end.readLine();
-                    default -> respond(end, call, met);
+                            connection.send(
+                                    "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"seq\":{}");
+                    case SILENT -> connection.readLine();
+                    default -> respond(connection, requestPath, currentFault);
                 }
-                if (met == Fault.REFUSES || met == Fault.CUT) {
-                    end.close();
+                if (currentFault == Fault.REFUSES || currentFault == Fault.CUT) {
+                    connection.close();
                     return;
                 }
             }
         }
 
-        private void respond(TestConnection end, String call, Fault met) throws Exception {
-            if ((met == Fault.LATE || met == Fault.OVERBOOKED)
-                    && !worker.tryServe(met == Fault.OVERBOOKED)) {
-                end.send(SERVICE_UNAVAILABLE);
+        private void respond(TestConnection connection, String requestPath, Fault currentFault)
+                throws Exception {
+            if ((currentFault == Fault.LATE || currentFault == Fault.OVERBOOKED)
+                    && !worker.tryServe(currentFault == Fault.OVERBOOKED)) {
+                connection.send(SERVICE_UNAVAILABLE);
                 return;
             }
-            Matcher index = INDEX_AND_WAIT.matcher(call);
-            boolean changes = index.find();
+            Matcher query = INDEX_AND_WAIT.matcher(requestPath);
+            boolean isUpdate = query.find();
             synchronized (this) {
-                if (changes && Integer.parseInt(index.group(1)) == version) {
-                    long until = System.nanoTime() + Long.parseLong(index.group(2)) * 1_000_000;
-                    for (int was = version; version == was && System.nanoTime() < until; ) {
+                if (isUpdate && Integer.parseInt(query.group(1)) == version) {
+                    long until = System.nanoTime() + Long.parseLong(query.group(2)) * 1_000_000;
+                    for (int previous = version;
+                            version == previous && System.nanoTime() < until; ) {
                         wait(1 + (until - System.nanoTime()) / 1_000_000);
                     }
                 }
-                boolean newer = !changes || Integer.parseInt(index.group(1)) < version;
+                boolean newer = !isUpdate || Integer.parseInt(query.group(1)) < version;
                 String body =
                         "{\"seq\":%d,\"whole\":%s,\"hosts\":[%s]}"
-                                .formatted(version, !changes, newer ? entries : "");
-                end.send(
+                                .formatted(version, !isUpdate, newer ? entries : "");
+                connection.send(
                         "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
                                 .formatted(body.length(), body));
             }
         }
 
         /** Starts a fault and resets all open connections, with their pending requests. */
-        void startFault(Fault into) throws IOException {
-            fault = into;
-            if (into == Fault.DOWN || into == Fault.FULL) {
+        void startFault(Fault newFault) throws IOException {
+            fault = newFault;
+            if (newFault == Fault.DOWN || newFault == Fault.FULL) {
                 serverSocket.close();
             }
-            if (into == Fault.FULL) {
+            if (newFault == Fault.FULL) {
                 serverSocket = bindAgain(1);
                 resources.add(serverSocket);
                 fillBacklog();
             }
-            for (TestConnection end : connections) {
-                connections.remove(end);
-                end.reset();
+            for (TestConnection connection : connections) {
+                connections.remove(connection);
+                connection.reset();
             }
         }
 
         /** Binds the same port again, as soon as the system allows it. */
-        private ServerSocket bindAgain(int queue) throws IOException {
+        private ServerSocket bindAgain(int backlog) throws IOException {
             while (true) {
                 try {
-                    return new ServerSocket(port, queue, InetAddress.getByName("127.0.0.1"));
+                    return new ServerSocket(port, backlog, InetAddress.getByName("127.0.0.1"));
                 } catch (BindException e) {
                     Thread.yield();
                 }
@@ -227,8 +231,8 @@
                         Files.readString(java.nio.file.Path.of(table))
                                 .lines()
                                 .filter(
-                                        l ->
-                                                l.matches(
+                                        line ->
+                                                line.matches(
                                                         " *\\d+: \\S+ \\S+:%04X 02 .*"
                                                                 .formatted(port)))
                                 .count();
@@ -237,16 +241,16 @@
         }
 
         /** Makes the service reachable again with a new list; returns when that was. */
-        synchronized long recover(Fault then, String... list) throws IOException {
+        synchronized long recover(Fault nextFault, String... newEntries) throws IOException {
             version++;
-            entries = String.join(",", list);
+            entries = String.join(",", newEntries);
             notifyAll();
-            Fault was = fault;
-            fault = then;
-            if (was == Fault.DOWN) {
+            Fault previous = fault;
+            fault = nextFault;
+            if (previous == Fault.DOWN) {
                 serverSocket = bindAgain(50);
             }
-            if (was == Fault.DOWN || was == Fault.FULL) {
+            if (previous == Fault.DOWN || previous == Fault.FULL) {
                 acceptConnections(serverSocket);
             }
             return System.nanoTime();
@@ -264,28 +268,28 @@
             relay =
                     new RelayInstance(
                             createConfig(
-                                    told -> editConfig(told, discovery, pushed), 1000, entries),
+                                    json -> editConfig(json, discovery, pushed), 1000, entries),
                             null);
             resources.add(this);
             relay.open();
         }
 
-        private long counterValue(String what) throws Exception {
-            CompletableFuture<Long> got = new CompletableFuture<>();
-            relay.readCounters(book -> got.complete(book.counterValue(what)));
-            return got.get(20, TimeUnit.SECONDS);
+        private long counterValue(String name) throws Exception {
+            CompletableFuture<Long> result = new CompletableFuture<>();
+            relay.readCounters(registry -> result.complete(registry.counterValue(name)));
+            return result.get(20, TimeUnit.SECONDS);
         }
 
         /** Waits until one more request has met the fault, and returns right after that. */
-        void awaitFailedRequest(FaultyDiscovery at) throws Exception {
-            if (at.fault == Fault.DOWN || at.fault == Fault.FULL) {
+        void awaitFailedRequest(FaultyDiscovery service) throws Exception {
+            if (service.fault == Fault.DOWN || service.fault == Fault.FULL) {
                 for (long before = counterValue("list_failures");
                         counterValue("list_failures") == before; ) {
                     TimeUnit.MILLISECONDS.sleep(2);
                 }
             } else {
-                at.requests.clear();
-                at.requests.take();
+                service.requests.clear();
+                service.requests.take();
             }
         }
 
@@ -295,12 +299,12 @@
         }
     }
 
-    private static String editConfig(String usual, FaultyDiscovery service, boolean pushed) {
-        String told =
-                usual.replaceFirst(
+    private static String editConfig(String json, FaultyDiscovery service, boolean pushed) {
+        String edited =
+                json.replaceFirst(
                         "\"discovery\":\"[^\"]*\"",
                         "\"discovery\":\"127.0.0.1:" + service.port + "\"");
-        return pushed ? told.replace("\"subscribe\"", "\"automatic\"") : told;
+        return pushed ? edited.replace("\"subscribe\"", "\"automatic\"") : edited;
     }
 
     /**
@@ -315,40 +319,40 @@
         double run() throws Exception;
     }
 
-    private static void assertAllInTime(Map<String, Measurement> paths) throws Exception {
+    private static void assertAllInTime(Map<String, Measurement> measurements) throws Exception {
         Map<String, CompletableFuture<Double>> running = new TreeMap<>();
-        paths.forEach(
-                (name, path) -> {
+        measurements.forEach(
+                (name, measurement) -> {
                     CompletableFuture<Double> took = new CompletableFuture<>();
                     running.put(name, took);
                     runInBackground(
                             () -> {
                                 try {
-                                    took.complete(path.run());
+                                    took.complete(measurement.run());
                                 } catch (Throwable e) {
                                     took.completeExceptionally(e);
                                 }
                             });
                 });
-        List<String> late = new ArrayList<>();
+        List<String> lateResults = new ArrayList<>();
         for (String name : running.keySet()) {
             double took = running.get(name).get(60, TimeUnit.SECONDS);
             if (took > CHANGE_DEADLINE_S - CLOCK_MARGIN_S) {
-                late.add("%s after %.2f s".formatted(name, took));
+                lateResults.add("%s after %.2f s".formatted(name, took));
             }
         }
-        assertEquals(List.of(), late, "list read later than its changes count as known");
+        assertEquals(List.of(), lateResults, "list read later than its changes count as known");
     }
 
     @Test
     void readsListInTimeAfterAnyDiscoveryFault() throws Exception {
         Backend one = new Backend();
         Backend two = new Backend();
-        String[] known = {one.listEntry("s1", "up")};
-        String[] anew = {one.listEntry("s1", "draining"), two.listEntry("s2", "up")};
-        Map<String, Measurement> paths = new TreeMap<>();
+        String[] initialList = {one.listEntry("s1", "up")};
+        String[] newList = {one.listEntry("s1", "draining"), two.listEntry("s2", "up")};
+        Map<String, Measurement> measurements = new TreeMap<>();
         for (boolean pushed : new boolean[] {false, true}) {
-            for (Fault trouble :
+            for (Fault fault :
                     List.of(
                             Fault.DOWN,
                             Fault.REFUSES,
@@ -357,79 +361,85 @@
                             Fault.CUT,
                             Fault.FULL,
                             Fault.MALFORMED)) {
-                for (int seconds : new int[] {1, 4}) {
-                    RelayWithDiscovery path = new RelayWithDiscovery(null, pushed, known);
-                    paths.put(
-                            trouble + ", " + seconds + " s" + (pushed ? ", pushed" : ""),
+                for (int faultSeconds : new int[] {1, 4}) {
+                    RelayWithDiscovery testRelay =
+                            new RelayWithDiscovery(null, pushed, initialList);
+                    measurements.put(
+                            fault + ", " + faultSeconds + " s" + (pushed ? ", pushed" : ""),
                             () -> {
-                                path.discovery.startFault(trouble);
+                                testRelay.discovery.startFault(fault);
                                 // The simulated length of the fault, which then ends right after a
                                 // request that met it.
-                                TimeUnit.SECONDS.sleep(seconds);
-                                path.awaitFailedRequest(path.discovery);
-                                if (trouble == Fault.FULL) {
+                                TimeUnit.SECONDS.sleep(faultSeconds);
+                                testRelay.awaitFailedRequest(testRelay.discovery);
+                                if (fault == Fault.FULL) {
                                     // The filler that found the backlog full was closed; the relay
                                     // has at most one connection attempt.
                                     assertTrue(
-                                            path.discovery.pendingConnects() <= 1,
+                                            testRelay.discovery.pendingConnects() <= 1,
                                             "connection attempts abandoned but not closed: "
-                                                    + path.discovery.pendingConnects());
+                                                    + testRelay.discovery.pendingConnects());
                                 }
                                 return secondsUntilRead(
-                                        path.discovery, path.discovery.recover(Fault.NONE, anew));
+                                        testRelay.discovery,
+                                        testRelay.discovery.recover(Fault.NONE, newList));
                             });
                 }
             }
-            for (Fault trouble : List.of(Fault.NONE, Fault.DOWN, Fault.SILENT)) {
-                RelayWithDiscovery path = new RelayWithDiscovery(null, pushed, known);
-                FaultyDiscovery other = new FaultyDiscovery(null);
-                Config to = createConfig(told -> editConfig(told, other, pushed), 1000, known);
-                paths.put(
-                        "moved to " + trouble + (pushed ? ", pushed" : ""),
+            for (Fault fault : List.of(Fault.NONE, Fault.DOWN, Fault.SILENT)) {
+                RelayWithDiscovery testRelay = new RelayWithDiscovery(null, pushed, initialList);
+                FaultyDiscovery otherDiscovery = new FaultyDiscovery(null);
+                Config otherConfig =
+                        createConfig(
+                                json -> editConfig(json, otherDiscovery, pushed),
+                                1000,
+                                initialList);
+                measurements.put(
+                        "moved to " + fault + (pushed ? ", pushed" : ""),
                         () -> {
-                            path.discovery.startFault(Fault.DOWN);
+                            testRelay.discovery.startFault(Fault.DOWN);
                             TimeUnit.SECONDS.sleep(4);
-                            other.startFault(trouble);
-                            if (trouble == Fault.NONE) {
-                                other.recover(Fault.NONE, anew);
+                            otherDiscovery.startFault(fault);
+                            if (fault == Fault.NONE) {
+                                otherDiscovery.recover(Fault.NONE, newList);
                             }
-                            long moved = System.nanoTime();
-                            path.relay.applyConfig(to);
-                            if (trouble != Fault.NONE) {
-                                path.awaitFailedRequest(other);
-                                moved = other.recover(Fault.NONE, anew);
+                            long recoveredAt = System.nanoTime();
+                            testRelay.relay.applyConfig(otherConfig);
+                            if (fault != Fault.NONE) {
+                                testRelay.awaitFailedRequest(otherDiscovery);
+                                recoveredAt = otherDiscovery.recover(Fault.NONE, newList);
                             }
-                            return secondsUntilRead(other, moved);
+                            return secondsUntilRead(otherDiscovery, recoveredAt);
                         });
             }
         }
-        assertAllInTime(paths);
+        assertAllInTime(measurements);
     }
 
     @Test
     void twentyRelaysReadListInTimeFromAnOverloadedDiscovery() throws Exception {
         Backend one = new Backend();
         Backend two = new Backend();
-        Map<String, Measurement> paths = new TreeMap<>();
-        for (Fault trouble : List.of(Fault.LATE, Fault.OVERBOOKED)) {
+        Map<String, Measurement> measurements = new TreeMap<>();
+        for (Fault fault : List.of(Fault.LATE, Fault.OVERBOOKED)) {
             SharedWorker worker = new SharedWorker();
             for (int i = 0; i < 20; i++) {
-                RelayWithDiscovery path =
+                RelayWithDiscovery testRelay =
                         new RelayWithDiscovery(worker, false, one.listEntry("s1", "up"));
-                paths.put(
-                        trouble + ", relay " + i,
+                measurements.put(
+                        fault + ", relay " + i,
                         () -> {
-                            path.discovery.startFault(Fault.DOWN);
+                            testRelay.discovery.startFault(Fault.DOWN);
                             TimeUnit.SECONDS.sleep(2);
                             return secondsUntilRead(
-                                    path.discovery,
-                                    path.discovery.recover(
-                                            trouble,
+                                    testRelay.discovery,
+                                    testRelay.discovery.recover(
+                                            fault,
                                             one.listEntry("s1", "draining"),
                                             two.listEntry("s2", "up")));
                         });
             }
         }
-        assertAllInTime(paths);
+        assertAllInTime(measurements);
     }
 }
--- a/relay/src/test/java/asterpulley/serve/IdleClientsTest.java
+++ b/relay/src/test/java/asterpulley/serve/IdleClientsTest.java
@@ -46,22 +46,24 @@
         private final InetSocketAddress relayAddress;
         private volatile boolean stopped;
 
-        IdleClients(InetSocketAddress relay, int count) throws IOException {
-            this.relayAddress = relay;
+        IdleClients(InetSocketAddress relayAddress, int count) throws IOException {
+            this.relayAddress = relayAddress;
             resources.add(this);
             runInBackground(() -> runClients(count));
         }
 
         private void runClients(int count) throws IOException {
-            ArrayDeque<Long> due = new ArrayDeque<>();
-            IntStream.range(0, count).forEach(i -> due.add(System.nanoTime()));
+            ArrayDeque<Long> reconnectTimes = new ArrayDeque<>();
+            IntStream.range(0, count).forEach(i -> reconnectTimes.add(System.nanoTime()));
             while (!stopped) {
-                for (; !due.isEmpty() && due.peek() <= System.nanoTime(); due.poll()) {
-                    SocketChannel idle = SocketChannel.open();
-                    idle.configureBlocking(false);
-                    idle.register(
+                for (;
+                        !reconnectTimes.isEmpty() && reconnectTimes.peek() <= System.nanoTime();
+                        reconnectTimes.poll()) {
+                    SocketChannel channel = SocketChannel.open();
+                    channel.configureBlocking(false);
+                    channel.register(
                             selector,
-                            idle.connect(relayAddress)
+                            channel.connect(relayAddress)
                                     ? SelectionKey.OP_READ
                                     : SelectionKey.OP_CONNECT);
                 }
@@ -70,7 +72,7 @@
                     if (isClosed(key)) {
                         closedCount.incrementAndGet();
                         key.channel().close();
-                        due.add(System.nanoTime() + RECONNECT_DELAY_NS);
+                        reconnectTimes.add(System.nanoTime() + RECONNECT_DELAY_NS);
                     }
                 }
                 selector.selectedKeys().clear();
@@ -82,14 +84,14 @@
         }
 
         private boolean isClosed(SelectionKey key) {
-            SocketChannel idle = (SocketChannel) key.channel();
+            SocketChannel channel = (SocketChannel) key.channel();
             try {
                 if (key.isConnectable()) {
-                    idle.finishConnect();
+                    channel.finishConnect();
                     key.interestOps(SelectionKey.OP_READ);
                     return false;
                 }
-                return idle.read(ByteBuffer.allocate(64)) < 0;
+                return channel.read(ByteBuffer.allocate(64)) < 0;
             } catch (IOException reset) {
                 return true;
             }
@@ -115,29 +117,29 @@
 
     /** A backend that opens every tunnel and closes it once its client has closed. */
     private Backend openingBackend() throws IOException {
-        Backend b = new Backend();
+        Backend backend = new Backend();
         runInBackground(
                 () -> {
                     while (true) {
-                        TestConnection end = b.openNextTunnel();
+                        TestConnection connection = backend.openNextTunnel();
                         runInBackground(
                                 () -> {
-                                    end.readLine();
-                                    end.close();
+                                    connection.readLine();
+                                    connection.close();
                                 });
                     }
                 });
-        return b;
+        return backend;
     }
 
     /**
      * Connects this many clients one after the other, each sending its request at once, and returns
      * their answers.
      */
-    private List<String> answers(InetSocketAddress relay, int count) {
+    private List<String> answers(InetSocketAddress relayAddress, int count) {
         List<String> answers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            try (TestConnection client = connectClient(relay, "chat", 2000)) {
+            try (TestConnection client = connectClient(relayAddress, "chat", 2000)) {
                 client.socket.setSoTimeout(2500);
                 answers.add(client.readLine());
             } catch (IOException e) {
@@ -152,21 +154,21 @@
      * asks for the next one.
      */
     private double secondsUntilChangeRead(int port, String... entries) throws Exception {
-        long back = System.nanoTime();
+        long recoveredAt = System.nanoTime();
         discovery = new StubDiscovery(port);
         discovery.publish(42, entries);
         assertTrue(
                 discovery.requests.poll(20, TimeUnit.SECONDS) != null,
                 "it requests the list again");
-        String next = discovery.requests.poll(20, TimeUnit.SECONDS);
-        assertEquals("/registry/instances?index=42&wait=10000", next, "the change was read");
-        return (System.nanoTime() - back) / 1e9;
+        String nextRequest = discovery.requests.poll(20, TimeUnit.SECONDS);
+        assertEquals("/registry/instances?index=42&wait=10000", nextRequest, "the change was read");
+        return (System.nanoTime() - recoveredAt) / 1e9;
     }
 
     private int socketCount() throws Exception {
-        CompletableFuture<Integer> got = new CompletableFuture<>();
-        relay.readCounters(book -> got.complete(book.sockets));
-        return got.get(20, TimeUnit.SECONDS);
+        CompletableFuture<Integer> result = new CompletableFuture<>();
+        relay.readCounters(registry -> result.complete(registry.sockets));
+        return result.get(20, TimeUnit.SECONDS);
     }
 
     @Test
@@ -177,25 +179,25 @@
         discovery.requests.take();
         discovery.shutDown();
         awaitCounter("list_failures", 1);
-        IdleClients crowd = new IdleClients(relay.address(), IDLE_CLIENTS);
-        crowd.awaitFirstClose();
-        List<String> all = new ArrayList<>(answers(relay.address(), ACTIVE_CLIENTS));
+        IdleClients idleClients = new IdleClients(relay.address(), IDLE_CLIENTS);
+        idleClients.awaitFirstClose();
+        List<String> allAnswers = new ArrayList<>(answers(relay.address(), ACTIVE_CLIENTS));
         assertEquals(
                 ACTIVE_CLIENTS,
-                all.stream().filter("UP r1"::equals).count(),
-                "while discovery is down: " + all);
-        double heard =
+                allAnswers.stream().filter("UP r1"::equals).count(),
+                "while discovery is down: " + allAnswers);
+        double seconds =
                 secondsUntilChangeRead(
                         discovery.serverSocket.getLocalPort(),
                         one.listEntry("s1", "draining"),
                         two.listEntry("s2", "up"));
-        assertTrue(heard < CHANGE_DEADLINE_S, "list read after " + heard);
+        assertTrue(seconds < CHANGE_DEADLINE_S, "list read after " + seconds);
         one.openRequests.clear();
-        all = answers(relay.address(), ACTIVE_CLIENTS);
+        allAnswers = answers(relay.address(), ACTIVE_CLIENTS);
         assertEquals(
                 ACTIVE_CLIENTS,
-                all.stream().filter("UP r1"::equals).count(),
-                "after its return: " + all);
+                allAnswers.stream().filter("UP r1"::equals).count(),
+                "after its return: " + allAnswers);
         assertEquals(List.of(), List.copyOf(one.openRequests), "by the current list");
         assertEquals(0, counterValue("declined_no_sockets"));
     }
@@ -207,95 +209,100 @@
         createConfig(100, one.listEntry("s1", "up"));
         discovery.shutDown();
         Path log = folder.resolve("log");
-        ProcessBuilder run = relayProcessBuilder(folder.resolve("config.json"), log);
-        List<String> words =
+        ProcessBuilder builder = relayProcessBuilder(folder.resolve("config.json"), log);
+        List<String> command =
                 new ArrayList<>(List.of("sh", "-c", "ulimit -n 50; exec \"$@\"", "sh"));
-        words.addAll(run.command());
-        Process relay = run.command(words).start();
-        resources.add(relay::destroyForcibly);
-        Matcher serving = awaitLogLine(log, relay, "serving n1 at 127.0.0.1:(\\d+)");
-        InetSocketAddress at =
+        command.addAll(builder.command());
+        Process relayProcess = builder.command(command).start();
+        resources.add(relayProcess::destroyForcibly);
+        Matcher serving = awaitLogLine(log, relayProcess, "serving n1 at 127.0.0.1:(\\d+)");
+        InetSocketAddress relayAddress =
                 new InetSocketAddress("127.0.0.1", Integer.parseInt(serving.group(1)));
         // The relay loads its classes from files, which need descriptors too: one request loads all
         // that are needed.
-        assertEquals(List.of("UP r1"), answers(at, 1));
-        IdleClients crowd = new IdleClients(at, IDLE_CLIENTS);
-        crowd.awaitFirstClose();
-        List<String> all = answers(at, ACTIVE_CLIENTS);
+        assertEquals(List.of("UP r1"), answers(relayAddress, 1));
+        IdleClients idleClients = new IdleClients(relayAddress, IDLE_CLIENTS);
+        idleClients.awaitFirstClose();
+        List<String> allAnswers = answers(relayAddress, ACTIVE_CLIENTS);
         assertEquals(
                 ACTIVE_CLIENTS,
-                all.stream().filter("UP r1"::equals).count(),
-                "while discovery is down: " + all);
-        double heard =
+                allAnswers.stream().filter("UP r1"::equals).count(),
+                "while discovery is down: " + allAnswers);
+        double seconds =
                 secondsUntilChangeRead(
                         discovery.serverSocket.getLocalPort(),
                         one.listEntry("s1", "draining"),
                         two.listEntry("s2", "up"));
-        assertTrue(heard < CHANGE_DEADLINE_S, "list read after " + heard);
+        assertTrue(seconds < CHANGE_DEADLINE_S, "list read after " + seconds);
         one.openRequests.clear();
-        all = answers(at, ACTIVE_CLIENTS);
+        allAnswers = answers(relayAddress, ACTIVE_CLIENTS);
         assertEquals(
                 ACTIVE_CLIENTS,
-                all.stream().filter("UP r1"::equals).count(),
-                "after its return: " + all);
+                allAnswers.stream().filter("UP r1"::equals).count(),
+                "after its return: " + allAnswers);
         assertEquals(List.of(), List.copyOf(one.openRequests), "by the current list");
-        new ProcessBuilder("kill", "-USR1", Long.toString(relay.pid())).start().waitFor();
-        int refused =
-                Integer.parseInt(awaitLogLine(log, relay, " accepts_refused=(\\d+)").group(1));
+        new ProcessBuilder("kill", "-USR1", Long.toString(relayProcess.pid())).start().waitFor();
+        int refusedAccepts =
+                Integer.parseInt(
+                        awaitLogLine(log, relayProcess, " accepts_refused=(\\d+)").group(1));
         assertTrue(
-                refused < 50, "accept failures do not recur in every loop iteration: " + refused);
+                refusedAccepts < 50,
+                "accept failures do not recur in every loop iteration: " + refusedAccepts);
     }
 
-    private static Matcher awaitLogLine(Path log, Process relay, String line) throws Exception {
+    private static Matcher awaitLogLine(Path log, Process relayProcess, String pattern)
+            throws Exception {
         while (true) {
-            Matcher told = Pattern.compile(line).matcher(Files.readString(log));
-            if (told.find()) {
-                return told;
+            Matcher matcher = Pattern.compile(pattern).matcher(Files.readString(log));
+            if (matcher.find()) {
+                return matcher;
             }
-            assertTrue(relay.isAlive(), Files.readString(log));
+            assertTrue(relayProcess.isAlive(), Files.readString(log));
             Thread.sleep(5);
         }
     }
 
     @Test
     void reservesSocketsForPendingSetups() throws Exception {
-        Backend b = new Backend();
-        SaturatedListener gate = new SaturatedListener();
+        Backend backend = new Backend();
+        SaturatedListener saturated = new SaturatedListener();
         // More setups than the setup window allows at once, and none connects. The relay has 24
         // sockets, 4 of which idle clients never get.
         startRelay(
                 createConfig(
-                        told ->
-                                told.replace("\"setupGoalMs\":2000", "\"setupGoalMs\":9000")
+                        json ->
+                                json.replace("\"setupGoalMs\":2000", "\"setupGoalMs\":9000")
                                         .replace(
                                                 "\"clientTimeoutMs\":3000",
                                                 "\"clientTimeoutMs\":9000")
                                         .replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":9000")
                                         .replace("\"probes\":true", "\"probes\":false"),
                         64,
-                        gate.listEntry(b, "s1")));
+                        saturated.listEntry(backend, "s1")));
         for (int i = 0; i < 6; i++) {
             connectClient("chat", 9000);
         }
         awaitCounter("taken", 6);
-        long out = counterValue("setups");
-        assertTrue(out < 4, "the others wait for the setup window: " + out);
+        long setupCount = counterValue("setups");
+        assertTrue(setupCount < 4, "the others wait for the setup window: " + setupCount);
         for (int i = 0; i < 30; i++) {
             connect();
         }
         awaitCounter("accepted", 36);
-        int used = socketCount();
-        assertTrue(used + 6 - out <= 20, "in use " + used + ", yet to be connected " + (6 - out));
+        int usedSockets = socketCount();
+        assertTrue(
+                usedSockets + 6 - setupCount <= 20,
+                "in use " + usedSockets + ", yet to be connected " + (6 - setupCount));
     }
 
     @Test
     void idleClientsGiveWayToSetupsAndProbes() throws Exception {
-        Backend b = new Backend();
-        Backend[] others = new Backend[12];
-        startRelay(createConfig(64, b.listEntry("s1", "up")));
+        Backend backend = new Backend();
+        Backend[] newBackends = new Backend[12];
+        startRelay(createConfig(64, backend.listEntry("s1", "up")));
         awaitCounter("probes_answered", 1);
-        for (int i = 0; i < others.length; i++) {
-            others[i] = new Backend();
+        for (int i = 0; i < newBackends.length; i++) {
+            newBackends[i] = new Backend();
         }
         for (int i = 0; i < 30; i++) {
             connect();
@@ -303,12 +310,12 @@
         awaitCounter("accepted", 30);
         discovery.publish(
                 42,
-                IntStream.range(0, others.length)
-                        .mapToObj(i -> others[i].listEntry("t" + i, "up"))
+                IntStream.range(0, newBackends.length)
+                        .mapToObj(i -> newBackends[i].listEntry("t" + i, "up"))
                         .toArray(String[]::new));
-        awaitCounter("probes", 1 + others.length);
-        int used = socketCount();
-        assertTrue(used <= 24, "no more than there are: " + used);
+        awaitCounter("probes", 1 + newBackends.length);
+        int usedSockets = socketCount();
+        assertTrue(usedSockets <= 24, "no more than there are: " + usedSockets);
     }
 
     @Test
@@ -319,12 +326,18 @@
         }
         startRelay(createConfig(64, entries));
         awaitCounter("probes_answered", entries.length);
-        List<String> all = answers(relay.address(), ACTIVE_CLIENTS);
-        assertEquals(ACTIVE_CLIENTS, all.stream().filter("UP r1"::equals).count(), all.toString());
+        List<String> allAnswers = answers(relay.address(), ACTIVE_CLIENTS);
+        assertEquals(
+                ACTIVE_CLIENTS,
+                allAnswers.stream().filter("UP r1"::equals).count(),
+                allAnswers.toString());
         new IdleClients(relay.address(), IDLE_CLIENTS).awaitFirstClose();
-        all = answers(relay.address(), 4);
-        assertEquals(4, all.stream().filter("UP r1"::equals).count(), "among idle ones: " + all);
-        int used = socketCount();
-        assertTrue(used <= 24, "no more than there are: " + used);
+        allAnswers = answers(relay.address(), 4);
+        assertEquals(
+                4,
+                allAnswers.stream().filter("UP r1"::equals).count(),
+                "among idle ones: " + allAnswers);
+        int usedSockets = socketCount();
+        assertTrue(usedSockets <= 24, "no more than there are: " + usedSockets);
     }
 }
--- a/relay/src/test/java/asterpulley/serve/MultiRelaySettingsTest.java
+++ b/relay/src/test/java/asterpulley/serve/MultiRelaySettingsTest.java
@@ -38,12 +38,12 @@
         private final Path configFile, logFile;
         private Process process;
 
-        private RelayProcess(int number, StubSettingsService service, String entry)
+        private RelayProcess(int index, StubSettingsService settingsService, String entry)
                 throws IOException {
-            endpoint = service.addEndpoint();
+            endpoint = settingsService.addEndpoint();
             createConfig(
-                    told ->
-                            told.replace("\"n1\"", "\"n" + number + "\"")
+                    json ->
+                            json.replace("\"n1\"", "\"n" + index + "\"")
                                     .replace(
                                             "\"seed\"",
                                             "\"operator\":\"127.0.0.1:0\","
@@ -55,52 +55,53 @@
                     entry);
             configFile =
                     Files.move(
-                            folder.resolve("config.json"), folder.resolve("n" + number + ".json"));
-            logFile = folder.resolve("n" + number + ".log");
+                            folder.resolve("config.json"), folder.resolve("n" + index + ".json"));
+            logFile = folder.resolve("n" + index + ".log");
         }
 
-        private void start(String main) throws IOException {
+        private void start(String mainClass) throws IOException {
             Files.deleteIfExists(logFile);
-            ProcessBuilder run = RelayFixture.relayProcessBuilder(configFile, logFile);
-            List<String> command = new ArrayList<>(run.command());
-            if (main != null) {
+            ProcessBuilder builder = RelayFixture.relayProcessBuilder(configFile, logFile);
+            List<String> command = new ArrayList<>(builder.command());
+            if (mainClass != null) {
                 command = new ArrayList<>(command.subList(0, command.size() - 2));
-                command.addAll(List.of(main, configFile.toString()));
+                command.addAll(List.of(mainClass, configFile.toString()));
             }
-            run.command(command).environment().put("TMPDIR", folder.toString());
-            process = run.start();
+            builder.command(command).environment().put("TMPDIR", folder.toString());
+            process = builder.start();
             Process started = process;
             resources.add(started::destroyForcibly);
         }
 
-        private int awaitLoggedPort(String before) throws IOException {
-            Matcher m = Pattern.compile(before + " at 127.0.0.1:([0-9]+)").matcher("");
-            while (!m.reset(Files.exists(logFile) ? Files.readString(logFile) : "").find()) {
+        private int awaitLoggedPort(String logPrefix) throws IOException {
+            Matcher matcher = Pattern.compile(logPrefix + " at 127.0.0.1:([0-9]+)").matcher("");
+            while (!matcher.reset(Files.exists(logFile) ? Files.readString(logFile) : "").find()) {
                 assertTrue(process.isAlive(), () -> "it ended");
                 Thread.onSpinWait();
             }
-            return Integer.parseInt(m.group(1));
+            return Integer.parseInt(matcher.group(1));
         }
 
         private String operatorGet(String path) throws IOException {
-            try (TestConnection end =
+            try (TestConnection connection =
                     new TestConnection(
                             new Socket("127.0.0.1", awaitLoggedPort("operators are answered")))) {
-                end.send("GET /admin/" + path + " HTTP/1.1\r\nHost: door\r\n\r\n");
-                return new String(end.input.readAllBytes(), StandardCharsets.UTF_8);
+                connection.send("GET /admin/" + path + " HTTP/1.1\r\nHost: door\r\n\r\n");
+                return new String(connection.input.readAllBytes(), StandardCharsets.UTF_8);
             }
         }
 
         private long settingsVersion() throws IOException {
-            Matcher m = VERSION_METRIC.matcher(operatorGet("stats"));
-            return m.find() ? Long.parseLong(m.group(1)) : -2;
+            Matcher matcher = VERSION_METRIC.matcher(operatorGet("stats"));
+            return matcher.find() ? Long.parseLong(matcher.group(1)) : -2;
         }
 
         private String openAndReadAnswer(String profile) throws IOException {
-            try (TestConnection end =
+            try (TestConnection connection =
                     new TestConnection(new Socket("127.0.0.1", awaitLoggedPort("serving \\S+")))) {
-                end.send(OPEN_REQUEST_FORMAT.formatted(++clientCount, profile, 2000) + "\r\n");
-                return end.readLine();
+                connection.send(
+                        OPEN_REQUEST_FORMAT.formatted(++clientCount, profile, 2000) + "\r\n");
+                return connection.readLine();
             }
         }
     }
@@ -111,90 +112,90 @@
      */
     private static double[] awaitVersion(long version, List<RelayProcess> members)
             throws IOException {
-        double[] after = new double[members.size()];
+        double[] seconds = new double[members.size()];
         long since = System.nanoTime();
-        for (int left = members.size(); left > 0; ) {
-            for (int i = 0; i < after.length; i++) {
-                if (after[i] == 0 && members.get(i).settingsVersion() == version) {
-                    after[i] = (System.nanoTime() - since) / 1e9;
-                    left--;
+        for (int remaining = members.size(); remaining > 0; ) {
+            for (int i = 0; i < seconds.length; i++) {
+                if (seconds[i] == 0 && members.get(i).settingsVersion() == version) {
+                    seconds[i] = (System.nanoTime() - since) / 1e9;
+                    remaining--;
                 }
             }
         }
-        return after;
+        return seconds;
     }
 
     @Test
     void disconnectedRestartedAndMisinformedRelaysConverge() throws Exception {
-        Backend b = new Backend();
-        b.openAllTunnels();
-        StubSettingsService service = new StubSettingsService(1, 1, document("chat"));
-        resources.add(service);
-        List<RelayProcess> all = new ArrayList<>();
+        Backend backend = new Backend();
+        backend.openAllTunnels();
+        StubSettingsService settingsService = new StubSettingsService(1, 1, document("chat"));
+        resources.add(settingsService);
+        List<RelayProcess> relays = new ArrayList<>();
         for (int i = 0; i < RELAY_COUNT; i++) {
-            all.add(new RelayProcess(i, service, b.listEntry("s1", "up")));
-            all.get(i).start("asterpulley.serve.ToldRelay");
+            relays.add(new RelayProcess(i, settingsService, backend.listEntry("s1", "up")));
+            relays.get(i).start("asterpulley.serve.ToldRelay");
         }
-        awaitVersion(1, all);
-        service.publish(map("profiles", map("bulk", profile("read_like"))));
+        awaitVersion(1, relays);
+        settingsService.publish(map("profiles", map("bulk", profile("read_like"))));
         System.out.println(
                 "settings active with all relays reachable, s: "
-                        + Arrays.toString(awaitVersion(2, all)));
-        List<Long> started = all.stream().map(m -> m.process.pid()).toList();
+                        + Arrays.toString(awaitVersion(2, relays)));
+        List<Long> started = relays.stream().map(member -> member.process.pid()).toList();
 
-        all.get(0).endpoint.disconnect();
-        all.get(1).process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
+        relays.get(0).endpoint.disconnect();
+        relays.get(1).process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
         // A version that was never published, with invalid settings, as a faulty instance of the
         // service may send.
-        all.get(2)
+        relays.get(2)
                 .endpoint
                 .scriptedResponses
                 .add(
                         "{\"epoch\":1,\"seq\":999,\"whole\":true,\"settings\":{\"profiles\":{\"bulk\":{\"credit\":-1}}}}");
-        service.publish(map("limits", map("mostSetups", 2)));
-        service.publish(map("limits", map("mostSetups", 0)));
-        awaitVersion(3, List.of(all.get(3)));
+        settingsService.publish(map("limits", map("mostSetups", 2)));
+        settingsService.publish(map("limits", map("mostSetups", 0)));
+        awaitVersion(3, List.of(relays.get(3)));
         // The refused version may arrive in a response of its own, a moment later.
-        while (!all.get(3).operatorGet("settings").contains("\"where\":\"limits.mostSetups: ")) {
+        while (!relays.get(3).operatorGet("settings").contains("\"where\":\"limits.mostSetups: ")) {
             Thread.onSpinWait();
         }
         assertEquals(
                 3,
-                all.get(3).settingsVersion(),
+                relays.get(3).settingsVersion(),
                 "the invalid version is reported with its path and not applied");
-        all.get(1).start("asterpulley.serve.ToldRelay");
-        service.publish(
+        relays.get(1).start("asterpulley.serve.ToldRelay");
+        settingsService.publish(
                 map(
                         "limits",
                         map("mostSetups", 3),
                         "profiles",
                         map("pay", profile("non_idempotent"))));
-        double[] reachable = awaitVersion(5, all.subList(1, RELAY_COUNT));
+        double[] reachable = awaitVersion(5, relays.subList(1, RELAY_COUNT));
         assertEquals(
                 2,
-                all.get(0).settingsVersion(),
+                relays.get(0).settingsVersion(),
                 "disconnected, and serving with the settings it has");
-        assertEquals("UP r1", all.get(0).openAndReadAnswer("bulk"));
-        all.get(0).endpoint.reconnect();
-        double[] back = awaitVersion(5, all.subList(0, 1));
+        assertEquals("UP r1", relays.get(0).openAndReadAnswer("bulk"));
+        relays.get(0).endpoint.reconnect();
+        double[] afterReconnect = awaitVersion(5, relays.subList(0, 1));
         System.out.println(
                 "settings active after faults, s: restarted, misinformed, undisturbed "
                         + Arrays.toString(reachable)
                         + ", after its disconnect "
-                        + Arrays.toString(back));
+                        + Arrays.toString(afterReconnect));
         assertTrue(
-                Arrays.stream(reachable).max().orElse(99) < 13 && back[0] < 13,
+                Arrays.stream(reachable).max().orElse(99) < 13 && afterReconnect[0] < 13,
                 "a change has to be active within 13 s");
-        for (RelayProcess m : all) {
-            assertEquals("UP r1", m.openAndReadAnswer("pay"));
-            assertEquals("UP r1", m.openAndReadAnswer("bulk"));
+        for (RelayProcess member : relays) {
+            assertEquals("UP r1", member.openAndReadAnswer("pay"));
+            assertEquals("UP r1", member.openAndReadAnswer("bulk"));
         }
         assertEquals(
                 List.of(started.get(0), started.get(2), started.get(3)),
                 List.of(
-                        all.get(0).process.pid(),
-                        all.get(2).process.pid(),
-                        all.get(3).process.pid()),
+                        relays.get(0).process.pid(),
+                        relays.get(2).process.pid(),
+                        relays.get(3).process.pid()),
                 "without a restart");
     }
 
@@ -205,50 +206,55 @@
      */
     @Test
     void changeCostsAFractionOfTheControlBudget() throws Exception {
-        List<String> classes = new ArrayList<>();
+        List<String> profiles = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            classes.add("class-" + i);
+            profiles.add("class-" + i);
         }
-        Map<String, Object> document = document(classes.toArray(String[]::new));
+        Map<String, Object> document = document(profiles.toArray(String[]::new));
         Map<String, Object> customers = map();
         for (int i = 0; i < 500; i++) {
             customers.put("customer-" + i, map("share", 0.002));
         }
         document.put("tenants", customers);
-        StubSettingsService service = new StubSettingsService(1, 1, document);
-        resources.add(service);
-        RelayProcess relay = new RelayProcess(0, service, new Backend().listEntry("s1", "up"));
-        relay.start("asterpulley.serve.ToldRelay");
-        awaitVersion(1, List.of(relay));
-        int whole = relay.endpoint.responses.get(0).length();
-        double first = cpuSeconds(relay), cpu = 0;
+        StubSettingsService settingsService = new StubSettingsService(1, 1, document);
+        resources.add(settingsService);
+        RelayProcess relayProcess =
+                new RelayProcess(0, settingsService, new Backend().listEntry("s1", "up"));
+        relayProcess.start("asterpulley.serve.ToldRelay");
+        awaitVersion(1, List.of(relayProcess));
+        int documentLength = relayProcess.endpoint.responses.get(0).length();
+        double cpuWhenNew = cpuSeconds(relayProcess), cpuBefore = 0;
         long bytes = 0;
         for (int i = 0; i < 2 * CHANGE_COUNT; i++) {
             if (i == CHANGE_COUNT) {
                 // A process that has just started still compiles its code, so its cost is measured
                 // separately.
-                cpu = cpuSeconds(relay);
-                first = (cpu - first) / CHANGE_COUNT;
-                bytes = relay.endpoint.bytesIn + relay.endpoint.bytesOut;
+                cpuBefore = cpuSeconds(relayProcess);
+                cpuWhenNew = (cpuBefore - cpuWhenNew) / CHANGE_COUNT;
+                bytes = relayProcess.endpoint.bytesIn + relayProcess.endpoint.bytesOut;
             }
-            service.publish(map("profiles", map("class-" + i % 50, map("setupGoalMs", 1000 + i))));
-            String has = "index=" + service.seq() + "&";
-            while (relay.endpoint.requests.stream().noneMatch(call -> call.contains(has))) {
+            settingsService.publish(
+                    map("profiles", map("class-" + i % 50, map("setupGoalMs", 1000 + i))));
+            String expectedQuery = "index=" + settingsService.seq() + "&";
+            while (relayProcess.endpoint.requests.stream()
+                    .noneMatch(request -> request.contains(expectedQuery))) {
                 Thread.sleep(2);
             }
         }
-        double each = (cpuSeconds(relay) - cpu) / CHANGE_COUNT;
-        bytes = (relay.endpoint.bytesIn + relay.endpoint.bytesOut - bytes) / CHANGE_COUNT;
+        double cpuPerChange = (cpuSeconds(relayProcess) - cpuBefore) / CHANGE_COUNT;
+        bytes =
+                (relayProcess.endpoint.bytesIn + relayProcess.endpoint.bytesOut - bytes)
+                        / CHANGE_COUNT;
         System.out.printf(
                 "a change costs %.1f ms of a core (%.1f in a new process) and %d bytes both ways, the whole document is %d%n",
-                1e3 * each, 1e3 * first, bytes, whole);
-        assertEquals(1 + 2 * CHANGE_COUNT, relay.settingsVersion());
+                1e3 * cpuPerChange, 1e3 * cpuWhenNew, bytes, documentLength);
+        assertEquals(1 + 2 * CHANGE_COUNT, relayProcess.settingsVersion());
         assertTrue(bytes < 15_000 * 2.98 / 20, "bytes per change: " + bytes);
-        assertTrue(each < 0.012 * 2.98, "seconds of a core per change: " + each);
+        assertTrue(cpuPerChange < 0.012 * 2.98, "seconds of a core per change: " + cpuPerChange);
     }
 
-    private static double cpuSeconds(RelayProcess relay) {
-        return relay.process.info().totalCpuDuration().orElseThrow().toNanos() / 1e9;
+    private static double cpuSeconds(RelayProcess relayProcess) {
+        return relayProcess.process.info().totalCpuDuration().orElseThrow().toNanos() / 1e9;
     }
 
     /**
@@ -257,17 +263,18 @@
      */
     @Test
     void platformConfigStartsNoSettingsWatch() throws Exception {
-        Backend b = new Backend();
-        b.openAllTunnels();
-        StubSettingsService service = new StubSettingsService(1, 1, document("other"));
-        resources.add(service);
-        RelayProcess relay = new RelayProcess(0, service, b.listEntry("s1", "up"));
-        relay.start(null);
-        assertEquals("UP r1", relay.openAndReadAnswer("chat"));
+        Backend backend = new Backend();
+        backend.openAllTunnels();
+        StubSettingsService settingsService = new StubSettingsService(1, 1, document("other"));
+        resources.add(settingsService);
+        RelayProcess relayProcess =
+                new RelayProcess(0, settingsService, backend.listEntry("s1", "up"));
+        relayProcess.start(null);
+        assertEquals("UP r1", relayProcess.openAndReadAnswer("chat"));
         assertTrue(
-                relay.operatorGet("settings").startsWith("HTTP/1.1 404"),
+                relayProcess.operatorGet("settings").startsWith("HTTP/1.1 404"),
                 "there is no settings service here");
-        assertFalse(relay.operatorGet("stats").contains("settings"));
-        assertTrue(relay.endpoint.requests.isEmpty());
+        assertFalse(relayProcess.operatorGet("stats").contains("settings"));
+        assertTrue(relayProcess.endpoint.requests.isEmpty());
     }
 }
--- a/relay/src/test/java/asterpulley/serve/OpenRequestFuzzTest.java
+++ b/relay/src/test/java/asterpulley/serve/OpenRequestFuzzTest.java
@@ -70,11 +70,11 @@
         threads.submit(
                 () -> {
                     while (true) {
-                        Socket s = backend.accept();
-                        threads.submit(() -> serveBackend(s));
+                        Socket socket = backend.accept();
+                        threads.submit(() -> serveBackend(socket));
                     }
                 });
-        Map<String, Object> host =
+        Map<String, Object> server =
                 Map.of("host", "b", "dial", "127.0.0.1:" + backend.getLocalPort(), "health", "up");
         relay =
                 new RelayInstance(
@@ -89,7 +89,7 @@
                                         "limits",
                                         Map.of("sockets", 300, "memory_mb", 64),
                                         "known",
-                                        Map.of("seq", 1, "whole", true, "hosts", List.of(host)),
+                                        Map.of("seq", 1, "whole", true, "hosts", List.of(server)),
                                         "settings",
                                         Map.of(
                                                 "profiles",
@@ -111,16 +111,17 @@
         relay.open();
     }
 
-    private static Void serveBackend(Socket s) throws IOException {
-        try (s) {
-            BufferedReader in =
+    private static Void serveBackend(Socket socket) throws IOException {
+        try (socket) {
+            BufferedReader reader =
                     new BufferedReader(
-                            new InputStreamReader(s.getInputStream(), StandardCharsets.ISO_8859_1));
-            for (String line = in.readLine(); line != null; line = in.readLine()) {
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.ISO_8859_1));
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 if (line.startsWith("OPEN")) {
                     FORWARDED_IDS.add(line.split(" ", -1)[1]);
                 }
-                s.getOutputStream()
+                socket.getOutputStream()
                         .write(
                                 (line.equals("STATS") ? "PONG x0=0.01\r\n" : "UP r1\r\n")
                                         .getBytes(StandardCharsets.ISO_8859_1));
@@ -133,22 +134,22 @@
     static void checkForLeaksAndStop() throws Exception {
         // Two of the sockets are probe connections. All tunnels and pending connections must end
         // within their timeouts.
-        long left = Long.MAX_VALUE;
-        for (int i = 0; i < 100 && left > 2; i++) {
+        long remaining = Long.MAX_VALUE;
+        for (int i = 0; i < 100 && remaining > 2; i++) {
             Thread.sleep(50);
-            left = readOnEventLoop(book -> (long) book.sockets + book.held());
+            remaining = readOnEventLoop(registry -> (long) registry.sockets + registry.held());
         }
-        long wide = left;
-        assertTrue(wide <= 2, "sockets and tunnels left: " + wide);
+        long finalRemaining = remaining;
+        assertTrue(finalRemaining <= 2, "sockets and tunnels left: " + finalRemaining);
         MALFORMED_IDS.retainAll(FORWARDED_IDS);
         assertEquals(Set.of(), MALFORMED_IDS, "reached a backend though malformed");
         assertTrue(
-                readOnEventLoop(book -> book.counterValue("opened")) > 100,
+                readOnEventLoop(registry -> registry.counterValue("opened")) > 100,
                 "well-formed requests open tunnels");
-        long heap = usedHeapBytes();
+        long heapBytes = usedHeapBytes();
         assertTrue(
-                heap - baselineHeapBytes < MAX_HEAP_GROWTH_BYTES,
-                "the heap grew by " + (heap - baselineHeapBytes));
+                heapBytes - baselineHeapBytes < MAX_HEAP_GROWTH_BYTES,
+                "the heap grew by " + (heapBytes - baselineHeapBytes));
         relay.kill();
         backend.close();
         threads.shutdownNow();
@@ -156,11 +157,11 @@
     }
 
     private static long readOnEventLoop(
-            java.util.function.ToLongFunction<asterpulley.net.TunnelRegistry> what)
+            java.util.function.ToLongFunction<asterpulley.net.TunnelRegistry> function)
             throws Exception {
-        CompletableFuture<Long> got = new CompletableFuture<>();
-        relay.readCounters(book -> got.complete(what.applyAsLong(book)));
-        return got.get(20, TimeUnit.SECONDS);
+        CompletableFuture<Long> result = new CompletableFuture<>();
+        relay.readCounters(registry -> result.complete(function.applyAsLong(registry)));
+        return result.get(20, TimeUnit.SECONDS);
     }
 
     private static long usedHeapBytes() {
@@ -175,11 +176,11 @@
                         .withChars("0123456789abcdefABCDEF")
                         .ofMinLength(1)
                         .ofMaxLength(32);
-        Arbitrary<Integer> wait = Arbitraries.integers().between(500, 3000);
-        Arbitrary<String> extra =
+        Arbitrary<Integer> timeout = Arbitraries.integers().between(500, 3000);
+        Arbitrary<String> extraPairs =
                 Arbitraries.of("", ",g=5c", ",r=1", ",again=1", ",h=0.3,x=y", ",note=a=b");
-        Arbitrary<ClientInput> good =
-                Combinators.combine(key, wait, extra)
+        Arbitrary<ClientInput> valid =
+                Combinators.combine(key, timeout, extraPairs)
                         .as(
                                 (k, d, x) ->
                                         new ClientInput(
@@ -190,7 +191,7 @@
                                                         + x
                                                         + "\r\n",
                                                 true));
-        Arbitrary<String> wrongPairs =
+        Arbitrary<String> invalidPairs =
                 Arbitraries.of(
                         "c=live,t=acme",
                         "c=live,d=0",
@@ -215,17 +216,17 @@
                         "c=live,d=\u0000500",
                         "c=live,d=+500",
                         "c=live,d=0500");
-        Arbitrary<ClientInput> wrong =
-                Combinators.combine(key, wrongPairs)
+        Arbitrary<ClientInput> invalid =
+                Combinators.combine(key, invalidPairs)
                         .as((k, p) -> new ClientInput("OPEN %s " + k + " " + p + "\r\n", false));
-        Arbitrary<ClientInput> words =
+        Arbitrary<ClientInput> badCommands =
                 Combinators.combine(
                                 Arbitraries.of(
                                         "open", "OPEN ", " OPEN", "OPENED", "GET", "MOVE", "UP", "",
                                         "STATS", "PONG", "BUSY", "OPEN\t"),
                                 key)
                         .as((w, k) -> new ClientInput(w + " %s " + k + " c=live,d=500\r\n", false));
-        Arbitrary<ClientInput> marks =
+        Arbitrary<ClientInput> badIds =
                 Combinators.combine(
                                 Arbitraries.strings()
                                         .ofMinLength(1)
@@ -239,7 +240,7 @@
                                                         ? "OPEN " + m + "%s a c=live,d=500\r\n"
                                                         : "OPEN %s " + m + " c=live,d=500\r\n",
                                                 false));
-        Arbitrary<ClientInput> ends =
+        Arbitrary<ClientInput> badLineEnds =
                 Arbitraries.of(
                                 "OPEN %s a c=live,d=500\n",
                                 "OPEN %s a c=live,d=500\r\nOPEN",
@@ -249,7 +250,7 @@
                                 "OPEN %s a c=live,d=500\r",
                                 "OPEN %s a c=live,d=500\r\r\n")
                         .map(t -> new ClientInput(t, false));
-        Arbitrary<ClientInput> longs =
+        Arbitrary<ClientInput> overlong =
                 Arbitraries.integers()
                         .between(4097, 20_000)
                         .map(
@@ -264,15 +265,15 @@
                         .withCharRange('\u0000', '\u00ff')
                         .ofMinLength(1)
                         .ofMaxLength(300)
-                        .filter(s -> !s.startsWith("PING"))
-                        .map(s -> new ClientInput(s.replace("%", "") + "\r\n", false));
+                        .filter(socket -> !socket.startsWith("PING"))
+                        .map(socket -> new ClientInput(socket.replace("%", "") + "\r\n", false));
         return Arbitraries.frequencyOf(
-                net.jqwik.api.Tuple.of(3, good),
-                net.jqwik.api.Tuple.of(4, wrong),
-                net.jqwik.api.Tuple.of(2, words),
-                net.jqwik.api.Tuple.of(2, marks),
-                net.jqwik.api.Tuple.of(2, ends),
-                net.jqwik.api.Tuple.of(1, longs),
+                net.jqwik.api.Tuple.of(3, valid),
+                net.jqwik.api.Tuple.of(4, invalid),
+                net.jqwik.api.Tuple.of(2, badCommands),
+                net.jqwik.api.Tuple.of(2, badIds),
+                net.jqwik.api.Tuple.of(2, badLineEnds),
+                net.jqwik.api.Tuple.of(1, overlong),
                 net.jqwik.api.Tuple.of(3, noise));
     }
 
@@ -281,38 +282,39 @@
             seed = "41",
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void forwardsOnlyWellFormedOpenRequests(@ForAll("openings") ClientInput sent) throws Exception {
+    void forwardsOnlyWellFormedOpenRequests(@ForAll("openings") ClientInput input)
+            throws Exception {
         if (++attempts == 500) {
             baselineHeapBytes = usedHeapBytes();
         }
         String id = Long.toHexString(++lastId);
-        InetSocketAddress at = relay.address();
-        try (Socket s = new Socket(at.getAddress(), at.getPort())) {
-            s.setSoTimeout(10_000);
-            boolean whole = true;
+        InetSocketAddress address = relay.address();
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+            socket.setSoTimeout(10_000);
+            boolean isLine = true;
             try {
-                s.getOutputStream()
-                        .write(sent.text.replace("%s", id).getBytes(StandardCharsets.ISO_8859_1));
-                whole = sent.text.indexOf('\n') >= 0;
+                socket.getOutputStream()
+                        .write(input.text.replace("%s", id).getBytes(StandardCharsets.ISO_8859_1));
+                isLine = input.text.indexOf('\n') >= 0;
                 String answer =
-                        whole
+                        isLine
                                 ? new BufferedReader(
                                                 new InputStreamReader(
-                                                        s.getInputStream(), LineCodec.CHARSET))
+                                                        socket.getInputStream(), LineCodec.CHARSET))
                                         .readLine()
                                 : null;
-                if (sent.wellFormed) {
+                if (input.wellFormed) {
                     assertTrue(
                             answer != null && (answer.equals("UP r1") || answer.startsWith("BUSY")),
                             answer);
-                } else if (whole) {
+                } else if (isLine) {
                     assertTrue(answer == null || answer.equals(LineCodec.ERR), answer);
                 }
             } catch (SocketException e) {
-                assertEquals(false, sent.wellFormed, "a well-formed request was cut off");
+                assertEquals(false, input.wellFormed, "a well-formed request was cut off");
             }
         }
-        if (!sent.wellFormed) {
+        if (!input.wellFormed) {
             MALFORMED_IDS.add(id);
         }
     }
--- a/relay/src/test/java/asterpulley/serve/OperatorApiTest.java
+++ b/relay/src/test/java/asterpulley/serve/OperatorApiTest.java
@@ -30,8 +30,8 @@
 
     /** An HTTP response: its status and its body. */
     private record Response(int status, String body) {
-        static Response read(TestConnection end) throws IOException {
-            String all = new String(end.input.readAllBytes(), StandardCharsets.ISO_8859_1);
+        static Response read(TestConnection connection) throws IOException {
+            String all = new String(connection.input.readAllBytes(), StandardCharsets.ISO_8859_1);
             int head = all.indexOf("\r\n\r\n");
             assertTrue(head > 0, "a complete response: " + all);
             return new Response(Integer.parseInt(all.split(" ")[1]), all.substring(head + 4));
@@ -66,37 +66,37 @@
     /**
      * Starts with a discovery that answers the first request at once, as the relay waits for that.
      */
-    private void startWithOperatorApi(Path kept, String... entries) throws IOException {
+    private void startWithOperatorApi(Path stateFolder, String... entries) throws IOException {
         createConfig(1000, entries);
         Path file = folder.resolve("config.json");
         Files.writeString(
                 file,
                 Files.readString(file)
                         .replace("\"seed\"", "\"operator\":\"127.0.0.1:0\",\"seed\""));
-        relay = new RelayInstance(Config.read(file), kept);
+        relay = new RelayInstance(Config.read(file), stateFolder);
         resources.add(relay::kill);
         discovery.publish(41);
         relay.open();
     }
 
     TestConnection connectOperator() throws IOException {
-        TestConnection end =
+        TestConnection connection =
                 new TestConnection(
                         new Socket(
                                 relay.operatorAddress().getAddress(),
                                 relay.operatorAddress().getPort()));
-        resources.add(end);
-        return end;
+        resources.add(connection);
+        return connection;
     }
 
     private Response call(String method, String path) throws IOException {
-        TestConnection end = connectOperator();
-        end.send(
+        TestConnection connection = connectOperator();
+        connection.send(
                 method
                         + " /admin/"
                         + path
                         + " HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n");
-        return Response.read(end);
+        return Response.read(connection);
     }
 
     private Response stats() throws IOException {
@@ -113,11 +113,11 @@
     private int backendOfNewTunnel(Backend... backends) throws Exception {
         TestConnection client = connectClient("chat", 2000);
         while (true) {
-            for (int b = 0; b < backends.length; b++) {
-                if (!backends[b].tunnelConnections.isEmpty()) {
-                    backends[b].openNextTunnel();
+            for (int index = 0; index < backends.length; index++) {
+                if (!backends[index].tunnelConnections.isEmpty()) {
+                    backends[index].openNextTunnel();
                     assertEquals("UP r1", client.readLine());
-                    return b;
+                    return index;
                 }
             }
             Thread.yield();
@@ -128,10 +128,10 @@
 
     @Test
     void answersEachCallAndRejectsInvalidOnes() throws Exception {
-        Backend b = new Backend();
-        startWithOperatorApi(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startWithOperatorApi(backend.listEntry("s1", "up"));
         awaitStatus("health", 200);
-        for (String yes :
+        for (String accepted :
                 List.of(
                         "cordon/s1",
                         "cordon/s1",
@@ -143,10 +143,10 @@
                         "quiesce",
                         "quiesce",
                         "resume")) {
-            assertEquals(200, call("POST", yes).status, yes);
+            assertEquals(200, call("POST", accepted).status, accepted);
         }
         assertEquals(200, stats().status);
-        for (String no :
+        for (String rejected :
                 List.of(
                         "GET nothing 404",
                         "GET health/ 404",
@@ -159,15 +159,15 @@
                         "POST stats 405",
                         "DELETE health 405",
                         "HEAD health 405")) {
-            String[] w = no.split(" ");
-            Response said = call(w[0], w[1]);
-            assertEquals(Integer.parseInt(w[2]), said.status, no);
+            String[] parts = rejected.split(" ");
+            Response response = call(parts[0], parts[1]);
+            assertEquals(Integer.parseInt(parts[2]), response.status, rejected);
             assertTrue(
-                    said.body.endsWith("\n") && said.body.lines().count() == 1
-                            || w[0].equals("HEAD"),
-                    no + ": " + said.body);
+                    response.body.endsWith("\n") && response.body.lines().count() == 1
+                            || parts[0].equals("HEAD"),
+                    rejected + ": " + response.body);
         }
-        for (String unreadable :
+        for (String malformed :
                 List.of(
                         "GET /admin/health HTTP/1.1\r\n\r\n",
                         "GET /admin/health HTTP/1.1\r\nHost: d\r\nX: "
@@ -176,11 +176,11 @@
                         "POST /admin/quiesce HTTP/1.1\r\nHost: d\r\nContent-Length: 60000000\r\n\r\nx",
                         "POST /admin/quiesce HTTP/1.1\r\nHost: d\r\nContent-Length: -5\r\n\r\n",
                         "POST /admin/quiesce HTTP/1.1\r\nHost: d\r\nContent-Length: many\r\n\r\n")) {
-            TestConnection end = connectOperator();
-            end.send(unreadable);
-            Response said = Response.read(end);
-            assertEquals(400, said.status, unreadable);
-            assertEquals(1, said.body.lines().count(), unreadable);
+            TestConnection connection = connectOperator();
+            connection.send(malformed);
+            Response response = Response.read(connection);
+            assertEquals(400, response.status, malformed);
+            assertEquals(1, response.body.lines().count(), malformed);
         }
         assertEquals(200, call("GET", "health").status, "none of these calls had an effect");
     }
@@ -188,22 +188,22 @@
     @Test
     void readsACallByteByByteAndAnswersOneCallPerConnection() throws Exception {
         startWithOperatorApi(new Backend().listEntry("s1", "up"));
-        TestConnection slow = connectOperator();
+        TestConnection slowCaller = connectOperator();
         for (char c :
                 "POST /admin/cordon/s1 HTTP/1.1\r\nHost: door\r\nContent-Length: 2\r\n\r\n!"
                         .toCharArray()) {
-            slow.send(String.valueOf(c));
+            slowCaller.send(String.valueOf(c));
             Thread.sleep(2);
         }
         assertEquals(
                 0, stats().metric("relay_members_unavailable"), "an incomplete call has no effect");
-        slow.send("!");
-        assertEquals(200, Response.read(slow).status);
+        slowCaller.send("!");
+        assertEquals(200, Response.read(slowCaller).status);
         assertEquals(1, stats().metric("relay_members_unavailable"));
-        TestConnection twice = connectOperator();
-        twice.send(
+        TestConnection caller = connectOperator();
+        caller.send(
                 "POST /admin/uncordon/s1 HTTP/1.1\r\nHost: d\r\n\r\nPOST /admin/quiesce HTTP/1.1\r\nHost: d\r\n\r\n");
-        Response one = Response.read(twice);
+        Response one = Response.read(caller);
         assertEquals(200, one.status);
         assertFalse(one.body.contains("HTTP/1.1"), one.body);
         assertEquals(200, call("GET", "health").status, "the second call had no effect");
@@ -212,11 +212,11 @@
     @Test
     void silentCallersDoNotDelayOthers() throws Exception {
         startWithOperatorApi(new Backend().listEntry("s1", "up"));
-        List<TestConnection> mute = new ArrayList<>();
+        List<TestConnection> silentCallers = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            mute.add(connectOperator());
+            silentCallers.add(connectOperator());
             if (i % 2 == 0) {
-                mute.get(i).send("GET /admin/health HTTP/1.1\r\nHo");
+                silentCallers.get(i).send("GET /admin/health HTTP/1.1\r\nHo");
             }
         }
         double longest = 0;
@@ -236,104 +236,107 @@
 
     @Test
     void answersWithinASecondAtFullLoad() throws Exception {
-        Backend b = new Backend();
+        Backend backend = new Backend();
         runInBackground(
                 () -> {
                     while (true) {
-                        TestConnection end = b.openNextTunnel();
+                        TestConnection connection = backend.openNextTunnel();
                         runInBackground(
                                 () -> {
-                                    end.readLine();
-                                    end.close();
+                                    connection.readLine();
+                                    connection.close();
                                 });
                     }
                 });
-        startWithOperatorApi(b.listEntry("s1", "up"));
-        AtomicBoolean over = new AtomicBoolean();
+        startWithOperatorApi(backend.listEntry("s1", "up"));
+        AtomicBoolean stopped = new AtomicBoolean();
         AtomicInteger ids = new AtomicInteger(), answered = new AtomicInteger();
-        List<Thread> load = new ArrayList<>();
+        List<Thread> clientThreads = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            load.add(
+            clientThreads.add(
                     new Thread(
                             () -> {
-                                while (!over.get()) {
-                                    try (TestConnection end =
+                                while (!stopped.get()) {
+                                    try (TestConnection connection =
                                             new TestConnection(
                                                     new Socket(
                                                             relay.address().getAddress(),
                                                             relay.address().getPort()))) {
-                                        end.send(
+                                        connection.send(
                                                 "OPEN "
                                                         + Integer.toHexString(ids.incrementAndGet())
                                                         + " 7f3a c=chat,t=acme,d=2000\r\n");
-                                        end.readLine();
+                                        connection.readLine();
                                         answered.incrementAndGet();
                                     } catch (IOException e) {
-                                        over.set(true);
+                                        stopped.set(true);
                                     }
                                 }
                             }));
         }
-        load.forEach(Thread::start);
-        double[] took = new double[300];
-        for (int i = 0; i < took.length; i++) {
+        clientThreads.forEach(Thread::start);
+        double[] seconds = new double[300];
+        for (int i = 0; i < seconds.length; i++) {
             long since = System.nanoTime();
             assertEquals(200, call("GET", i % 2 == 0 ? "stats" : "health").status);
-            took[i] = (System.nanoTime() - since) / 1e9;
+            seconds[i] = (System.nanoTime() - since) / 1e9;
         }
         for (int waits = 0; answered.get() <= 300 && waits < 500; waits++) {
             Thread.sleep(20);
         }
-        assertFalse(over.getAndSet(true), "the load went on without errors");
-        for (Thread one : load) {
+        assertFalse(stopped.getAndSet(true), "the load went on without errors");
+        for (Thread one : clientThreads) {
             one.join();
         }
-        Arrays.sort(took);
+        Arrays.sort(seconds);
         Logger.getLogger("test")
                 .info(
                         String.format(
                                 "operator API beside %d tunnels: p50 %.1f ms, p99 %.1f ms, largest %.1f ms",
-                                answered.get(), took[150] * 1e3, took[296] * 1e3, took[299] * 1e3));
-        assertTrue(answered.get() > 300 && took[299] < 1, "largest " + took[299]);
+                                answered.get(),
+                                seconds[150] * 1e3,
+                                seconds[296] * 1e3,
+                                seconds[299] * 1e3));
+        assertTrue(answered.get() > 300 && seconds[299] < 1, "largest " + seconds[299]);
     }
 
     // ---- Metrics
 
     @Test
     void metricsMatchWhatPeersSaw() throws Exception {
-        Backend b = new Backend();
-        startWithOperatorApi(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startWithOperatorApi(backend.listEntry("s1", "up"));
         for (int i = 0; i < 12; i++) {
-            backendOfNewTunnel(b);
+            backendOfNewTunnel(backend);
         }
         // This once-only request may have run and must not run twice, so it is closed with error.
         TestConnection failed = connectClient("pay", 2000);
-        b.awaitTunnel().send("ERR\r\n");
+        backend.awaitTunnel().send("ERR\r\n");
         assertEquals("ERR", failed.readLine());
         TestConnection abandoned = connectClient("chat", 2000);
-        TestConnection halfway = b.awaitTunnel();
+        TestConnection setupConnection = backend.awaitTunnel();
         abandoned.reset();
-        assertNull(halfway.readLine());
+        assertNull(setupConnection.readLine());
         // Both may be repeated: a request whose connection broke after it was sent, which is safe
         // for this profile, and one that the only backend refuses. Both are declined, as there is
         // no other backend.
-        TestConnection again = connectClient("chat", 2000);
-        b.awaitTunnel().reset();
-        assertTrue(again.readLine().startsWith("BUSY"), "there is no other server to try");
+        TestConnection repeated = connectClient("chat", 2000);
+        backend.awaitTunnel().reset();
+        assertTrue(repeated.readLine().startsWith("BUSY"), "there is no other server to try");
         TestConnection refused = connectClient("chat", 2000);
-        b.awaitTunnel().send("BUSY\r\n");
+        backend.awaitTunnel().send("BUSY\r\n");
         assertTrue(refused.readLine().startsWith("BUSY"));
         connect().send("neither an opening nor anything else\r\n");
         awaitCounter("malformed", 1);
-        Response said = stats();
-        assertEquals(12, said.downstreamRequests("chat", "completed"));
-        assertEquals(2, said.downstreamRequests("chat", "rejected"));
-        assertEquals(0, said.downstreamRequests("pay", "completed"));
-        assertEquals(1, said.downstreamRequests("pay", "failed"));
-        assertEquals(16, said.metric("relay_upstream_requests_total"));
-        assertEquals(12, said.metric("relay_pending"));
-        assertEquals(1, said.metric("relay_members"));
-        assertEquals(0, said.metric("relay_config_reloads_total"));
+        Response response = stats();
+        assertEquals(12, response.downstreamRequests("chat", "completed"));
+        assertEquals(2, response.downstreamRequests("chat", "rejected"));
+        assertEquals(0, response.downstreamRequests("pay", "completed"));
+        assertEquals(1, response.downstreamRequests("pay", "failed"));
+        assertEquals(16, response.metric("relay_upstream_requests_total"));
+        assertEquals(12, response.metric("relay_pending"));
+        assertEquals(1, response.metric("relay_members"));
+        assertEquals(0, response.metric("relay_config_reloads_total"));
         relay.reload(() -> Config.readJson(folder.resolve("config.json")));
         awaitCounter("configurations", 1);
         assertEquals(
@@ -354,7 +357,7 @@
         assertEquals(0, backendOfNewTunnel(one, two), "the less loaded server");
         assertEquals(200, call("POST", "cordon/s1").status);
         assertEquals(200, call("POST", "cordon/s1").status);
-        int probes = one.probeCount;
+        int probesBefore = one.probeCount;
         assertEquals(1, backendOfNewTunnel(one, two));
         discovery.publish(42, true, two.listEntry("s2", "up"));
         discovery.publish(
@@ -368,7 +371,7 @@
         for (int i = 0; i < 5; i++) {
             assertEquals(1, backendOfNewTunnel(one, two));
         }
-        assertTrue(one.probeCount <= probes + 1, "it is not probed either");
+        assertTrue(one.probeCount <= probesBefore + 1, "it is not probed either");
         assertEquals(1, stats().metric("relay_members_unavailable"));
         assertEquals(200, call("POST", "uncordon/s1").status, "one uncordon undoes two cordons");
         assertEquals(0, stats().metric("relay_members_unavailable"));
@@ -385,14 +388,14 @@
         two.loadReport = "x0=0.3,rif=3,busy=0.3";
         startWithOperatorApi(one.listEntry("s1", "up"), two.listEntry("s2", "up"));
         TestConnection client = connectClient("chat", 2000);
-        TestConnection backend = one.openNextTunnel();
+        TestConnection backendConnection = one.openNextTunnel();
         assertEquals("UP r1", client.readLine());
         while (one.probeCount == 0 || two.probeCount == 0) {
             Thread.yield();
         }
         call("POST", "cordon/s1");
         assertEquals("MOVE", client.readLine());
-        assertNull(backend.readLine());
+        assertNull(backendConnection.readLine());
     }
 
     @Test
@@ -402,8 +405,8 @@
         two.loadReport = "x0=0.5,rif=5,busy=0.5";
         startWithOperatorApi(one.listEntry("s1", "up"), two.listEntry("s2", "up"));
         assertEquals(0, backendOfNewTunnel(one, two));
-        SaturatedListener full = new SaturatedListener();
-        discovery.publish(42, false, full.listEntry(one, "s1"));
+        SaturatedListener saturated = new SaturatedListener();
+        discovery.publish(42, false, saturated.listEntry(one, "s1"));
         while (counterValue("list_calls") < 3) {
             Thread.yield();
         }
@@ -419,18 +422,18 @@
     @Test
     void cordonKeepsSentSetupsAndFailsWhenItCannotBeStored() throws Exception {
         Backend one = new Backend();
-        Path kept = stateFolder();
-        startWithOperatorApi(kept, one.listEntry("s1", "up"));
+        Path stateFolder = stateFolder();
+        startWithOperatorApi(stateFolder, one.listEntry("s1", "up"));
         TestConnection client = connectClient("chat", 2000);
-        TestConnection backend = one.awaitTunnel();
+        TestConnection backendConnection = one.awaitTunnel();
         assertEquals(200, call("POST", "cordon/s1").status);
-        backend.send("UP r1\r\n");
+        backendConnection.send("UP r1\r\n");
         assertEquals("UP r1", client.readLine());
         // Nothing can be written any more: the cordon stays, and a call that would change it fails.
-        Files.move(kept, folder.resolve("elsewhere"));
+        Files.move(stateFolder, folder.resolve("elsewhere"));
         assertEquals(200, call("POST", "cordon/s1").status, "it is cordoned already");
-        Response no = call("POST", "uncordon/s1");
-        assertEquals(500, no.status, no.body);
+        Response rejected = call("POST", "uncordon/s1");
+        assertEquals(500, rejected.status, rejected.body);
         Thread.sleep(500);
         assertEquals(
                 1,
@@ -442,54 +445,54 @@
 
     @Test
     void quiesceMovesClientsAtLineBoundariesAndResumeServesAgain() throws Exception {
-        Backend b = new Backend();
-        startWithOperatorApi(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startWithOperatorApi(backend.listEntry("s1", "up"));
         List<TestConnection> clients = new ArrayList<>();
         List<TestConnection> backends = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             clients.add(connectClient("chat", 2000));
-            backends.add(b.openNextTunnel());
+            backends.add(backend.openNextTunnel());
             assertEquals("UP r1", clients.get(i).readLine());
         }
         backends.get(0).send("half a li");
         awaitCounter("bytes_to_clients", 9);
-        TestConnection front = connect();
+        TestConnection frontend = connect();
         assertEquals(200, call("POST", "quiesce").status);
         long since = System.nanoTime();
-        front.send("PING\r\n");
-        assertEquals("NO", front.readLine());
+        frontend.send("PING\r\n");
+        assertEquals("NO", frontend.readLine());
         assertEquals(503, call("GET", "health").status);
-        TestConnection late = connectClient("chat", 2000);
-        b.openNextTunnel();
+        TestConnection lateClient = connectClient("chat", 2000);
+        backend.openNextTunnel();
         assertEquals(
                 "UP r1",
-                late.readLine(),
+                lateClient.readLine(),
                 "a client that arrives before its frontend has noticed is still served");
         awaitCounter("moved", 1);
         backends.get(0).send("ne\r\n");
         assertEquals("half a line", clients.get(0).readLine());
-        clients.add(late);
+        clients.add(lateClient);
         for (TestConnection client : clients) {
             assertEquals("MOVE", client.readLine());
             assertNull(client.readLine());
         }
         assertTrue(System.nanoTime() - since < 4e9, "all are moved within 4 s");
         assertEquals(200, call("POST", "resume").status);
-        front.send("PING\r\n");
-        assertEquals("PONG", front.readLine());
+        frontend.send("PING\r\n");
+        assertEquals("PONG", frontend.readLine());
         assertEquals(200, call("GET", "health").status);
-        backendOfNewTunnel(b);
+        backendOfNewTunnel(backend);
     }
 
     @Test
     void resumeKeepsClientsNotMovedYet() throws Exception {
-        Backend b = new Backend();
-        startWithOperatorApi(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startWithOperatorApi(backend.listEntry("s1", "up"));
         List<TestConnection> clients = new ArrayList<>();
         List<TestConnection> backends = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             clients.add(connectClient("chat", 2000));
-            backends.add(b.openNextTunnel());
+            backends.add(backend.openNextTunnel());
             assertEquals("UP r1", clients.get(i).readLine());
         }
         call("POST", "quiesce");
@@ -500,13 +503,13 @@
         assertEquals(moved, counterValue("moved"));
         assertTrue(moved < 12, "moved " + moved);
         assertEquals(12 - moved, stats().metric("relay_pending"));
-        int stay = 0;
+        int stayed = 0;
         for (int i = 0; i < 12; i++) {
             try {
                 backends.get(i).send("still here\r\n");
                 String line = clients.get(i).readLine();
                 assertTrue(line.equals("MOVE") || line.equals("still here"), line);
-                stay += line.equals("still here") ? 1 : 0;
+                stayed += line.equals("still here") ? 1 : 0;
             } catch (IOException e) {
                 assertEquals(
                         "MOVE",
@@ -514,16 +517,16 @@
                         "its backend's connection ended with the move");
             }
         }
-        assertEquals(12 - moved, stay);
+        assertEquals(12 - moved, stayed);
     }
 
     @Test
     void overlappingCallsGetDefiniteAnswers() throws Exception {
-        Backend b = new Backend();
-        startWithOperatorApi(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startWithOperatorApi(backend.listEntry("s1", "up"));
         assertEquals(
                 200, call("POST", "resume").status, "resume without quiesce: it serves already");
-        backendOfNewTunnel(b);
+        backendOfNewTunnel(backend);
         call("POST", "quiesce");
         assertEquals(200, call("POST", "cordon/s1").status, "cordon while quiesced");
         assertEquals(1, stats().metric("relay_members_unavailable"));
@@ -536,8 +539,8 @@
 
     @Test
     void servesQueuedConnectionsAfterTakeover() throws Exception {
-        Backend b = new Backend();
-        startWithOperatorApi(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startWithOperatorApi(backend.listEntry("s1", "up"));
         Process other = new ProcessBuilder("sleep", "60").start();
         resources.add(other::destroyForcibly);
         Files.writeString(stateFolder().resolve("asterpulley-n1.serving"), other.pid() + "\n");
@@ -545,7 +548,7 @@
         // Blocks the event loop, so that no client is accepted between its connect and the
         // shutdown.
         relay.readCounters(
-                book -> {
+                registry -> {
                     try {
                         connected.await();
                     } catch (InterruptedException e) {
@@ -559,24 +562,24 @@
         relay.beginShutdown();
         connected.countDown();
         for (int i = 0; i < 6; i++) {
-            b.openNextTunnel();
+            backend.openNextTunnel();
         }
         for (TestConnection client : clients) {
             assertEquals("UP r1", client.readLine());
         }
-        InetSocketAddress gone = relay.address();
+        InetSocketAddress clientAddress = relay.address();
         assertThrows(
                 IOException.class,
-                () -> new Socket(gone.getAddress(), gone.getPort()).close(),
+                () -> new Socket(clientAddress.getAddress(), clientAddress.getPort()).close(),
                 "no new connection is accepted");
     }
 
     @Test
     void opensNoOperatorApiAndStoresNothingWithoutAnOperatorAddress() throws Exception {
         startRelay(new Backend().listEntry("s1", "up"));
-        TestConnection front = connect();
-        front.send("PING\r\n");
-        assertEquals("PONG", front.readLine());
+        TestConnection frontend = connect();
+        frontend.send("PING\r\n");
+        assertEquals("PONG", frontend.readLine());
         assertEquals(0, counterValue("operator_calls"));
         try (var files = Files.list(folder)) {
             assertEquals(
--- a/relay/src/test/java/asterpulley/serve/RelayEndToEndTest.java
+++ b/relay/src/test/java/asterpulley/serve/RelayEndToEndTest.java
@@ -34,8 +34,8 @@
 
     @Test
     void readsLinesAcrossArbitraryReadBoundaries() throws Exception {
-        Backend b = new Backend();
-        startRelay(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startRelay(backend.listEntry("s1", "up"));
         TestConnection client = connect();
         client.send("PI");
         client.send("NG\r\n");
@@ -45,26 +45,26 @@
         assertEquals("PONG", client.readLine());
         client.send("OPEN 9b1f 7f3a c=chat,t=ac");
         client.send("me,d=2000,g=\u00e9\u0080,h=7\r\n");
-        String line = b.openRequests.take();
+        String line = backend.openRequests.take();
         assertTrue(line.matches("OPEN 9b1f 7f3a c=chat,t=acme,d=\\d+,g=\u00e9\u0080,h=7"), line);
-        int told = Integer.parseInt(line.replaceAll(".*d=(\\d+).*", "$1"));
-        assertTrue(told > 0 && told <= 2000, line);
-        TestConnection backend = b.openNextTunnel();
+        int timeoutMs = Integer.parseInt(line.replaceAll(".*d=(\\d+).*", "$1"));
+        assertTrue(timeoutMs > 0 && timeoutMs <= 2000, line);
+        TestConnection backendConnection = backend.openNextTunnel();
         assertEquals("UP r1", client.readLine());
         client.send("first\r\nsec");
         client.send("ond\r\n");
-        assertEquals("first", backend.readLine());
-        assertEquals("second", backend.readLine());
-        backend.send("LOAD 12000\r\nthi");
+        assertEquals("first", backendConnection.readLine());
+        assertEquals("second", backendConnection.readLine());
+        backendConnection.send("LOAD 12000\r\nthi");
         assertEquals("LOAD 12000", client.readLine());
-        backend.send("rd\r\n");
+        backendConnection.send("rd\r\n");
         assertEquals("third", client.readLine());
     }
 
     @Test
     void rejectsMalformedOpenRequests() throws Exception {
-        Backend b = new Backend();
-        startRelay(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startRelay(backend.listEntry("s1", "up"));
         String good = "OPEN 1 2 c=chat,t=acme,d=100";
         List<String> wrong =
                 List.of(
@@ -104,33 +104,33 @@
         assertEquals(0, counterValue("taken"));
         TestConnection client = connect();
         client.send(good + ",g=" + "x".repeat(4096 - 2 - 3 - good.length()) + "\r\n");
-        assertTrue(b.openRequests.take().endsWith("x"), "the longest line is taken");
+        assertTrue(backend.openRequests.take().endsWith("x"), "the longest line is taken");
     }
 
     @Test
     void rejectsRepeatedIdsAndEarlyDataWithoutEndingOtherTunnels() throws Exception {
-        Backend b = new Backend();
-        startRelay(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startRelay(backend.listEntry("s1", "up"));
         TestConnection client = connect();
         client.send("OPEN a1 7f3a c=chat,t=acme,d=2000\r\n");
-        TestConnection backend = b.awaitTunnel();
+        TestConnection backendConnection = backend.awaitTunnel();
         TestConnection early = connect();
         early.send("OPEN a2 7f3a c=chat,t=acme,d=2000\r\n");
-        TestConnection dropped = b.awaitTunnel();
+        TestConnection dropped = backend.awaitTunnel();
         early.send("word\r\n");
         assertEquals("ERR", early.readLine());
         assertNull(dropped.readLine());
-        for (boolean stands = false; ; stands = true) {
-            TestConnection thief = connect();
-            thief.send("OPEN " + (stands ? "a1" : "a2") + " 5b04 c=chat,t=acme,d=2000\r\n");
-            assertEquals("ERR", thief.readLine());
-            if (stands) {
+        for (boolean idIsOpen = false; ; idIsOpen = true) {
+            TestConnection duplicate = connect();
+            duplicate.send("OPEN " + (idIsOpen ? "a1" : "a2") + " 5b04 c=chat,t=acme,d=2000\r\n");
+            assertEquals("ERR", duplicate.readLine());
+            if (idIsOpen) {
                 break;
             }
-            backend.send("UP r1\r\n");
+            backendConnection.send("UP r1\r\n");
             assertEquals("UP r1", client.readLine());
         }
-        backend.send("still here\r\n");
+        backendConnection.send("still here\r\n");
         assertEquals("still here", client.readLine());
         assertEquals(2, counterValue("repeated_ids"));
         assertEquals(2, counterValue("setups"));
@@ -138,15 +138,15 @@
 
     @Test
     void closesSilentConnectionsSoonAndServesClientsMeanwhile() throws Exception {
-        Backend b = new Backend();
-        startRelay(createConfig(40 + 40, b.listEntry("s1", "up")));
-        List<TestConnection> crowd = new ArrayList<>();
+        Backend backend = new Backend();
+        startRelay(createConfig(40 + 40, backend.listEntry("s1", "up")));
+        List<TestConnection> silentClients = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            crowd.add(connect());
-            crowd.get(i).send(i % 3 == 0 ? "" : i % 3 == 1 ? "OPEN 1 2 c=ch" : "PING\r\n");
+            silentClients.add(connect());
+            silentClients.get(i).send(i % 3 == 0 ? "" : i % 3 == 1 ? "OPEN 1 2 c=ch" : "PING\r\n");
         }
         awaitCounter("accepted", 30);
-        b.openAllTunnels();
+        backend.openAllTunnels();
         for (int served = 0; served < 6; ) {
             // Some silent connections may be too new to be closed for others yet; the client then
             // tries again.
@@ -155,8 +155,8 @@
             served += answer.equals("UP r1") ? 1 : 0;
         }
         long since = System.nanoTime();
-        for (TestConnection end : crowd) {
-            for (String line = end.readLine(); line != null; line = end.readLine()) {
+        for (TestConnection connection : silentClients) {
+            for (String line = connection.readLine(); line != null; line = connection.readLine()) {
                 assertTrue(line.startsWith("BUSY") || line.equals("PONG"), line);
             }
         }
@@ -186,25 +186,25 @@
 
     @Test
     void declinesWhenNoSocketsAreLeft() throws Exception {
-        Backend b = new Backend();
-        startRelay(createConfig(40 + 20, b.listEntry("s1", "up")));
-        List<TestConnection> standing = new ArrayList<>();
+        Backend backend = new Backend();
+        startRelay(createConfig(40 + 20, backend.listEntry("s1", "up")));
+        List<TestConnection> established = new ArrayList<>();
         String answer = null;
-        while (standing.size() < 20 && (answer == null || answer.equals("UP r1"))) {
+        while (established.size() < 20 && (answer == null || answer.equals("UP r1"))) {
             TestConnection client = connectClient("chat", 2000);
-            runInBackground(b::openNextTunnel);
+            runInBackground(backend::openNextTunnel);
             answer = client.readLine();
-            standing.add(client);
+            established.add(client);
         }
         assertTrue(answer.matches("BUSY \\d+"), answer);
-        assertTrue(standing.size() > 3, "opened " + (standing.size() - 1));
-        standing.get(0).reset();
+        assertTrue(established.size() > 3, "opened " + (established.size() - 1));
+        established.get(0).reset();
         for (answer = "";
                 !answer.equals("UP r1");
-                answer = standing.get(standing.size() - 1).readLine()) {
-            standing.get(standing.size() - 1).close();
-            standing.add(connectClient("chat", 2000));
-            runInBackground(b::openNextTunnel);
+                answer = established.get(established.size() - 1).readLine()) {
+            established.get(established.size() - 1).close();
+            established.add(connectClient("chat", 2000));
+            runInBackground(backend::openNextTunnel);
         }
     }
 
@@ -212,21 +212,23 @@
 
     @Test
     void retriesElsewhereAfterRefusedConnectionOrBusyAnswer() throws Exception {
-        Backend gone = new Backend();
+        Backend unreachable = new Backend();
         Backend busy = new Backend();
         Backend good = new Backend();
-        gone.loadReport = "x0=0.01";
+        unreachable.loadReport = "x0=0.01";
         busy.loadReport = "x0=0.05";
         good.loadReport = "x0=0.5";
         startRelay(
-                gone.listEntry("s1", "up"), busy.listEntry("s2", "up"), good.listEntry("s3", "up"));
-        for (Backend b : List.of(gone, busy, good)) {
+                unreachable.listEntry("s1", "up"),
+                busy.listEntry("s2", "up"),
+                good.listEntry("s3", "up"));
+        for (Backend backend : List.of(unreachable, busy, good)) {
             // The second probe is sent only once the first has been answered.
-            while (b.probeCount < 2) {
+            while (backend.probeCount < 2) {
                 Thread.yield();
             }
         }
-        gone.serverSocket.close();
+        unreachable.serverSocket.close();
         TestConnection client = connectClient("pay", 2000);
         busy.awaitTunnel().send("BUSY\r\n");
         good.openNextTunnel();
@@ -237,11 +239,11 @@
 
     @Test
     void closesOnceOnlyTunnelWithErrorWhenItMayHaveRun() throws Exception {
-        for (Consumer<TestConnection> fails :
+        for (Consumer<TestConnection> failure :
                 List.<Consumer<TestConnection>>of(
-                        end -> runUnchecked(() -> end.send("ERR\r\n")),
-                        end -> runUnchecked(end::close),
-                        end -> runUnchecked(end::reset))) {
+                        connection -> runUnchecked(() -> connection.send("ERR\r\n")),
+                        connection -> runUnchecked(connection::close),
+                        connection -> runUnchecked(connection::reset))) {
             Backend one = new Backend();
             Backend two = new Backend();
             startRelay(one.listEntry("s1", "up"), two.listEntry("s2", "up"));
@@ -249,16 +251,16 @@
             while (one.tunnelConnections.isEmpty() && two.tunnelConnections.isEmpty()) {
                 Thread.yield();
             }
-            fails.accept((one.tunnelConnections.isEmpty() ? two : one).awaitTunnel());
+            failure.accept((one.tunnelConnections.isEmpty() ? two : one).awaitTunnel());
             assertEquals("ERR", client.readLine());
             assertNull(client.readLine());
             assertEquals(1, counterValue("setups"));
         }
     }
 
-    private static void runUnchecked(ThrowingRunnable work) {
+    private static void runUnchecked(ThrowingRunnable task) {
         try {
-            work.run();
+            task.run();
         } catch (Exception e) {
             throw new AssertionError(e);
         }
@@ -277,32 +279,32 @@
 
     @Test
     void cancelsSetupOfResetClientAndServesHalfClosedClient() throws Exception {
-        Backend b = new Backend();
-        startRelay(b.listEntry("s1", "up"));
-        TestConnection leaver = connectClient("chat", 2000);
-        TestConnection setup = b.awaitTunnel();
-        leaver.reset();
+        Backend backend = new Backend();
+        startRelay(backend.listEntry("s1", "up"));
+        TestConnection leavingClient = connectClient("chat", 2000);
+        TestConnection setup = backend.awaitTunnel();
+        leavingClient.reset();
         assertNull(setup.readLine());
-        TestConnection half = connectClient("chat", 2000);
-        setup = b.awaitTunnel();
-        half.socket.shutdownOutput();
+        TestConnection halfClosedClient = connectClient("chat", 2000);
+        setup = backend.awaitTunnel();
+        halfClosedClient.socket.shutdownOutput();
         awaitCounter("left_before_answer", 2);
         setup.send("UP r2\r\nhere\r\n");
-        assertEquals("UP r2", half.readLine());
-        assertEquals("here", half.readLine());
+        assertEquals("UP r2", halfClosedClient.readLine());
+        assertEquals("here", halfClosedClient.readLine());
         assertNull(setup.readLine());
     }
 
     @Test
     void reopensTunnelAtItsBackendOnceThatIsListed() throws Exception {
-        Backend b = new Backend();
+        Backend backend = new Backend();
         startRelay();
         TestConnection client = connect();
         client.send("OPEN 77 88 c=chat,at=s9,g=1\r\n");
         awaitCounter("reopenings", 2);
-        discovery.publish(42, b.listEntry("s9", "draining"));
-        assertEquals("OPEN 77 88 c=chat,at=s9,g=1", b.openRequests.take());
-        b.openNextTunnel();
+        discovery.publish(42, backend.listEntry("s9", "draining"));
+        assertEquals("OPEN 77 88 c=chat,at=s9,g=1", backend.openRequests.take());
+        backend.openNextTunnel();
         assertEquals("UP r1", client.readLine());
     }
 
@@ -310,35 +312,35 @@
 
     @Test
     void forwardsHalfCloseResetAndCloseToTheOtherSide() throws Exception {
-        Backend b = new Backend();
-        startRelay(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startRelay(backend.listEntry("s1", "up"));
         TestConnection client = connectClient("chat", 2000);
-        TestConnection backend = b.openNextTunnel();
+        TestConnection backendConnection = backend.openNextTunnel();
         assertEquals("UP r1", client.readLine());
         client.socket.shutdownOutput();
-        assertNull(backend.readLine());
-        backend.send("still here\r\n");
+        assertNull(backendConnection.readLine());
+        backendConnection.send("still here\r\n");
         assertEquals("still here", client.readLine());
-        backend.close();
+        backendConnection.close();
         assertNull(client.readLine());
 
         client = connectClient("chat", 2000);
-        backend = b.openNextTunnel();
+        backendConnection = backend.openNextTunnel();
         client.readLine();
         client.reset();
-        assertThrows(SocketException.class, backend::readLine);
+        assertThrows(SocketException.class, backendConnection::readLine);
 
         client = connectClient("chat", 2000);
-        backend = b.openNextTunnel();
+        backendConnection = backend.openNextTunnel();
         client.readLine();
-        backend.reset();
+        backendConnection.reset();
         assertThrows(SocketException.class, client::readLine);
 
         client = connectClient("chat", 2000);
-        backend = b.openNextTunnel();
+        backendConnection = backend.openNextTunnel();
         client.readLine();
-        backend.send("BYE\r\n");
-        backend.close();
+        backendConnection.send("BYE\r\n");
+        backendConnection.close();
         assertEquals("BYE", client.readLine());
         client.send("a line that comes too late\r\n");
         assertNull(client.readLine());
@@ -347,61 +349,61 @@
 
     @Test
     void slowReaderThrottlesItsSenderAndLosesNoBytes() throws Exception {
-        Backend b = new Backend();
-        startRelay(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startRelay(backend.listEntry("s1", "up"));
         int total = 32 << 20;
         byte[] chunk = new byte[1 << 16];
         Arrays.fill(chunk, (byte) 'x');
         for (boolean halfClosed : new boolean[] {false, true}) {
             TestConnection client = connectClient("chat", 2000);
-            TestConnection backend = b.openNextTunnel();
+            TestConnection backendConnection = backend.openNextTunnel();
             client.readLine();
             if (halfClosed) {
                 client.socket.shutdownOutput();
-                assertNull(backend.readLine());
+                assertNull(backendConnection.readLine());
             }
             long before = counterValue("bytes_to_clients");
             long slow = counterValue("slow_readers");
             runInBackground(
                     () -> {
                         for (int sent = 0; sent < total; sent += chunk.length) {
-                            backend.socket.getOutputStream().write(chunk);
+                            backendConnection.socket.getOutputStream().write(chunk);
                         }
-                        backend.close();
+                        backendConnection.close();
                     });
             awaitCounter("slow_readers", slow + 1);
             assertTrue(
                     counterValue("bytes_to_clients") - before < total * 3 / 4,
                     "the sender is throttled");
-            long got = 0;
-            byte[] some = new byte[1 << 16];
-            for (int n = client.input.read(some); n >= 0; n = client.input.read(some)) {
-                got += n;
+            long received = 0;
+            byte[] buffer = new byte[1 << 16];
+            for (int n = client.input.read(buffer); n >= 0; n = client.input.read(buffer)) {
+                received += n;
             }
-            assertEquals(total, got);
+            assertEquals(total, received);
         }
     }
 
     @Test
     void deliversBufferedBytesAfterBothSidesClosed() throws Exception {
-        Backend b = new Backend();
-        startRelay(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startRelay(backend.listEntry("s1", "up"));
         TestConnection client = connectClient("chat", 2000);
-        TestConnection backend = b.openNextTunnel();
+        TestConnection backendConnection = backend.openNextTunnel();
         client.readLine();
         client.socket.shutdownOutput();
-        assertNull(backend.readLine());
+        assertNull(backendConnection.readLine());
         byte[] chunk = new byte[4 * LineCodec.MAX_LINE_BYTES];
         long sent = 0;
         for (boolean waits = false; !waits; ) {
-            backend.socket.getOutputStream().write(chunk);
+            backendConnection.socket.getOutputStream().write(chunk);
             sent += chunk.length;
             awaitCounter("bytes_to_clients", sent);
             CompletableFuture<Boolean> waiting = new CompletableFuture<>();
-            relay.readCounters(book -> waiting.complete(book.pendingWrites > 0));
+            relay.readCounters(registry -> waiting.complete(registry.pendingWrites > 0));
             waits = waiting.get(20, TimeUnit.SECONDS);
         }
-        backend.close();
+        backendConnection.close();
         awaitCounter("ended_broken", 1);
         for (int n = client.input.read(chunk); n >= 0; n = client.input.read(chunk)) {
             sent -= n;
@@ -411,15 +413,15 @@
 
     @Test
     void shutdownMovesClientsAtLineBoundariesAndServesNewOnes() throws Exception {
-        Backend b = new Backend();
-        startRelay(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startRelay(backend.listEntry("s1", "up"));
         TestConnection idle = connectClient("chat", 2000);
-        TestConnection served = b.openNextTunnel();
+        TestConnection served = backend.openNextTunnel();
         idle.readLine();
-        TestConnection midLine = connectClient("chat", 2000);
-        TestConnection backend = b.openNextTunnel();
-        midLine.readLine();
-        backend.send("half a ");
+        TestConnection midLineClient = connectClient("chat", 2000);
+        TestConnection backendConnection = backend.openNextTunnel();
+        midLineClient.readLine();
+        backendConnection.send("half a ");
         awaitCounter("bytes_to_clients", 7);
         relay.beginShutdown();
         awaitCounter("leaving", 1);
@@ -427,15 +429,15 @@
         assertEquals("still here", idle.readLine(), "served as long as there is time");
         assertEquals("MOVE", idle.readLine());
         assertNull(idle.readLine());
-        backend.send("line\r\n");
-        assertEquals("half a line", midLine.readLine());
-        assertEquals("MOVE", midLine.readLine());
-        TestConnection newcomer = connectClient("chat", 2000);
-        TestConnection late = b.openNextTunnel();
-        assertEquals("UP r1", newcomer.readLine());
-        assertEquals("MOVE", newcomer.readLine());
+        backendConnection.send("line\r\n");
+        assertEquals("half a line", midLineClient.readLine());
+        assertEquals("MOVE", midLineClient.readLine());
+        TestConnection newClient = connectClient("chat", 2000);
+        TestConnection late = backend.openNextTunnel();
+        assertEquals("UP r1", newClient.readLine());
+        assertEquals("MOVE", newClient.readLine());
         assertNull(late.readLine());
-        for (TestConnection done : List.of(idle, newcomer, midLine)) {
+        for (TestConnection done : List.of(idle, newClient, midLineClient)) {
             done.close();
         }
         long accepted = counterValue("accepted");
@@ -443,7 +445,7 @@
         last.send("OPEN f1 2 c=chat,d=");
         awaitCounter("accepted", accepted + 1);
         last.send("2000\r\n");
-        b.openNextTunnel();
+        backend.openNextTunnel();
         assertEquals("UP r1", last.readLine());
         assertEquals("MOVE", last.readLine());
         relay.awaitTermination();
@@ -452,31 +454,31 @@
 
     @Test
     void movesClientsOfASilentBackendAndForwardsABackendsMove() throws Exception {
-        Backend b = new Backend();
-        startRelay(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        startRelay(backend.listEntry("s1", "up"));
         TestConnection waiting = connectClient("chat", 2000);
-        TestConnection silent = b.openNextTunnel();
+        TestConnection silent = backend.openNextTunnel();
         waiting.readLine();
-        TestConnection sentAway = connectClient("chat", 2000);
-        TestConnection draining = b.openNextTunnel();
-        sentAway.readLine();
+        TestConnection movedClient = connectClient("chat", 2000);
+        TestConnection draining = backend.openNextTunnel();
+        movedClient.readLine();
         // The relay checks for unanswered lines every 0.25 s. Another unanswered line reveals when,
         // so that a check falls between 3.3 and 3.5 s after the line below.
-        TestConnection gauge = connectClient("chat", 2000);
-        TestConnection dumb = b.openNextTunnel();
-        gauge.readLine();
-        gauge.send("when?\r\n");
+        TestConnection timingClient = connectClient("chat", 2000);
+        TestConnection timingBackend = backend.openNextTunnel();
+        timingClient.readLine();
+        timingClient.send("when?\r\n");
         awaitCounter("lines_unanswered", 1);
-        gauge.close();
-        dumb.close();
+        timingClient.close();
+        timingBackend.close();
         Thread.sleep(100);
         long before = counterValue("lines_unanswered");
         waiting.send("anyone?\r\n");
         long since = System.nanoTime();
         draining.send("MOVE\r\n");
         draining.close();
-        assertEquals("MOVE", sentAway.readLine());
-        assertNull(sentAway.readLine());
+        assertEquals("MOVE", movedClient.readLine());
+        assertNull(movedClient.readLine());
         assertEquals("anyone?", silent.readLine());
         assertEquals("MOVE", waiting.readLine());
         assertNull(waiting.readLine());
@@ -494,13 +496,13 @@
 
     @Test
     void idleProbeConnectionClosedByBackendIsNoFailure() throws Exception {
-        Backend b = new Backend();
-        b.closesAfterProbe = true;
-        startRelay(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        backend.closesAfterProbe = true;
+        startRelay(backend.listEntry("s1", "up"));
         awaitCounter("probes_answered", 4);
         assertEquals(0, counterValue("probes_broken"));
         TestConnection client = connectClient("chat", 2000);
-        b.openNextTunnel();
+        backend.openNextTunnel();
         assertEquals("UP r1", client.readLine());
     }
 
@@ -529,18 +531,18 @@
 
     @Test
     void readsServerListThatNeedsManyReads() throws Exception {
-        Backend b = new Backend();
+        Backend backend = new Backend();
         startRelay();
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < 3000; i++) {
-            entries.add(b.listEntry("gone" + i, "removed"));
+            entries.add(backend.listEntry("gone" + i, "removed"));
         }
-        entries.add(b.listEntry("s1", "up"));
+        entries.add(backend.listEntry("s1", "up"));
         discovery.publish(42, entries.toArray(String[]::new));
         discovery.requests.take();
         assertTrue(discovery.requests.take().startsWith("/registry/instances?index=42&"));
         TestConnection client = connectClient("chat", 2000);
-        b.openNextTunnel();
+        backend.openNextTunnel();
         assertEquals("UP r1", client.readLine());
     }
 
@@ -551,9 +553,9 @@
         Backend one = new Backend();
         Backend two = new Backend();
         startRelay(one.listEntry("s1", "up"));
-        TestConnection standing = connectClient("chat", 2000);
-        TestConnection backend = one.openNextTunnel();
-        standing.readLine();
+        TestConnection established = connectClient("chat", 2000);
+        TestConnection backendConnection = one.openNextTunnel();
+        established.readLine();
         discovery.requests.take();
         for (int version = 7; version < 9; version++) {
             createConfig(1000);
@@ -583,15 +585,15 @@
         TestConnection client = connectClient("chat", 2000);
         two.openNextTunnel();
         assertEquals("UP r1", client.readLine());
-        backend.send("still here\r\n");
-        assertEquals("still here", standing.readLine());
+        backendConnection.send("still here\r\n");
+        assertEquals("still here", established.readLine());
         assertEquals(2, counterValue("configurations"));
     }
 
     @Test
     void reportsWhatIsWrongWithAConfiguration() throws Exception {
         Path file = folder.resolve("wrong.json");
-        for (String[] c :
+        for (String[] testCase :
                 new String[][] {
                     {"{", "not JSON"},
                     {"[]", "the configuration is not an object"},
@@ -601,11 +603,11 @@
                         "'here' is not an address and a port"
                     }
                 }) {
-            Files.writeString(file, c[0]);
-            String told =
+            Files.writeString(file, testCase[0]);
+            String message =
                     assertThrows(Json.MalformedException.class, () -> Config.read(file))
                             .getMessage();
-            assertTrue(told.startsWith(c[1]), told);
+            assertTrue(message.startsWith(testCase[1]), message);
         }
     }
 
@@ -618,9 +620,10 @@
 
     @Test
     void progressOfAFailedSetupTellsWhetherItMayHaveRun() {
-        for (Termination.Progress reach : Termination.Progress.values()) {
+        for (Termination.Progress progress : Termination.Progress.values()) {
             boolean sent =
-                    reach == Termination.Progress.SENT || reach == Termination.Progress.OPENED;
+                    progress == Termination.Progress.SENT
+                            || progress == Termination.Progress.OPENED;
             for (Termination.Cause cause :
                     List.of(
                             Termination.Cause.BROKEN,
@@ -628,8 +631,8 @@
                             Termination.Cause.CLIENT_LEFT)) {
                 assertEquals(
                         !sent,
-                        new Termination(reach, cause).outcome().provesNoEffect,
-                        reach + " " + cause);
+                        new Termination(progress, cause).outcome().provesNoEffect,
+                        progress + " " + cause);
             }
         }
         assertTrue(
--- a/relay/src/test/java/asterpulley/serve/RelayFixture.java
+++ b/relay/src/test/java/asterpulley/serve/RelayFixture.java
@@ -109,20 +109,20 @@
             serverSocket = listen(this::serve);
         }
 
-        private void serve(TestConnection end) throws Exception {
-            for (String line = end.readLine(); line != null; line = end.readLine()) {
+        private void serve(TestConnection connection) throws Exception {
+            for (String line = connection.readLine(); line != null; line = connection.readLine()) {
                 if (!line.equals("STATS")) {
                     openRequests.add(line);
-                    tunnelConnections.add(end);
+                    tunnelConnections.add(connection);
                     return;
                 }
                 probeCount++;
-                probeConnections.add(end);
+                probeConnections.add(connection);
                 probeAnswerPermits.acquire();
-                end.send("PONG " + loadReport + "\r\n");
+                connection.send("PONG " + loadReport + "\r\n");
                 if (closesAfterProbe) {
-                    end.readLine();
-                    end.close();
+                    connection.readLine();
+                    connection.close();
                     return;
                 }
             }
@@ -130,9 +130,9 @@
 
         /** Closes all probe connections, as if they had been idle. */
         void closeProbeConnections() throws IOException {
-            for (TestConnection end : probeConnections) {
-                probeConnections.remove(end);
-                end.close();
+            for (TestConnection connection : probeConnections) {
+                probeConnections.remove(connection);
+                connection.close();
             }
         }
 
@@ -162,9 +162,9 @@
 
         /** Waits for the next tunnel and opens it. */
         TestConnection openNextTunnel() throws IOException, InterruptedException {
-            TestConnection end = awaitTunnel();
-            end.send("UP r1\r\n");
-            return end;
+            TestConnection connection = awaitTunnel();
+            connection.send("UP r1\r\n");
+            return connection;
         }
     }
 
@@ -190,21 +190,21 @@
          */
         void shutDown() throws IOException {
             serverSocket.close();
-            for (TestConnection caller : connections) {
-                caller.close();
+            for (TestConnection connection : connections) {
+                connection.close();
             }
         }
 
-        private void serve(TestConnection end) throws Exception {
-            connections.add(end);
-            for (String line = end.readLine(); line != null; line = end.readLine()) {
+        private void serve(TestConnection connection) throws Exception {
+            connections.add(connection);
+            for (String line = connection.readLine(); line != null; line = connection.readLine()) {
                 if (line.startsWith("GET ")) {
                     requests.add(line.split(" ")[1]);
                 } else if (line.isEmpty()) {
-                    String answer = responses.take();
-                    end.send(answer);
-                    if (!answer.contains(" 200 ")) {
-                        end.close();
+                    String response = responses.take();
+                    connection.send(response);
+                    if (!response.contains(" 200 ")) {
+                        connection.close();
                         return;
                     }
                 }
@@ -215,10 +215,10 @@
             publish(version, false, entries);
         }
 
-        void publish(int version, boolean whole, String... entries) {
+        void publish(int version, boolean wholeList, String... entries) {
             String body =
                     "{\"seq\":%d,\"whole\":%s,\"hosts\":[%s]}"
-                            .formatted(version, whole, String.join(",", entries));
+                            .formatted(version, wholeList, String.join(",", entries));
             responses.add(
                     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
                             .formatted(body.length(), body));
@@ -246,13 +246,13 @@
             serverSocket = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
             serverSocket.setSoTimeout(20_000);
             resources.add(serverSocket);
-            for (boolean room = true; room; ) {
+            for (boolean hasRoom = true; hasRoom; ) {
                 Socket filler = new Socket();
                 resources.add(filler);
                 try {
                     filler.connect(serverSocket.getLocalSocketAddress(), 200);
                 } catch (SocketTimeoutException e) {
-                    room = false;
+                    hasRoom = false;
                 }
                 fillerPorts.add(filler.getLocalPort());
             }
@@ -270,10 +270,10 @@
         /** Accepts the next connection, skipping those that filled the backlog. */
         TestConnection acceptNext() throws IOException {
             while (true) {
-                TestConnection end = new TestConnection(serverSocket.accept());
-                resources.add(end);
-                if (!fillerPorts.contains(end.socket.getPort())) {
-                    return end;
+                TestConnection connection = new TestConnection(serverSocket.accept());
+                resources.add(connection);
+                if (!fillerPorts.contains(connection.socket.getPort())) {
+                    return connection;
                 }
             }
         }
@@ -290,23 +290,23 @@
             last.configureBlocking(false);
             last.connect(serverSocket.getLocalSocketAddress());
             int port = ((InetSocketAddress) last.getLocalAddress()).getPort();
-            List<String> said = new ArrayList<>();
-            for (TestConnection end = acceptNext();
-                    end.socket.getPort() != port;
-                    end = acceptNext()) {
+            List<String> firstLines = new ArrayList<>();
+            for (TestConnection connection = acceptNext();
+                    connection.socket.getPort() != port;
+                    connection = acceptNext()) {
                 try {
-                    String line = end.readLine();
+                    String line = connection.readLine();
                     if (line != null) {
-                        said.add(line);
+                        firstLines.add(line);
                     }
                 } catch (SocketException e) {
                     // It was reset, so it sends nothing more.
                     continue;
                 } finally {
-                    end.close();
+                    connection.close();
                 }
             }
-            return said;
+            return firstLines;
         }
     }
 
@@ -315,33 +315,33 @@
     }
 
     interface ConnectionHandler {
-        void serve(TestConnection end) throws Exception;
+        void serve(TestConnection connection) throws Exception;
     }
 
-    ServerSocket listen(ConnectionHandler host) throws IOException {
-        return listen(0, host);
+    ServerSocket listen(ConnectionHandler handler) throws IOException {
+        return listen(0, handler);
     }
 
-    ServerSocket listen(int port, ConnectionHandler host) throws IOException {
-        ServerSocket listening = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
-        resources.add(listening);
+    ServerSocket listen(int port, ConnectionHandler handler) throws IOException {
+        ServerSocket serverSocket = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
+        resources.add(serverSocket);
         runInBackground(
                 () -> {
                     while (true) {
-                        TestConnection end = new TestConnection(listening.accept());
-                        resources.add(end);
-                        runInBackground(() -> host.serve(end));
+                        TestConnection connection = new TestConnection(serverSocket.accept());
+                        resources.add(connection);
+                        runInBackground(() -> handler.serve(connection));
                     }
                 });
-        return listening;
+        return serverSocket;
     }
 
-    static void runInBackground(ThrowingRunnable work) {
+    static void runInBackground(ThrowingRunnable task) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                work.run();
+                                task.run();
                             } catch (Exception e) {
                                 // Connections are closed at the end of a test; what is expected of
                                 // them is asserted in the test.
@@ -356,12 +356,12 @@
     StubDiscovery discovery;
     RelayInstance relay;
 
-    Config createConfig(int sockets, String... entries) throws IOException {
-        return createConfig(told -> told, sockets, entries);
+    Config createConfig(int socketLimit, String... entries) throws IOException {
+        return createConfig(json -> json, socketLimit, entries);
     }
 
     /** Writes a configuration with a new stub discovery. {@code edit} changes its JSON text. */
-    Config createConfig(UnaryOperator<String> edit, int sockets, String... entries)
+    Config createConfig(UnaryOperator<String> edit, int socketLimit, String... entries)
             throws IOException {
         discovery = new StubDiscovery();
         Path file = folder.resolve("config.json");
@@ -380,7 +380,7 @@
                 """
                                 .formatted(
                                         discovery.serverSocket.getLocalPort(),
-                                        sockets,
+                                        socketLimit,
                                         String.join(",", entries))));
         return Config.read(file);
     }
@@ -397,7 +397,7 @@
 
     /** Returns a builder for a relay in a process of its own. */
     static ProcessBuilder relayProcessBuilder(Path config, Path log) {
-        ProcessBuilder run =
+        ProcessBuilder builder =
                 new ProcessBuilder(
                         ProcessHandle.current().info().command().orElse("java"),
                         "-XX:+UseSerialGC",
@@ -406,28 +406,31 @@
                         System.getProperty("java.class.path"),
                         "asterpulley.serve.Main",
                         "serve");
-        run.environment().put("LB_CONFIG", config.toString());
-        return run.redirectErrorStream(true).redirectOutput(log.toFile());
+        builder.environment().put("LB_CONFIG", config.toString());
+        return builder.redirectErrorStream(true).redirectOutput(log.toFile());
     }
 
     TestConnection connect() throws IOException {
-        TestConnection end =
+        TestConnection connection =
                 new TestConnection(
                         new Socket(relay.address().getAddress(), relay.address().getPort()));
-        resources.add(end);
-        return end;
+        resources.add(connection);
+        return connection;
     }
 
-    TestConnection connectClient(String profile, int patience) throws IOException {
-        return connectClient(relay.address(), profile, patience);
+    TestConnection connectClient(String profile, int clientTimeoutMs) throws IOException {
+        return connectClient(relay.address(), profile, clientTimeoutMs);
     }
 
-    TestConnection connectClient(InetSocketAddress relay, String profile, int patience)
+    TestConnection connectClient(
+            InetSocketAddress relayAddress, String profile, int clientTimeoutMs)
             throws IOException {
-        TestConnection end = new TestConnection(new Socket(relay.getAddress(), relay.getPort()));
-        resources.add(end);
-        end.send(OPEN_REQUEST_FORMAT.formatted(++clientCount, profile, patience) + "\r\n");
-        return end;
+        TestConnection connection =
+                new TestConnection(new Socket(relayAddress.getAddress(), relayAddress.getPort()));
+        resources.add(connection);
+        connection.send(
+                OPEN_REQUEST_FORMAT.formatted(++clientCount, profile, clientTimeoutMs) + "\r\n");
+        return connection;
     }
 
     /**
@@ -435,29 +438,29 @@
      * meanwhile is handled in one iteration. Returns once the loop is blocked.
      */
     Runnable pauseEventLoop() throws InterruptedException {
-        CountDownLatch stopped = new CountDownLatch(1);
-        CountDownLatch on = new CountDownLatch(1);
+        CountDownLatch paused = new CountDownLatch(1);
+        CountDownLatch resume = new CountDownLatch(1);
         relay.readCounters(
-                book -> {
-                    stopped.countDown();
+                registry -> {
+                    paused.countDown();
                     try {
-                        on.await(20, TimeUnit.SECONDS);
+                        resume.await(20, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-        stopped.await();
-        return on::countDown;
+        paused.await();
+        return resume::countDown;
     }
 
-    long counterValue(String what) throws Exception {
-        CompletableFuture<Long> got = new CompletableFuture<>();
-        relay.readCounters(book -> got.complete(book.counterValue(what)));
-        return got.get(20, TimeUnit.SECONDS);
+    long counterValue(String name) throws Exception {
+        CompletableFuture<Long> result = new CompletableFuture<>();
+        relay.readCounters(registry -> result.complete(registry.counterValue(name)));
+        return result.get(20, TimeUnit.SECONDS);
     }
 
-    void awaitCounter(String what, long atLeast) throws Exception {
-        while (counterValue(what) < atLeast) {
+    void awaitCounter(String name, long atLeast) throws Exception {
+        while (counterValue(name) < atLeast) {
             Thread.yield();
         }
     }
--- a/relay/src/test/java/asterpulley/serve/RunScriptTest.java
+++ b/relay/src/test/java/asterpulley/serve/RunScriptTest.java
@@ -14,20 +14,21 @@
     @TempDir Path folder;
 
     private String runWithConfig(String config) throws Exception {
-        Path java = folder.resolve("java");
-        Files.writeString(java, "#!/bin/sh\necho \"$@\"\n");
-        assertTrue(java.toFile().setExecutable(true));
+        Path fakeJava = folder.resolve("java");
+        Files.writeString(fakeJava, "#!/bin/sh\necho \"$@\"\n");
+        assertTrue(fakeJava.toFile().setExecutable(true));
         Path file = folder.resolve("config.json");
         Files.writeString(file, config);
-        ProcessBuilder run = new ProcessBuilder("sh", "../deploy/run").redirectErrorStream(true);
+        ProcessBuilder builder =
+                new ProcessBuilder("sh", "../deploy/run").redirectErrorStream(true);
         // Only the fake java is on the PATH, so a script that needs other programs fails.
-        run.command().set(0, "/bin/sh");
-        run.environment().put("PATH", folder.toString());
-        run.environment().put("LB_CONFIG", file.toString());
-        Process process = run.start();
-        String called = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(0, process.waitFor(), called);
-        return called;
+        builder.command().set(0, "/bin/sh");
+        builder.environment().put("PATH", folder.toString());
+        builder.environment().put("LB_CONFIG", file.toString());
+        Process process = builder.start();
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(0, process.waitFor(), output);
+        return output;
     }
 
     @Test
@@ -35,9 +36,9 @@
         String limits =
                 "{\"limits\":{\"cores\":0.5,\n \"memory_mb\" : %d,\"sockets\":384},\"settings\":{}}";
         for (int[] c : new int[][] {{192, 124}, {144, 82}, {96, 40}, {64, 12}, {32, 12}}) {
-            String called = runWithConfig(limits.formatted(c[0]));
-            assertTrue(called.contains(" -Xmx" + c[1] + "m "), c[0] + ": " + called);
-            assertTrue(called.endsWith(" serve\n"), called);
+            String output = runWithConfig(limits.formatted(c[0]));
+            assertTrue(output.contains(" -Xmx" + c[1] + "m "), c[0] + ": " + output);
+            assertTrue(output.endsWith(" serve\n"), output);
         }
         String shared =
                 "{\"operator\":\"10.0.0.4:9800\",\"limits\":{\"memory_mb\":208},\"known\":{}}";
--- a/relay/src/test/java/asterpulley/serve/ServerListChangeTest.java
+++ b/relay/src/test/java/asterpulley/serve/ServerListChangeTest.java
@@ -21,19 +21,20 @@
     @Test
     void listReplacingMostServersTakesEffectAtOnce() throws Exception {
         List<String> before = new ArrayList<>(), after = new ArrayList<>();
-        List<Backend> gone = new ArrayList<>();
+        List<Backend> removed = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            Backend b = new Backend();
-            b.openAllTunnels();
-            before.add(b.listEntry("s" + i, "up"));
+            Backend backend = new Backend();
+            backend.openAllTunnels();
+            before.add(backend.listEntry("s" + i, "up"));
             if (i < 4) {
-                after.add(b.listEntry("s" + i, "up"));
+                after.add(backend.listEntry("s" + i, "up"));
             } else {
-                gone.add(b);
-                Backend anew = new Backend();
-                anew.openAllTunnels();
+                removed.add(backend);
+                Backend replacement = new Backend();
+                replacement.openAllTunnels();
                 after.add(
-                        anew.listEntry("n" + i, "up")
+                        replacement
+                                .listEntry("n" + i, "up")
                                 .replace(
                                         "\"born_ms\":0",
                                         "\"born_ms\":" + System.currentTimeMillis()));
@@ -44,12 +45,13 @@
         discovery.requests.take();
         discovery.publish(42, true, after.toArray(String[]::new));
         assertTrue(discovery.requests.take().startsWith("/registry/instances?index=42&"));
-        int[] had = gone.stream().mapToInt(b -> b.openRequests.size()).toArray();
+        int[] requestsBefore =
+                removed.stream().mapToInt(backend -> backend.openRequests.size()).toArray();
         assertTunnelsOpen(20);
-        for (int i = 0; i < had.length; i++) {
+        for (int i = 0; i < requestsBefore.length; i++) {
             assertEquals(
-                    had[i],
-                    gone.get(i).openRequests.size(),
+                    requestsBefore[i],
+                    removed.get(i).openRequests.size(),
                     "no new tunnels to servers that the list dropped");
         }
         assertEquals(0, counterValue("declined"));
@@ -57,16 +59,16 @@
 
     @Test
     void burstBeyondTheSetupWindowIsFullyServed() throws Exception {
-        Backend b = new Backend();
-        startRelay(b.listEntry("s1", "up"));
-        List<TestConnection> rush = new ArrayList<>();
+        Backend backend = new Backend();
+        startRelay(backend.listEntry("s1", "up"));
+        List<TestConnection> clients = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            rush.add(connectClient("chat", 3000));
+            clients.add(connectClient("chat", 3000));
         }
         awaitCounter("taken", 12);
         awaitCounter("setups", 1);
-        b.openAllTunnels();
-        for (TestConnection client : rush) {
+        backend.openAllTunnels();
+        for (TestConnection client : clients) {
             assertEquals("UP r1", client.readLine());
         }
         assertEquals(0, counterValue("declined"));
@@ -74,14 +76,14 @@
 
     @Test
     void declinesWithAnEmptyListUntilTheFirstListArrives() throws Exception {
-        Backend b = new Backend();
-        b.openAllTunnels();
+        Backend backend = new Backend();
+        backend.openAllTunnels();
         startRelay();
         discovery.responses.add("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         discovery.requests.take();
         awaitCounter("list_failures", 1);
         assertTrue(connectClient("chat", 3000).readLine().matches("BUSY \\d+"));
-        discovery.publish(42, true, b.listEntry("s1", "up"));
+        discovery.publish(42, true, backend.listEntry("s1", "up"));
         discovery.requests.take();
         assertTrue(discovery.requests.take().startsWith("/registry/instances?index=42&"));
         assertTunnelsOpen(3);
--- a/relay/src/test/java/asterpulley/serve/ServerListPacingTest.java
+++ b/relay/src/test/java/asterpulley/serve/ServerListPacingTest.java
@@ -31,13 +31,13 @@
         /** Index of the first request that is held back. */
         private final CompletableFuture<Integer> heldRequest = new CompletableFuture<>();
 
-        ImmediateDiscovery(IntFunction<String> answers) throws IOException {
-            this.responses = answers;
+        ImmediateDiscovery(IntFunction<String> responses) throws IOException {
+            this.responses = responses;
         }
 
-        private void serve(TestConnection end) throws Exception {
-            for (String line = end.readLine(); line != null; line = end.readLine()) {
-                while (!end.readLine().isEmpty()) {
+        private void serve(TestConnection connection) throws Exception {
+            for (String line = connection.readLine(); line != null; line = connection.readLine()) {
+                while (!connection.readLine().isEmpty()) {
                     continue;
                 }
                 int n;
@@ -51,7 +51,7 @@
                     release.get();
                 }
                 String body = responses.apply(n);
-                end.send(
+                connection.send(
                         "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
                                 .formatted(body.length(), body));
             }
@@ -76,26 +76,26 @@
 
     private RelayInstance startRelayWith(
             ImmediateDiscovery service, boolean pushed, String... entries) throws IOException {
-        RelayInstance relay =
+        RelayInstance started =
                 new RelayInstance(
                         createConfig(
-                                told -> {
-                                    told =
-                                            told.replaceFirst(
+                                json -> {
+                                    json =
+                                            json.replaceFirst(
                                                     "\"discovery\":\"[^\"]*\"",
                                                     "\"discovery\":\"127.0.0.1:"
                                                             + service.serverSocket.getLocalPort()
                                                             + "\"");
                                     return pushed
-                                            ? told.replace("\"subscribe\"", "\"automatic\"")
-                                            : told;
+                                            ? json.replace("\"subscribe\"", "\"automatic\"")
+                                            : json;
                                 },
                                 1000,
                                 entries),
                         null);
-        resources.add(relay::kill);
-        relay.open();
-        return relay;
+        resources.add(started::kill);
+        started.open();
+        return started;
     }
 
     @Test
@@ -121,28 +121,32 @@
                 "the same change of a higher version each time",
                 new ImmediateDiscovery(n -> listBody(42 + n, false, up)));
         services.put("no version", new ImmediateDiscovery(n -> listBody(-1, true, up)));
-        Map<String, ImmediateDiscovery> all = new TreeMap<>();
+        Map<String, ImmediateDiscovery> allServices = new TreeMap<>();
         for (String name : services.keySet()) {
-            all.put(name, services.get(name));
-            all.put(name + ", pushed", new ImmediateDiscovery(services.get(name).responses));
+            allServices.put(name, services.get(name));
+            allServices.put(
+                    name + ", pushed", new ImmediateDiscovery(services.get(name).responses));
         }
-        for (Map.Entry<String, ImmediateDiscovery> service : all.entrySet()) {
+        for (Map.Entry<String, ImmediateDiscovery> service : allServices.entrySet()) {
             startRelayWith(service.getValue(), service.getKey().endsWith("pushed"), up);
         }
-        List<String> fast = new ArrayList<>();
-        for (String name : all.keySet()) {
-            ImmediateDiscovery service = all.get(name);
+        List<String> tooFast = new ArrayList<>();
+        for (String name : allServices.keySet()) {
+            ImmediateDiscovery service = allServices.get(name);
             // Long polling goes on for 20 such answers; then the load balancer sets the interval,
             // which is within half the grace period where the list is pushed.
-            double kept = service.secondsToRequest(18);
-            double later = service.secondsToRequest(23) - service.secondsToRequest(21);
-            if (kept < 1.5 || kept > 18 * 0.2 || later < (name.endsWith("pushed") ? 0.2 : 0.45)) {
-                fast.add("%s: %.3f s, then %.3f s".formatted(name, kept, later));
+            double longPollSeconds = service.secondsToRequest(18);
+            double pollSeconds = service.secondsToRequest(23) - service.secondsToRequest(21);
+            if (longPollSeconds < 1.5
+                    || longPollSeconds > 18 * 0.2
+                    || pollSeconds < (name.endsWith("pushed") ? 0.2 : 0.45)) {
+                tooFast.add(
+                        "%s: %.3f s, then %.3f s".formatted(name, longPollSeconds, pollSeconds));
             }
         }
         assertEquals(
                 List.of(),
-                fast,
+                tooFast,
                 "the first 18 pauses, each below 0.2 s, then 2 intervals without long polling");
     }
 
@@ -154,19 +158,21 @@
                 new ImmediateDiscovery(n -> listBody(7, n == 0, one.listEntry("s1", "up")));
         relay = startRelayWith(service, false, one.listEntry("s1", "up"));
         service.secondsToRequest(21);
-        Config to =
+        Config newConfig =
                 createConfig(
-                        told ->
-                                told.replaceFirst(
+                        json ->
+                                json.replaceFirst(
                                         "\"discovery\":\"[^\"]*\"",
                                         "\"discovery\":\"127.0.0.1:"
                                                 + other.serverSocket.getLocalPort()
                                                 + "\""),
                         1000,
                         one.listEntry("s1", "up"));
-        relay.applyConfig(to);
-        double kept = other.secondsToRequest(6) - other.secondsToRequest(1);
-        assertTrue(kept < 5 * 0.2, "long polling is kept up for a while here too: " + kept);
+        relay.applyConfig(newConfig);
+        double longPollSeconds = other.secondsToRequest(6) - other.secondsToRequest(1);
+        assertTrue(
+                longPollSeconds < 5 * 0.2,
+                "long polling is kept up for a while here too: " + longPollSeconds);
     }
 
     @Test
@@ -191,10 +197,10 @@
         // read without a pause.
         service.secondsToRequest(31);
         service.release = new CompletableFuture<>();
-        int held = service.heldRequest.get(20, TimeUnit.SECONDS);
+        int heldIndex = service.heldRequest.get(20, TimeUnit.SECONDS);
         service.responses =
                 n ->
-                        n < held + 5
+                        n < heldIndex + 5
                                 ? listBody(
                                         60 + n,
                                         false,
@@ -207,7 +213,8 @@
         TimeUnit.MILLISECONDS.sleep(600);
         service.release.complete(null);
         assertTrue(
-                service.secondsToRequest(held + 6) - service.secondsToRequest(held + 1) < 0.3,
+                service.secondsToRequest(heldIndex + 6) - service.secondsToRequest(heldIndex + 1)
+                        < 0.3,
                 "long polling resumes once the service holds a request");
         TestConnection client = connectClient("chat", 2000);
         two.openNextTunnel();
--- a/relay/src/test/java/asterpulley/serve/ServerListWatchTest.java
+++ b/relay/src/test/java/asterpulley/serve/ServerListWatchTest.java
@@ -26,15 +26,16 @@
         long since = System.nanoTime();
         // The headers arrive, and nothing after them.
         discovery.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n");
-        String again = discovery.requests.poll(20, TimeUnit.SECONDS);
-        double silent = (System.nanoTime() - since) / 1e9;
+        String nextRequest = discovery.requests.poll(20, TimeUnit.SECONDS);
+        double silentSeconds = (System.nanoTime() - since) / 1e9;
         assertEquals(
                 "/registry/instances?index=41&wait=1",
-                again,
+                nextRequest,
                 "it continues from the last version and asks at once");
         assertTrue(
-                silent > 10 && silent < 11.4,
-                "the long poll takes 10 s, and missed changes count from 12 s on: " + silent);
+                silentSeconds > 10 && silentSeconds < 11.4,
+                "the long poll takes 10 s, and missed changes count from 12 s on: "
+                        + silentSeconds);
         assertEquals(1, counterValue("list_failures"));
     }
 
@@ -49,8 +50,9 @@
         assertEquals("/registry/instances", discovery.requests.take());
         discovery.responses.add("HTTP/1.1 200 OK\r\n");
         assertEquals("/registry/instances", discovery.requests.poll(20, TimeUnit.SECONDS));
-        double silent = (System.nanoTime() - since) / 1e9;
-        assertTrue(silent < 3.7, "a silent request has a timeout of its own: " + silent);
+        double silentSeconds = (System.nanoTime() - since) / 1e9;
+        assertTrue(
+                silentSeconds < 3.7, "a silent request has a timeout of its own: " + silentSeconds);
     }
 
     @Test
@@ -77,24 +79,24 @@
     void lastOfTwoMovesInOneIterationWins() throws Exception {
         Backend one = new Backend();
         Backend two = new Backend();
-        Config old = createConfig(1000, one.listEntry("s1", "up"));
-        startRelay(old);
+        Config oldConfig = createConfig(1000, one.listEntry("s1", "up"));
+        startRelay(oldConfig);
         discovery.requests.take();
-        StubDiscovery first = discovery;
-        Config other = createConfig(1000);
-        StubDiscovery second = discovery;
-        Runnable on = pauseEventLoop();
-        relay.applyConfig(other);
-        relay.applyConfig(old);
-        on.run();
-        assertEquals("/registry/instances", first.requests.take());
+        StubDiscovery oldDiscovery = discovery;
+        Config otherConfig = createConfig(1000);
+        StubDiscovery otherDiscovery = discovery;
+        Runnable resume = pauseEventLoop();
+        relay.applyConfig(otherConfig);
+        relay.applyConfig(oldConfig);
+        resume.run();
+        assertEquals("/registry/instances", oldDiscovery.requests.take());
         // The abandoned request takes a response of the stub too, and which of the two requests
         // gets which is chance.
-        first.publish(7, true, two.listEntry("s2", "up"));
-        first.publish(7, true, two.listEntry("s2", "up"));
-        assertEquals("/registry/instances?index=7&wait=10000", first.requests.take());
+        oldDiscovery.publish(7, true, two.listEntry("s2", "up"));
+        oldDiscovery.publish(7, true, two.listEntry("s2", "up"));
+        assertEquals("/registry/instances?index=7&wait=10000", oldDiscovery.requests.take());
         // A late answer of the other address must not be used either.
-        second.publish(99, true, one.listEntry("s1", "up"));
+        otherDiscovery.publish(99, true, one.listEntry("s1", "up"));
         TestConnection client = connectClient("chat", 2000);
         two.openNextTunnel();
         assertEquals("UP r1", client.readLine());
@@ -107,7 +109,7 @@
         Backend two = new Backend();
         Config config =
                 createConfig(
-                        told -> told.replace("\"subscribe\"", "\"automatic\""),
+                        json -> json.replace("\"subscribe\"", "\"automatic\""),
                         1000,
                         one.listEntry("s1", "up"));
         CompletableFuture<Void> started = new CompletableFuture<>();
@@ -139,8 +141,9 @@
             discovery.requests.take();
             since = i == 3 ? System.nanoTime() : since;
         }
-        double gap = (System.nanoTime() - since) / 1e9 / 2;
+        double interval = (System.nanoTime() - since) / 1e9 / 2;
         assertTrue(
-                gap < 0.45, "the grace period is 0.5 s, the interval of two requests was " + gap);
+                interval < 0.45,
+                "the grace period is 0.5 s, the interval of two requests was " + interval);
     }
 }
--- a/relay/src/test/java/asterpulley/serve/SettingsUpdateTest.java
+++ b/relay/src/test/java/asterpulley/serve/SettingsUpdateTest.java
@@ -34,8 +34,8 @@
     /** Returns a settings document with profiles of these names, which have long setup goals. */
     static Map<String, Object> document(String... profiles) {
         Map<String, Object> all = map();
-        for (String p : profiles) {
-            all.put(p, profile("read_like"));
+        for (String profileName : profiles) {
+            all.put(profileName, profile("read_like"));
         }
         return map("profiles", all);
     }
@@ -53,16 +53,17 @@
         endpoint = settingsService.addEndpoint();
     }
 
-    private void startRelay(Path kept, int sockets, String... entries) throws IOException {
-        startRelay(told -> told, kept, sockets, entries);
+    private void startRelay(Path stateFolder, int sockets, String... entries) throws IOException {
+        startRelay(json -> json, stateFolder, sockets, entries);
     }
 
-    private void startRelay(UnaryOperator<String> edit, Path kept, int sockets, String... entries)
+    private void startRelay(
+            UnaryOperator<String> edit, Path stateFolder, int sockets, String... entries)
             throws IOException {
         Config config =
                 createConfig(
-                        told ->
-                                edit.apply(told)
+                        json ->
+                                edit.apply(json)
                                         .replace(
                                                 "\"seed\"",
                                                 "\"operator\":\"127.0.0.1:0\",\"settings_service\":\""
@@ -70,20 +71,20 @@
                                                         + "\",\"seed\""),
                         sockets,
                         entries);
-        relay = new RelayInstance(config, kept);
+        relay = new RelayInstance(config, stateFolder);
         resources.add(relay::kill);
         discovery.publish(41);
         relay.open();
     }
 
     private String operatorGet(String path) throws IOException {
-        try (TestConnection end =
+        try (TestConnection connection =
                 new TestConnection(
                         new Socket(
                                 relay.operatorAddress().getAddress(),
                                 relay.operatorAddress().getPort()))) {
-            end.send("GET /admin/" + path + " HTTP/1.1\r\nHost: door\r\n\r\n");
-            String all = new String(end.input.readAllBytes(), StandardCharsets.UTF_8);
+            connection.send("GET /admin/" + path + " HTTP/1.1\r\nHost: door\r\n\r\n");
+            String all = new String(connection.input.readAllBytes(), StandardCharsets.UTF_8);
             return all.substring(all.indexOf("\r\n\r\n") + 4);
         }
     }
@@ -122,9 +123,9 @@
      */
     @Test
     void withoutServiceProfileAndLimitChangesNeedARestart() throws Exception {
-        Backend b = new Backend();
-        b.openAllTunnels();
-        startRelay(b.listEntry("s1", "up"));
+        Backend backend = new Backend();
+        backend.openAllTunnels();
+        startRelay(backend.listEntry("s1", "up"));
         assertEquals("UP r1", openAndReadAnswer("pay"));
         Path file = folder.resolve("config.json");
         Files.writeString(
@@ -137,48 +138,48 @@
 
     @Test
     void changeTakesEffectAtomicallyDuringTunnelsAndSetups() throws Exception {
-        Backend b = new Backend();
+        Backend backend = new Backend();
         startSettingsService(
                 1,
                 10,
                 map(
                         "profiles",
                         map("chat", profile("read_like"), "pay", profile("non_idempotent"))));
-        startRelay(null, 1000, b.listEntry("s1", "up"));
+        startRelay(null, 1000, backend.listEntry("s1", "up"));
         assertEquals(10, metric("settings_version"), "read before it serves");
-        TestConnection standing = connectClient("chat", 2000);
-        TestConnection atBackend = b.openNextTunnel();
-        assertEquals("UP r1", standing.readLine());
-        TestConnection under = connectClient("pay", 2000);
-        TestConnection setup = b.awaitTunnel();
+        TestConnection establishedClient = connectClient("chat", 2000);
+        TestConnection backendConnection = backend.openNextTunnel();
+        assertEquals("UP r1", establishedClient.readLine());
+        TestConnection acceptedClient = connectClient("pay", 2000);
+        TestConnection setup = backend.awaitTunnel();
         awaitRequest("index=10&");
-        Runnable on = pauseEventLoop();
-        int told = endpoint.responses.size();
+        Runnable resume = pauseEventLoop();
+        int responsesBefore = endpoint.responses.size();
         settingsService.publish(map("profiles", map("pay", null, "bulk", profile("read_like"))));
-        while (endpoint.responses.size() == told) {
+        while (endpoint.responses.size() == responsesBefore) {
             Thread.onSpinWait();
         }
         // Both meet the change in one loop iteration: the setup's answer, and a client whose
         // profile exists only in the new version.
         setup.send("UP r1\r\n");
-        TestConnection crossing = connectClient("bulk", 2000);
-        b.openAllTunnels();
-        on.run();
+        TestConnection newProfileClient = connectClient("bulk", 2000);
+        backend.openAllTunnels();
+        resume.run();
         assertEquals(
                 "UP r1",
-                under.readLine(),
+                acceptedClient.readLine(),
                 "an accepted tunnel keeps its profile, though that was removed");
-        String line = crossing.readLine();
+        String line = newProfileClient.readLine();
         assertTrue(
                 line.equals("UP r1") || line.equals("ERR"),
                 "by the one version or the other: " + line);
         awaitVersion(11);
         assertEquals("ERR", openAndReadAnswer("pay"));
         assertEquals("UP r1", openAndReadAnswer("bulk"));
-        standing.send("to\r\n");
-        assertEquals("to", atBackend.readLine());
-        atBackend.send("fro\r\n");
-        assertEquals("fro", standing.readLine(), "established tunnels are unaffected");
+        establishedClient.send("to\r\n");
+        assertEquals("to", backendConnection.readLine());
+        backendConnection.send("fro\r\n");
+        assertEquals("fro", establishedClient.readLine(), "established tunnels are unaffected");
         String stats = operatorGet("stats");
         assertTrue(
                 stats.contains("{lane=\"pay\",result=\"completed\"} 1"),
@@ -192,12 +193,12 @@
     @Test
     void startWaitsBrieflyForSettingsWithoutAUsableStateFile() throws Exception {
         startSettingsService(1, 1, document("chat"));
-        Path kept = Files.createDirectories(folder.resolve("kept"));
+        Path stateFolder = Files.createDirectories(folder.resolve("kept"));
         for (String damaged :
                 List.of(
                         "{\"epoch\":9,\"seq\":9,\"since\":1.0,\"settings\":{\"siblings\":",
                         "{\"epoch\":9,\"seq\":9,\"settings\":{\"siblings\":3}}")) {
-            Files.writeString(kept.resolve("asterpulley-n1.settings"), damaged);
+            Files.writeString(stateFolder.resolve("asterpulley-n1.settings"), damaged);
             endpoint.refusedCount = 0;
             endpoint.disconnect();
             runInBackground(
@@ -208,7 +209,7 @@
                         }
                         endpoint.reconnect();
                     });
-            startRelay(kept, 1000, new Backend().listEntry("s1", "up"));
+            startRelay(stateFolder, 1000, new Backend().listEntry("s1", "up"));
             assertEquals(1, metric("settings_version"));
             assertEquals(1, metric("settings_epoch"));
             assertEquals(1, metric("settings_failures_total"));
@@ -218,13 +219,13 @@
 
     @Test
     void appliesTheNewConnectTimeout() throws Exception {
-        SaturatedListener gate = new SaturatedListener();
+        SaturatedListener saturated = new SaturatedListener();
         startSettingsService(1, 1, document("chat"));
         startRelay(
-                told -> told.replace("\"probes\":true", "\"probes\":false"),
+                json -> json.replace("\"probes\":true", "\"probes\":false"),
                 null,
                 1000,
-                gate.listEntry(new Backend(), "s1"));
+                saturated.listEntry(new Backend(), "s1"));
         settingsService.publish(map("limits", map("dialTimeoutMs", 60, "mostSetups", 1)));
         awaitVersion(2);
         long since = System.nanoTime();
@@ -237,17 +238,17 @@
 
     @Test
     void everyReaderOfSettingsSeesTheNewOnes() throws Exception {
-        Backend b = new Backend();
+        Backend backend = new Backend();
         startSettingsService(1, 1, document("chat"));
-        startRelay(null, 1000, b.listEntry("s1", "up"));
+        startRelay(null, 1000, backend.listEntry("s1", "up"));
         settingsService.publish(map("profiles", map("chat", map("setupGoalMs", 50))));
         awaitVersion(2);
-        b.probeAnswerPermits.drainPermits();
-        long given = counterValue("probes_given_up");
-        long asked = System.nanoTime();
-        awaitCounter("probes_given_up", given + 2);
+        backend.probeAnswerPermits.drainPermits();
+        long givenUpBefore = counterValue("probes_given_up");
+        long probedAt = System.nanoTime();
+        awaitCounter("probes_given_up", givenUpBefore + 2);
         assertTrue(
-                (System.nanoTime() - asked) / 1e9 < 3,
+                (System.nanoTime() - probedAt) / 1e9 < 3,
                 "the probe timeout is the shortest setup goal, which was 2 s before");
         // No sockets are left below the limit, so clients are declined with a delay that the
         // settings bound.
@@ -257,16 +258,16 @@
         awaitCounter("configurations", 1);
         settingsService.publish(map("limits", map("maxRetryAfterMs", 8)));
         awaitVersion(3);
-        String[] told = openAndReadAnswer("chat").split(" ");
-        assertEquals("BUSY", told[0]);
-        assertTrue(Integer.parseInt(told[1]) <= 8, told[1]);
+        String[] answer = openAndReadAnswer("chat").split(" ");
+        assertEquals("BUSY", answer[0]);
+        assertTrue(Integer.parseInt(answer[1]) <= 8, answer[1]);
     }
 
     private Map<String, Object> configWithService(Path file) throws IOException {
-        Map<String, Object> told = Config.readJson(file);
-        told.put("settings_service", endpoint.address());
-        told.put("operator", "127.0.0.1:0");
-        return told;
+        Map<String, Object> config = Config.readJson(file);
+        config.put("settings_service", endpoint.address());
+        config.put("operator", "127.0.0.1:0");
+        return config;
     }
 
     /** With two hundred customers the whole document is some 6 KB, a change 30 bytes. */
@@ -281,7 +282,7 @@
         startSettingsService(1, 1, document);
         startRelay(null, 1000, new Backend().listEntry("s1", "up"));
         awaitVersion(1);
-        int whole = endpoint.responses.get(0).length();
+        int documentLength = endpoint.responses.get(0).length();
         endpoint.disconnect();
         for (int i = 0; i < 5; i++) {
             settingsService.publish(map("tenants", map("customer-" + i, map("share", 0.25))));
@@ -293,13 +294,13 @@
         int bytes = endpoint.responses.stream().skip(before).mapToInt(String::length).sum();
         System.out.printf(
                 "caught up 5 changes in %.2f s with %d bytes, the whole document is %d%n",
-                took, bytes, whole);
+                took, bytes, documentLength);
         assertTrue(
                 endpoint.responses.stream()
                         .skip(before)
                         .noneMatch(body -> body.contains("\"whole\":true")),
                 "the whole document is not sent");
-        assertTrue(bytes < whole / 5, bytes + " of " + whole);
+        assertTrue(bytes < documentLength / 5, bytes + " of " + documentLength);
         // If the history was compacted meanwhile, only the whole document is left.
         endpoint.disconnect();
         settingsService.publish(map("siblings", 7));
@@ -314,10 +315,10 @@
 
     @Test
     void refusesABadChangeOnceAndAppliesTheNextGoodOne() throws Exception {
-        Backend b = new Backend();
-        b.openAllTunnels();
+        Backend backend = new Backend();
+        backend.openAllTunnels();
         startSettingsService(1, 10, document("chat", "bulk"));
-        startRelay(null, 1000, b.listEntry("s1", "up"));
+        startRelay(null, 1000, backend.listEntry("s1", "up"));
         double since = ((Number) settingsState().get("since")).doubleValue();
         settingsService.publish(map("profiles", map("bulk", null), "limits", map("mostSetups", 0)));
         awaitCounter("settings_refused", 1);
@@ -345,10 +346,10 @@
 
     @Test
     void switchesToANewEpochAndIgnoresAnswersOfTheOldOne() throws Exception {
-        Backend b = new Backend();
-        b.openAllTunnels();
+        Backend backend = new Backend();
+        backend.openAllTunnels();
         startSettingsService(1, 10, document("chat"));
-        startRelay(null, 1000, b.listEntry("s1", "up"));
+        startRelay(null, 1000, backend.listEntry("s1", "up"));
         endpoint.disconnect();
         settingsService.replaceHistory(2, 3, document("chat", "bulk"));
         endpoint.reconnect();
@@ -377,12 +378,12 @@
     @Test
     void retriesAFailingServiceAtABoundedRateAndInTime() throws Exception {
         startSettingsService(1, 1, document("chat"));
-        for (String bad :
+        for (String response :
                 List.of(
                         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
                         "{\"seq\":",
                         "{\"seq\":5,\"whole\":false,\"changes\":[{\"seq\":5,\"patch\":{}}]}")) {
-            endpoint.scriptedResponses.add(bad);
+            endpoint.scriptedResponses.add(response);
         }
         long since = System.nanoTime();
         startRelay(null, 1000, new Backend().listEntry("s1", "up"));
@@ -400,14 +401,14 @@
         settingsService.publish(map("siblings", 2));
         awaitVersion(2);
         awaitCounter("settings_same", 2);
-        long from = System.nanoTime();
-        long calls = counterValue("settings_calls");
-        while (System.nanoTime() - from < 1_000_000_000L) {
+        long pauseStart = System.nanoTime();
+        long requestsBefore = counterValue("settings_calls");
+        while (System.nanoTime() - pauseStart < 1_000_000_000L) {
             Thread.onSpinWait();
         }
         assertTrue(
-                counterValue("settings_calls") - calls <= 2,
-                "a second later: " + (counterValue("settings_calls") - calls));
+                counterValue("settings_calls") - requestsBefore <= 2,
+                "a second later: " + (counterValue("settings_calls") - requestsBefore));
         endpoint.scriptedResponses.clear();
         settingsService.publish(map("siblings", 3));
         assertTrue(awaitVersion(3) < 4.5, "the longest pause is 3.75 s");
@@ -422,24 +423,24 @@
 
     /** Waits until the service has got a request that contains this text. */
     private void awaitRequest(String part) {
-        while (endpoint.requests.stream().noneMatch(call -> call.contains(part))) {
+        while (endpoint.requests.stream().noneMatch(request -> request.contains(part))) {
             Thread.onSpinWait();
         }
     }
 
     @Test
     void restoresSettingsAfterARestartWhileTheServiceIsDown() throws Exception {
-        Backend b = new Backend();
-        b.openAllTunnels();
-        Path kept = Files.createDirectories(folder.resolve("kept"));
+        Backend backend = new Backend();
+        backend.openAllTunnels();
+        Path stateFolder = Files.createDirectories(folder.resolve("kept"));
         startSettingsService(3, 20, document("chat", "bulk"));
-        startRelay(kept, 1000, b.listEntry("s1", "up"));
+        startRelay(stateFolder, 1000, backend.listEntry("s1", "up"));
         settingsService.publish(map("tenants", map("größte", map("share", 0.5), "acme", map())));
         awaitVersion(21);
         Object since = settingsState().get("since");
         relay.kill();
         endpoint.disconnect();
-        startRelay(kept, 1000, b.listEntry("s1", "up"));
+        startRelay(stateFolder, 1000, backend.listEntry("s1", "up"));
         assertEquals("UP r1", openAndReadAnswer("bulk"), "by the restored settings");
         assertEquals(21, metric("settings_version"));
         assertEquals(since, settingsState().get("since"));
@@ -454,7 +455,7 @@
                         .skip(before)
                         .noneMatch(body -> body.contains("\"whole\":true")),
                 "only changes from there on");
-        try (var files = Files.list(kept)) {
+        try (var files = Files.list(stateFolder)) {
             assertFalse(
                     files.anyMatch(f -> f.getFileName().toString().matches(".*settings\\.[0-9]+")),
                     "no temporary file is left");
@@ -463,20 +464,22 @@
 
     @Test
     void reloadMovesTheWatchToAnotherService() throws Exception {
-        Backend b = new Backend();
-        b.openAllTunnels();
+        Backend backend = new Backend();
+        backend.openAllTunnels();
         startSettingsService(5, 50, document("chat"));
-        startRelay(null, 1000, b.listEntry("s1", "up"));
-        StubSettingsService.Endpoint first = endpoint;
+        startRelay(null, 1000, backend.listEntry("s1", "up"));
+        StubSettingsService.Endpoint firstEndpoint = endpoint;
         Path file = folder.resolve("config.json");
         startSettingsService(1, 2, document("chat", "bulk"));
-        Map<String, Object> told = configWithService(file);
-        relay.reload(() -> told);
+        Map<String, Object> config = configWithService(file);
+        relay.reload(() -> config);
         awaitVersion(2);
         assertEquals(1, metric("settings_epoch"), "another service has a history of its own");
         assertEquals("UP r1", openAndReadAnswer("bulk"));
-        assertEquals(1, endpoint.requests.stream().filter(c -> !c.contains("index")).count());
+        assertEquals(
+                1,
+                endpoint.requests.stream().filter(request -> !request.contains("index")).count());
         assertEquals(0, metric("settings_failures_total"));
-        assertTrue(first.requests.size() >= 1);
+        assertTrue(firstEndpoint.requests.size() >= 1);
     }
 }
--- a/relay/src/test/java/asterpulley/serve/SetupRaceTest.java
+++ b/relay/src/test/java/asterpulley/serve/SetupRaceTest.java
@@ -20,8 +20,8 @@
      * Tunnels of "pay" are referenced, and every server knows their key.
      */
     private static final UnaryOperator<String> SLOW_CONFIG =
-            told ->
-                    told.replace("\"clientTimeoutMs\":3000", "\"clientTimeoutMs\":9000")
+            json ->
+                    json.replace("\"clientTimeoutMs\":3000", "\"clientTimeoutMs\":9000")
                             .replace("\"setupGoalMs\":2000", "\"setupGoalMs\":4000")
                             .replace("\"dialTimeoutMs\":1000", "\"dialTimeoutMs\":5000")
                             .replace(
@@ -34,14 +34,14 @@
         startRelay(createConfig(SLOW_CONFIG, 1000, one.listEntry("s1", "up")));
         TestConnection client = connectClient("pay", 9000);
         TestConnection first = one.awaitTunnel();
-        SaturatedListener gate = new SaturatedListener();
-        discovery.publish(42, one.listEntry("s1", "removed"), gate.listEntry(one, "s2"));
+        SaturatedListener saturated = new SaturatedListener();
+        discovery.publish(42, one.listEntry("s1", "removed"), saturated.listEntry(one, "s2"));
         awaitCounter("list_calls", 2);
         first.reset();
         awaitCounter("setups", 2);
         assertEquals(
                 List.of(),
-                gate.acceptAllAndReadFirstLines().stream()
+                saturated.acceptAllAndReadFirstLines().stream()
                         .filter(line -> line.startsWith("OPEN"))
                         .toList());
         assertTrue(
@@ -53,21 +53,21 @@
 
     @Test
     void answerReceivedByTheTimeoutCounts() throws Exception {
-        Backend b = new Backend();
+        Backend backend = new Backend();
         startRelay(
                 createConfig(
-                        told -> told.replace("\"setupGoalMs\":2000", "\"setupGoalMs\":600"),
+                        json -> json.replace("\"setupGoalMs\":2000", "\"setupGoalMs\":600"),
                         1000,
-                        b.listEntry("s1", "up")));
+                        backend.listEntry("s1", "up")));
         for (String profile : List.of("chat", "pay")) {
             TestConnection client = connectClient(profile, 900);
-            TestConnection backend = b.awaitTunnel();
+            TestConnection backendConnection = backend.awaitTunnel();
             awaitCounter("setups_written", profile.equals("chat") ? 1 : 2);
-            Runnable on = pauseEventLoop();
-            backend.send("UP r1\r\n");
+            Runnable resume = pauseEventLoop();
+            backendConnection.send("UP r1\r\n");
             // Both the setup timeout and the client timeout are over when the event loop continues.
             Thread.sleep(1000);
-            on.run();
+            resume.run();
             assertEquals(
                     "UP r1", client.readLine(), "answered in the loop iteration of its timeout");
         }
@@ -76,7 +76,7 @@
 
     @Test
     void refusalAndExtraDataInOneIterationAreOneAnswer() throws Exception {
-        for (String words :
+        for (String answer :
                 List.of(
                         "BUSY\r\nUP r9\r\n",
                         "ERR\r\nUP r9\r\n",
@@ -87,23 +87,23 @@
             Backend two = new Backend();
             startRelay(one.listEntry("s1", "up"), two.listEntry("s2", "up"));
             TestConnection client = connectClient("pay", 2000);
-            Backend at = one;
-            while (at.tunnelConnections.isEmpty()) {
+            Backend chosen = one;
+            while (chosen.tunnelConnections.isEmpty()) {
                 Thread.sleep(1);
-                at = at == one ? two : one;
+                chosen = chosen == one ? two : one;
             }
-            TestConnection backend = at.awaitTunnel();
-            Runnable on = pauseEventLoop();
-            backend.send(words);
-            backend.close();
-            on.run();
-            if (words.startsWith("BUSY")) {
+            TestConnection backendConnection = chosen.awaitTunnel();
+            Runnable resume = pauseEventLoop();
+            backendConnection.send(answer);
+            backendConnection.close();
+            resume.run();
+            if (answer.startsWith("BUSY")) {
                 // Known not to have run, so it is retried elsewhere, and the late answer is
                 // ignored.
-                (at == one ? two : one).openNextTunnel();
+                (chosen == one ? two : one).openNextTunnel();
                 assertEquals("UP r1", client.readLine());
             } else {
-                assertEquals("ERR", client.readLine(), words);
+                assertEquals("ERR", client.readLine(), answer);
                 assertNull(client.readLine());
             }
         }
@@ -113,40 +113,40 @@
     void opensOnceWhenServerDrainsAsItsConnectionIsEstablished() throws Exception {
         Backend one = new Backend();
         Backend two = new Backend();
-        SaturatedListener gate = new SaturatedListener();
+        SaturatedListener saturated = new SaturatedListener();
         // Without probes, so that the only connection attempt is the setup's.
         startRelay(
                 createConfig(
-                        told ->
+                        json ->
                                 SLOW_CONFIG
-                                        .apply(told)
+                                        .apply(json)
                                         .replace("\"probes\":true", "\"probes\":false"),
                         1000,
                         one.listEntry("s1", "up")));
-        TestConnection before = connectClient("chat", 9000);
+        TestConnection earlierClient = connectClient("chat", 9000);
         one.openNextTunnel();
-        assertEquals("UP r1", before.readLine());
-        discovery.publish(42, gate.listEntry(one, "s1"));
+        assertEquals("UP r1", earlierClient.readLine());
+        discovery.publish(42, saturated.listEntry(one, "s1"));
         awaitCounter("list_calls", 2);
         TestConnection client = connectClient("chat", 9000);
         awaitCounter("setups", 2);
-        Runnable on = pauseEventLoop();
+        Runnable resume = pauseEventLoop();
         discovery.publish(
                 43,
-                gate.listEntry(one, "s1").replace("\"up\"", "\"draining\""),
+                saturated.listEntry(one, "s1").replace("\"up\"", "\"draining\""),
                 two.listEntry("s2", "up"));
-        TestConnection up = gate.acceptNext();
-        on.run();
+        TestConnection established = saturated.acceptNext();
+        resume.run();
         two.openAllTunnels();
         // The loop may handle either event first: the request is written to the first server, which
         // was still allowed then, or it is known not to be sent and goes to the other.
-        String word = up.readLine();
-        boolean sent = word != null && word.startsWith("OPEN");
-        if (sent) {
-            up.send("UP r1\r\n");
+        String firstLine = established.readLine();
+        boolean wasSent = firstLine != null && firstLine.startsWith("OPEN");
+        if (wasSent) {
+            established.send("UP r1\r\n");
         }
         assertEquals("UP r1", client.readLine());
-        assertEquals(sent ? 0 : 1, counterValue("setup_never_sent"));
-        assertEquals(sent ? 2 : 3, counterValue("setups"));
+        assertEquals(wasSent ? 0 : 1, counterValue("setup_never_sent"));
+        assertEquals(wasSent ? 2 : 3, counterValue("setups"));
     }
 }
--- a/relay/src/test/java/asterpulley/serve/StartupTest.java
+++ b/relay/src/test/java/asterpulley/serve/StartupTest.java
@@ -34,22 +34,22 @@
      * Returns the address of a discovery that refuses connections (0), answers with an error (1) or
      * is silent (2).
      */
-    private String faultyDiscoveryAddress(int trouble) throws IOException {
-        if (trouble == 0) {
+    private String faultyDiscoveryAddress(int fault) throws IOException {
+        if (fault == 0) {
             // Bound but not listening: connections are refused, and no other process gets the port.
-            Socket nobody = new Socket();
-            resources.add(nobody);
-            nobody.bind(new InetSocketAddress("127.0.0.1", 0));
-            return "127.0.0.1:" + nobody.getLocalPort();
+            Socket boundSocket = new Socket();
+            resources.add(boundSocket);
+            boundSocket.bind(new InetSocketAddress("127.0.0.1", 0));
+            return "127.0.0.1:" + boundSocket.getLocalPort();
         }
         return "127.0.0.1:"
                 + listen(
-                                end -> {
-                                    for (String line = end.readLine();
+                                connection -> {
+                                    for (String line = connection.readLine();
                                             line != null;
-                                            line = end.readLine()) {
-                                        if (line.isEmpty() && trouble == 1) {
-                                            end.send(
+                                            line = connection.readLine()) {
+                                        if (line.isEmpty() && fault == 1) {
+                                            connection.send(
                                                     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                                         }
                                         // Otherwise it reads the request and sends nothing.
@@ -58,10 +58,10 @@
                         .getLocalPort();
     }
 
-    private Path writeConfig(int n, String entry) throws IOException {
-        String discovery = faultyDiscoveryAddress(n % 3);
+    private Path writeConfig(int index, String entry) throws IOException {
+        String discovery = faultyDiscoveryAddress(index % 3);
         createConfig(1000, entry);
-        Path file = folder.resolve("config-" + n + ".json");
+        Path file = folder.resolve("config-" + index + ".json");
         return Files.writeString(
                 file,
                 Files.readString(folder.resolve("config.json"))
@@ -74,18 +74,18 @@
      * Starts a process and returns the seconds until it first answers a health check (PING) with
      * PONG.
      */
-    private double secondsUntilReady(ProcessBuilder run, Path log) throws Exception {
+    private double secondsUntilReady(ProcessBuilder builder, Path log) throws Exception {
         long since = System.nanoTime();
-        Process process = run.start();
+        Process process = builder.start();
         resources.add(() -> process.destroyForcibly().waitFor());
         while (true) {
-            Matcher serving = SERVING_LINE.matcher(Files.exists(log) ? Files.readString(log) : "");
-            if (serving.find()) {
-                try (TestConnection end =
+            Matcher matcher = SERVING_LINE.matcher(Files.exists(log) ? Files.readString(log) : "");
+            if (matcher.find()) {
+                try (TestConnection connection =
                         new TestConnection(
-                                new Socket("127.0.0.1", Integer.parseInt(serving.group(1))))) {
-                    end.send("PING\r\n");
-                    assertEquals("PONG", end.readLine());
+                                new Socket("127.0.0.1", Integer.parseInt(matcher.group(1))))) {
+                    connection.send("PING\r\n");
+                    assertEquals("PONG", connection.readLine());
                     return (System.nanoTime() - since) / 1e9;
                 }
             }
@@ -97,12 +97,12 @@
     @Test
     void nineInTenProcessesAreReadyInTimeWithoutDiscovery() throws Exception {
         Backend one = new Backend();
-        Config slow = Config.read(writeConfig(2, one.listEntry("s1", "up")));
+        Config slowConfig = Config.read(writeConfig(2, one.listEntry("s1", "up")));
         CompletableFuture<Double> slowStart = new CompletableFuture<>();
         runInBackground(
                 () -> {
                     try {
-                        slowStart.complete(secondsWaitedAfterSlowStart(slow));
+                        slowStart.complete(secondsWaitedAfterSlowStart(slowConfig));
                     } catch (Throwable e) {
                         slowStart.completeExceptionally(e);
                     }
@@ -114,27 +114,29 @@
         }
         for (int i = 0; i < PROCESS_COUNT; i++) {
             Path log = folder.resolve("log-" + i);
-            ProcessBuilder run = relayProcessBuilder(configs.get(i), log);
+            ProcessBuilder builder = relayProcessBuilder(configs.get(i), log);
             // The flags of deploy/run.
-            run.command()
+            builder.command()
                     .addAll(1, List.of("-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xss512k"));
             CompletableFuture<Double> start = new CompletableFuture<>();
             starts.add(start);
             runInBackground(
                     () -> {
                         try {
-                            start.complete(secondsUntilReady(run, log));
+                            start.complete(secondsUntilReady(builder, log));
                         } catch (Throwable e) {
                             start.completeExceptionally(e);
                         }
                     });
         }
-        List<Double> took = new ArrayList<>();
+        List<Double> seconds = new ArrayList<>();
         for (CompletableFuture<Double> start : starts) {
-            took.add(start.get(40, TimeUnit.SECONDS));
+            seconds.add(start.get(40, TimeUnit.SECONDS));
         }
-        took.sort(null);
-        assertTrue(took.get(PROCESS_COUNT * 9 / 10 - 1) < READY_DEADLINE_S, "ready after " + took);
+        seconds.sort(null);
+        assertTrue(
+                seconds.get(PROCESS_COUNT * 9 / 10 - 1) < READY_DEADLINE_S,
+                "ready after " + seconds);
         double waited = slowStart.get(20, TimeUnit.SECONDS);
         assertTrue(
                 waited < 1.5,
--- a/relay/src/test/java/asterpulley/serve/StateFilesTest.java
+++ b/relay/src/test/java/asterpulley/serve/StateFilesTest.java
@@ -49,67 +49,69 @@
 
     @Test
     void readsCompleteLinesOfATruncatedFile() throws IOException {
-        StateFiles kept = new StateFiles(folder, "n1");
-        Set<String> all = new TreeSet<>(Set.of("s-1", "s-22", "s-333"));
-        kept.cordons(all);
-        byte[] whole = Files.readAllBytes(file("cordons"));
-        int most = 0;
-        for (int cut = 0; cut <= whole.length; cut++) {
-            Files.write(file("cordons"), Arrays.copyOf(whole, cut));
-            Set<String> read = kept.cordons().orElseThrow();
-            assertTrue(all.containsAll(read), read + " at " + cut);
-            assertTrue(read.size() >= most, "a longer part of the file never yields fewer names");
-            most = read.size();
+        StateFiles stateFiles = new StateFiles(folder, "n1");
+        Set<String> names = new TreeSet<>(Set.of("s-1", "s-22", "s-333"));
+        stateFiles.cordons(names);
+        byte[] content = Files.readAllBytes(file("cordons"));
+        int readBefore = 0;
+        for (int length = 0; length <= content.length; length++) {
+            Files.write(file("cordons"), Arrays.copyOf(content, length));
+            Set<String> read = stateFiles.cordons().orElseThrow();
+            assertTrue(names.containsAll(read), read + " at " + length);
+            assertTrue(
+                    read.size() >= readBefore,
+                    "a longer part of the file never yields fewer names");
+            readBefore = read.size();
         }
-        assertEquals(3, most);
+        assertEquals(3, readBefore);
         Random random = new Random(1);
         for (int i = 0; i < 200; i++) {
             byte[] foreign = new byte[random.nextInt(400)];
             random.nextBytes(foreign);
             Files.write(file("cordons"), foreign);
-            kept.cordons();
+            stateFiles.cordons();
         }
     }
 
     @Test
     void reportsFilesThatCannotBeReadOrWritten() throws IOException {
-        StateFiles kept = new StateFiles(folder, "n1");
+        StateFiles stateFiles = new StateFiles(folder, "n1");
         Files.createDirectories(file("cordons").resolve("inside"));
-        assertEquals(Optional.empty(), kept.cordons());
-        assertThrows(IOException.class, () -> kept.cordons(new TreeSet<>(Set.of("s-1"))));
-        StateFiles nowhere = new StateFiles(folder.resolve("no such folder"), "n1");
-        assertEquals(Optional.empty(), nowhere.cordons());
-        assertThrows(IOException.class, () -> nowhere.cordons(new TreeSet<>(Set.of("s-1"))));
-        nowhere.markServing();
-        assertFalse(nowhere.isSuperseded());
+        assertEquals(Optional.empty(), stateFiles.cordons());
+        assertThrows(IOException.class, () -> stateFiles.cordons(new TreeSet<>(Set.of("s-1"))));
+        StateFiles unwritable = new StateFiles(folder.resolve("no such folder"), "n1");
+        assertEquals(Optional.empty(), unwritable.cordons());
+        assertThrows(IOException.class, () -> unwritable.cordons(new TreeSet<>(Set.of("s-1"))));
+        unwritable.markServing();
+        assertFalse(unwritable.isSuperseded());
     }
 
     @Test
     void restoresLearnedValuesAndIgnoresMalformedFiles() throws IOException {
-        StateFiles kept = new StateFiles(folder, "n1");
-        assertEquals(0, kept.learned().length);
-        kept.learned(new double[] {0, 0.25, 46});
+        StateFiles stateFiles = new StateFiles(folder, "n1");
+        assertEquals(0, stateFiles.learned().length);
+        stateFiles.learned(new double[] {0, 0.25, 46});
         assertTrue(
                 Arrays.equals(new double[] {0, 0.25, 46}, new StateFiles(folder, "n1").learned()));
         Files.writeString(file("learned"), "0.25\nmany\n");
-        assertEquals(0, kept.learned().length);
+        assertEquals(0, stateFiles.learned().length);
         new StateFiles(folder.resolve("no such folder"), "n1").learned(new double[] {1});
     }
 
     @Test
     void onlyARunningOtherProcessHasTakenOver() throws Exception {
-        StateFiles kept = new StateFiles(folder, "n1");
-        assertFalse(kept.isSuperseded(), "no process is recorded");
-        kept.markServing();
-        assertFalse(kept.isSuperseded(), "it is this process");
+        StateFiles stateFiles = new StateFiles(folder, "n1");
+        assertFalse(stateFiles.isSuperseded(), "no process is recorded");
+        stateFiles.markServing();
+        assertFalse(stateFiles.isSuperseded(), "it is this process");
         Process other = new ProcessBuilder("sleep", "60").start();
         Files.writeString(file("serving"), other.pid() + "\n");
-        assertTrue(kept.isSuperseded());
+        assertTrue(stateFiles.isSuperseded());
         other.destroyForcibly().waitFor();
-        assertFalse(kept.isSuperseded(), "it has died");
+        assertFalse(stateFiles.isSuperseded(), "it has died");
         for (String wrong : new String[] {"", "12", "x\n", "-1\n", "99999999999999999999\n"}) {
             Files.writeString(file("serving"), wrong);
-            assertFalse(kept.isSuperseded() && wrong.isEmpty(), wrong);
+            assertFalse(stateFiles.isSuperseded() && wrong.isEmpty(), wrong);
         }
     }
 }
