--- a/relay/src/test/java/asterpulley/serve/StubSettingsService.java
+++ b/relay/src/test/java/asterpulley/serve/StubSettingsService.java
@@ -71,51 +71,52 @@
     }
 
     /**
-     * Returns the response for a relay with version {@code index}, or with none; waits up to {@code
-     * wait} ms for a newer one.
+     * Returns the response for a relay with version {@code knownVersion}, or with none; waits up to
+     * {@code waitMs} ms for a newer one.
      */
-    private synchronized String awaitResponse(String index, String wait, String of)
+    private synchronized String awaitResponse(String knownVersion, String waitMs, String knownEpoch)
             throws InterruptedException {
-        long until = System.nanoTime() + (wait == null ? 0 : Long.parseLong(wait)) * 1_000_000;
-        while (index != null
-                && Long.parseLong(of) == epoch
-                && Long.parseLong(index) >= seq
-                && System.nanoTime() < until) {
-            wait(Math.max(1, (until - System.nanoTime()) / 1_000_000));
+        long deadline =
+                System.nanoTime() + (waitMs == null ? 0 : Long.parseLong(waitMs)) * 1_000_000;
+        while (knownVersion != null
+                && Long.parseLong(knownEpoch) == epoch
+                && Long.parseLong(knownVersion) >= seq
+                && System.nanoTime() < deadline) {
+            wait(Math.max(1, (deadline - System.nanoTime()) / 1_000_000));
         }
-        Map<String, Object> answer = new LinkedHashMap<>();
-        answer.put("epoch", epoch);
-        answer.put("seq", seq);
-        boolean whole =
-                index == null
-                        || Long.parseLong(of) != epoch
-                        || Long.parseLong(index) < oldestVersionInHistory;
-        answer.put("whole", whole);
-        if (whole) {
-            answer.put("settings", document);
+        Map<String, Object> response = new LinkedHashMap<>();
+        response.put("epoch", epoch);
+        response.put("seq", seq);
+        boolean wholeDocument =
+                knownVersion == null
+                        || Long.parseLong(knownEpoch) != epoch
+                        || Long.parseLong(knownVersion) < oldestVersionInHistory;
+        response.put("whole", wholeDocument);
+        if (wholeDocument) {
+            response.put("settings", document);
         } else {
-            long from = Long.parseLong(index);
-            answer.put(
+            long from = Long.parseLong(knownVersion);
+            response.put(
                     "changes",
                     history.stream()
                             .filter(c -> c.seq > from)
                             .map(c -> Map.of("seq", c.seq, "patch", c.patch))
                             .toList());
         }
-        return Json.text(answer);
+        return Json.text(response);
     }
 
     Endpoint addEndpoint() throws IOException {
-        Endpoint way = new Endpoint();
-        endpoints.add(way);
-        return way;
+        Endpoint endpoint = new Endpoint();
+        endpoints.add(endpoint);
+        return endpoint;
     }
 
     @Override
     public void close() throws IOException {
-        for (Endpoint way : endpoints) {
-            way.disconnect();
-            way.serverSocket.close();
+        for (Endpoint endpoint : endpoints) {
+            endpoint.disconnect();
+            endpoint.serverSocket.close();
         }
     }
 
@@ -191,23 +192,26 @@
 
         private void serve(Socket socket) throws IOException, InterruptedException {
             try (socket) {
-                BufferedReader in =
+                BufferedReader reader =
                         new BufferedReader(
                                 new InputStreamReader(
                                         socket.getInputStream(), StandardCharsets.UTF_8));
-                String call = null;
-                for (String line = in.readLine(); line != null; line = in.readLine()) {
+                String requestLine = null;
+                for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                     bytesIn += line.length() + 2;
-                    call = line.startsWith("GET ") ? line : call;
+                    requestLine = line.startsWith("GET ") ? line : requestLine;
                     if (line.isEmpty()) {
-                        Matcher m = REQUEST_LINE.matcher(call);
-                        requests.add(call.split(" ")[1]);
-                        String told = scriptedResponses.poll();
+                        Matcher matcher = REQUEST_LINE.matcher(requestLine);
+                        requests.add(requestLine.split(" ")[1]);
+                        String scripted = scriptedResponses.poll();
                         String body =
-                                told != null
-                                        ? told
-                                        : m.matches()
-                                                ? awaitResponse(m.group(1), m.group(2), m.group(3))
+                                scripted != null
+                                        ? scripted
+                                        : matcher.matches()
+                                                ? awaitResponse(
+                                                        matcher.group(1),
+                                                        matcher.group(2),
+                                                        matcher.group(3))
                                                 : "{}";
                         if (body.isEmpty()) {
                             continue;
--- a/relay/src/test/java/asterpulley/serve/UpgradeTest.java
+++ b/relay/src/test/java/asterpulley/serve/UpgradeTest.java
@@ -39,8 +39,8 @@
             operatorPort = freePort();
             Path config = folder.resolve("config-" + operatorPort + ".json");
             List<String> entries = new ArrayList<>();
-            for (int b = 0; b < backends.length; b++) {
-                entries.add(backends[b].listEntry("s" + (b + 1), "up"));
+            for (int index = 0; index < backends.length; index++) {
+                entries.add(backends[index].listEntry("s" + (index + 1), "up"));
             }
             createConfig(1000, entries.toArray(String[]::new));
             Files.writeString(
@@ -55,9 +55,9 @@
                                             + "\""));
             discovery.publish(41);
             logFile = folder.resolve("log-" + operatorPort);
-            ProcessBuilder run = relayProcessBuilder(config, logFile);
-            run.environment().put("TMPDIR", folder.toString());
-            process = run.start();
+            ProcessBuilder builder = relayProcessBuilder(config, logFile);
+            builder.environment().put("TMPDIR", folder.toString());
+            process = builder.start();
             resources.add(this);
         }
 
@@ -72,25 +72,27 @@
 
         /** Returns the HTTP status, or 0 if nobody answers. */
         int call(String method, String path) {
-            try (TestConnection end = new TestConnection(new Socket("127.0.0.1", operatorPort))) {
-                end.send(
+            try (TestConnection connection =
+                    new TestConnection(new Socket("127.0.0.1", operatorPort))) {
+                connection.send(
                         method
                                 + " /admin/"
                                 + path
                                 + " HTTP/1.1\r\nHost: d\r\nContent-Length: 0\r\n\r\n");
-                return Integer.parseInt(end.readLine().split(" ")[1]);
+                return Integer.parseInt(connection.readLine().split(" ")[1]);
             } catch (IOException e) {
                 return 0;
             }
         }
 
         long metric(String name) throws IOException {
-            try (TestConnection end = new TestConnection(new Socket("127.0.0.1", operatorPort))) {
-                end.send("GET /admin/stats HTTP/1.1\r\nHost: d\r\n\r\n");
-                return new String(end.input.readAllBytes(), StandardCharsets.UTF_8)
+            try (TestConnection connection =
+                    new TestConnection(new Socket("127.0.0.1", operatorPort))) {
+                connection.send("GET /admin/stats HTTP/1.1\r\nHost: d\r\n\r\n");
+                return new String(connection.input.readAllBytes(), StandardCharsets.UTF_8)
                         .lines()
-                        .filter(l -> l.startsWith("relay_" + name + " "))
-                        .map(l -> Long.parseLong(l.split(" ")[1]))
+                        .filter(line -> line.startsWith("relay_" + name + " "))
+                        .map(line -> Long.parseLong(line.split(" ")[1]))
                         .findFirst()
                         .orElseThrow();
             }
@@ -116,23 +118,23 @@
     }
 
     private Backend echoBackend() throws IOException {
-        Backend b = new Backend();
+        Backend backend = new Backend();
         runInBackground(
                 () -> {
                     while (true) {
-                        TestConnection end = b.openNextTunnel();
+                        TestConnection connection = backend.openNextTunnel();
                         runInBackground(
                                 () -> {
-                                    for (String line = end.readLine();
+                                    for (String line = connection.readLine();
                                             line != null;
-                                            line = end.readLine()) {
-                                        end.send(line + "\r\n");
+                                            line = connection.readLine()) {
+                                        connection.send(line + "\r\n");
                                     }
-                                    end.close();
+                                    connection.close();
                                 });
                     }
                 });
-        return b;
+        return backend;
     }
 
     /**
@@ -145,9 +147,9 @@
                     .write(
                             ("OPEN " + id + " 7f3a c=chat,t=acme,d=2000\r\n")
                                     .getBytes(StandardCharsets.US_ASCII));
-            InputStream in = socket.getInputStream();
-            int first = in.read();
-            return first == 'U' || first == 'B' ? null : "ended with " + first;
+            InputStream input = socket.getInputStream();
+            int firstByte = input.read();
+            return firstByte == 'U' || firstByte == 'B' ? null : "ended with " + firstByte;
         } catch (IOException e) {
             return e.toString();
         }
@@ -156,41 +158,41 @@
     @Test
     void upgradesUnderLoadLoseNoConnection() throws Exception {
         clientPort = freePort();
-        Backend b = echoBackend();
-        RelayProcess now = new RelayProcess(b).awaitReady();
-        AtomicBoolean over = new AtomicBoolean();
+        Backend backend = echoBackend();
+        RelayProcess current = new RelayProcess(backend).awaitReady();
+        AtomicBoolean stopped = new AtomicBoolean();
         AtomicInteger ids = new AtomicInteger(), served = new AtomicInteger();
         ConcurrentLinkedQueue<String> lost = new ConcurrentLinkedQueue<>();
-        List<Thread> load = new ArrayList<>();
+        List<Thread> clientThreads = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
             // Enough at once that some always wait in the listen backlog.
-            load.add(
+            clientThreads.add(
                     new Thread(
                             () -> {
-                                while (!over.get()) {
-                                    String what =
+                                while (!stopped.get()) {
+                                    String failure =
                                             failureOfOpen(
                                                     Integer.toHexString(ids.incrementAndGet()));
-                                    if (what == null) {
+                                    if (failure == null) {
                                         served.incrementAndGet();
                                     } else {
-                                        lost.add(what);
+                                        lost.add(failure);
                                     }
                                 }
                             }));
         }
-        load.forEach(Thread::start);
+        clientThreads.forEach(Thread::start);
         int upgrades = 3;
         for (int i = 0; i < upgrades; i++) {
-            RelayProcess next = new RelayProcess(b).awaitReady();
-            now.terminate();
+            RelayProcess next = new RelayProcess(backend).awaitReady();
+            current.terminate();
             assertTrue(
-                    Files.readString(now.logFile).contains("another process serves"),
-                    Files.readString(now.logFile));
-            now = next;
+                    Files.readString(current.logFile).contains("another process serves"),
+                    Files.readString(current.logFile));
+            current = next;
         }
-        over.set(true);
-        for (Thread one : load) {
+        stopped.set(true);
+        for (Thread one : clientThreads) {
             one.join();
         }
         assertTrue(served.get() > 500, "served " + served);
@@ -221,16 +223,16 @@
         }
         assertEquals(before, one.openRequests.size());
         // The server was restarted meanwhile, as the new process's list says; it stays cordoned.
-        Backend anew = echoBackend();
-        RelayProcess last = new RelayProcess(anew, two).awaitReady();
+        Backend restarted = echoBackend();
+        RelayProcess last = new RelayProcess(restarted, two).awaitReady();
         next.terminate();
         for (int i = 0; i < 10; i++) {
             assertEquals(null, failureOfOpen("c" + i));
         }
-        assertEquals(0, anew.openRequests.size());
+        assertEquals(0, restarted.openRequests.size());
         assertEquals(200, last.call("POST", "uncordon/s1"));
         assertEquals(0, last.metric("members_unavailable"));
-        for (int i = 0; anew.openRequests.isEmpty(); i++) {
+        for (int i = 0; restarted.openRequests.isEmpty(); i++) {
             assertTrue(i < 200, "it is used again");
             assertEquals(null, failureOfOpen("d" + i));
         }
@@ -239,26 +241,26 @@
     @Test
     void failedUpgradeKeepsOldProcessServingAndNextUpgradeMovesClients() throws Exception {
         clientPort = freePort();
-        Backend b = echoBackend();
-        RelayProcess old = new RelayProcess(b).awaitReady();
-        RelayProcess stillborn = new RelayProcess(b);
-        stillborn.process.destroyForcibly().waitFor();
+        Backend backend = echoBackend();
+        RelayProcess old = new RelayProcess(backend).awaitReady();
+        RelayProcess failedProcess = new RelayProcess(backend);
+        failedProcess.process.destroyForcibly().waitFor();
         for (int i = 0; i < 20; i++) {
             assertEquals(null, failureOfOpen("b" + i));
         }
-        TestConnection standing = new TestConnection(new Socket("127.0.0.1", clientPort));
-        resources.add(standing);
-        standing.send("OPEN c1 7f3a c=chat,t=acme,d=2000\r\n");
-        assertEquals("UP r1", standing.readLine());
+        TestConnection establishedClient = new TestConnection(new Socket("127.0.0.1", clientPort));
+        resources.add(establishedClient);
+        establishedClient.send("OPEN c1 7f3a c=chat,t=acme,d=2000\r\n");
+        assertEquals("UP r1", establishedClient.readLine());
         while (!Files.exists(folder.resolve("asterpulley-n1.learned"))) {
             Thread.sleep(5);
         }
-        RelayProcess next = new RelayProcess(b).awaitReady();
+        RelayProcess next = new RelayProcess(backend).awaitReady();
         assertTrue(
                 Files.readString(next.logFile)
                         .contains("taken over: what another process had learned"));
         old.terminate();
-        assertEquals("MOVE", standing.readLine());
+        assertEquals("MOVE", establishedClient.readLine());
         assertEquals(null, failureOfOpen("c2"));
         assertEquals(1, next.metric("upstream_requests_total"));
     }
--- a/relay/src/test/java/asterpulley/settings/ActiveSettingsTest.java
+++ b/relay/src/test/java/asterpulley/settings/ActiveSettingsTest.java
@@ -59,7 +59,7 @@
                 map("probes", true, "mostSetups", 3, "dialTimeoutMs", 1000.0));
     }
 
-    private static ActiveSettings relay() {
+    private static ActiveSettings newActiveSettings() {
         return new ActiveSettings(ownSettings(), all -> {}, 0);
     }
 
@@ -80,15 +80,15 @@
      * Returns the active settings with profiles and tenants by name and without removed ones: their
      * indexes depend on the sequence of changes.
      */
-    private static Map<String, Object> activeByName(ActiveSettings relay) {
-        Map<String, Object> all = new TreeMap<>(relay.effectiveDocument());
-        for (String list : List.of("profiles", "tenants")) {
+    private static Map<String, Object> activeByName(ActiveSettings active) {
+        Map<String, Object> all = new TreeMap<>(active.effectiveDocument());
+        for (String listName : List.of("profiles", "tenants")) {
             Map<String, Object> byName = new TreeMap<>();
-            Json.list(all, list).stream()
+            Json.list(all, listName).stream()
                     .map(o -> Json.object(o, "one"))
                     .filter(one -> !Json.flag(one, SettingsDecoder.RETIRED))
                     .forEach(one -> byName.put(String.valueOf(one.get("name")), one));
-            all.put(list, byName);
+            all.put(listName, byName);
         }
         return all;
     }
@@ -154,16 +154,16 @@
     void anyAnswerSequenceConvergesAndNeverMixesVersions(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 12) int length,
-            @ForAll @IntRange(max = 12) int answers) {
+            @ForAll @IntRange(max = 12) int answerCount) {
         Random random = new Random(seed);
-        Map<Version, Map<String, Object>> good = new HashMap<>();
-        good.put(Version.NONE, activeByName(relay()));
+        Map<Version, Map<String, Object>> validVersions = new HashMap<>();
+        validVersions.put(Version.NONE, activeByName(newActiveSettings()));
         List<List<Object>> patches =
                 List.of(randomPatches(random, length), randomPatches(random, length));
         List<List<Object>> documents =
                 patches.stream().map(ActiveSettingsTest::documentVersions).toList();
         for (int e = 0; e < 2; e++) {
-            ActiveSettings ordered = relay();
+            ActiveSettings ordered = newActiveSettings();
             for (int v = 0; v <= length; v++) {
                 var verdict =
                         ordered.received(
@@ -172,57 +172,61 @@
                                         : changesAnswer(e + 1, v, v, patches.get(e).get(v - 1)),
                                 v);
                 if (verdict.kind() == Kind.IN_FORCE) {
-                    good.put(new Version(e + 1, v), activeByName(ordered));
+                    validVersions.put(new Version(e + 1, v), activeByName(ordered));
                 }
             }
         }
-        ActiveSettings relay = relay();
-        List<String> places = new ArrayList<>();
-        for (int i = 0; i <= answers; i++) {
-            boolean last = i == answers;
+        ActiveSettings active = newActiveSettings();
+        List<String> namesByIndex = new ArrayList<>();
+        for (int i = 0; i <= answerCount; i++) {
+            boolean last = i == answerCount;
             int e = last ? 1 : random.nextInt(2);
             int from =
-                    last && !relay.needsFullDocument() && relay.received().epoch() == 2
-                            ? (int) relay.received().seq()
+                    last && !active.needsFullDocument() && active.received().epoch() == 2
+                            ? (int) active.received().seq()
                             : random.nextInt(length + 1);
             int to = last ? length : from + random.nextInt(length + 1 - from);
             boolean whole =
                     last
-                            ? relay.needsFullDocument() || relay.received().epoch() != 2
+                            ? active.needsFullDocument() || active.received().epoch() != 2
                             : random.nextInt(3) == 0;
             Map<String, Object> answer;
             if (whole) {
                 answer = wholeAnswer(e + 1, to, documents.get(e).get(to));
             } else {
-                List<Object> some = new ArrayList<>();
+                List<Object> changes = new ArrayList<>();
                 for (int v = from + 1; v <= to; v++) {
-                    some.add(map("seq", v, "patch", patches.get(e).get(v - 1)));
+                    changes.add(map("seq", v, "patch", patches.get(e).get(v - 1)));
                     if (random.nextInt(4) == 0) {
-                        some.add(some.get(random.nextInt(some.size())));
+                        changes.add(changes.get(random.nextInt(changes.size())));
                     }
                 }
-                java.util.Collections.shuffle(some, random);
-                answer = map("epoch", e + 1, "seq", to, "whole", false, "changes", some);
+                java.util.Collections.shuffle(changes, random);
+                answer = map("epoch", e + 1, "seq", to, "whole", false, "changes", changes);
             }
-            Version before = relay.version();
-            var verdict = relay.received(answer, i);
-            assertEquals(!relay.version().equals(before), verdict.changed());
+            Version before = active.version();
+            var verdict = active.received(answer, i);
+            assertEquals(!active.version().equals(before), verdict.changed());
             assertTrue(
-                    relay.version().compareTo(before) >= 0,
-                    "never back to an older version: " + before + " to " + relay.version());
+                    active.version().compareTo(before) >= 0,
+                    "never back to an older version: " + before + " to " + active.version());
             assertEquals(
-                    good.get(relay.version()),
-                    activeByName(relay),
-                    "exactly one of the versions: " + relay.version());
-            List<String> now = relay.settings().profiles.stream().map(p -> p.name).toList();
-            assertEquals(places, now.subList(0, places.size()), "a name keeps its index for good");
-            places = now;
+                    validVersions.get(active.version()),
+                    activeByName(active),
+                    "exactly one of the versions: " + active.version());
+            List<String> currentNames =
+                    active.settings().profiles.stream().map(p -> p.name).toList();
+            assertEquals(
+                    namesByIndex,
+                    currentNames.subList(0, namesByIndex.size()),
+                    "a name keeps its index for good");
+            namesByIndex = currentNames;
         }
-        assertEquals(new Version(2, length), relay.received());
-        if (good.containsKey(new Version(2, length))) {
-            assertEquals(new Version(2, length), relay.version());
+        assertEquals(new Version(2, length), active.received());
+        if (validVersions.containsKey(new Version(2, length))) {
+            assertEquals(new Version(2, length), active.version());
         } else {
-            assertEquals(new Version(2, length), relay.lastRefusal().version());
+            assertEquals(new Version(2, length), active.lastRefusal().version());
         }
     }
 
@@ -235,22 +239,23 @@
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int length) {
         Random random = new Random(seed);
         List<Object> patches = randomPatches(random, length);
-        int cut = random.nextInt(length + 1);
-        List<ActiveSettings> relays = List.of(relay(), relay(), relay());
-        relays.forEach(
-                relay -> relay.received(wholeAnswer(1, 0, documentVersions(patches).get(0)), 0));
+        int split = random.nextInt(length + 1);
+        List<ActiveSettings> instances =
+                List.of(newActiveSettings(), newActiveSettings(), newActiveSettings());
+        instances.forEach(
+                active -> active.received(wholeAnswer(1, 0, documentVersions(patches).get(0)), 0));
         Object[] all = new Object[2 * length];
         for (int v = 1; v <= length; v++) {
-            relays.get(0).received(changesAnswer(1, v, v, patches.get(v - 1)), v);
+            instances.get(0).received(changesAnswer(1, v, v, patches.get(v - 1)), v);
             all[2 * v - 2] = v;
             all[2 * v - 1] = patches.get(v - 1);
         }
-        relays.get(1).received(changesAnswer(1, length, all), 1);
-        relays.get(2).received(changesAnswer(1, cut, Arrays.copyOf(all, 2 * cut)), 1);
-        relays.get(2).received(changesAnswer(1, length, all), 2);
-        for (ActiveSettings relay : relays) {
-            assertEquals(relays.get(0).version(), relay.version());
-            assertEquals(activeByName(relays.get(0)), activeByName(relay));
+        instances.get(1).received(changesAnswer(1, length, all), 1);
+        instances.get(2).received(changesAnswer(1, split, Arrays.copyOf(all, 2 * split)), 1);
+        instances.get(2).received(changesAnswer(1, length, all), 2);
+        for (ActiveSettings active : instances) {
+            assertEquals(instances.get(0).version(), active.version());
+            assertEquals(activeByName(instances.get(0)), activeByName(active));
         }
     }
 
@@ -258,13 +263,13 @@
 
     @Test
     void reportsPathOfRefusedSettingsAndKeepsTheLastGoodOnes() {
-        ActiveSettings relay = relay();
+        ActiveSettings active = newActiveSettings();
         assertEquals(
                 Kind.IN_FORCE,
-                relay.received(wholeAnswer(1, 5, map("limits", map("mostSetups", 2))), 5).kind());
-        Map<String, Object> was = activeByName(relay);
+                active.received(wholeAnswer(1, 5, map("limits", map("mostSetups", 2))), 5).kind());
+        Map<String, Object> previous = activeByName(active);
         long seq = 5;
-        Object[][] wrong = {
+        Object[][] invalid = {
             {map("limits", map("mostSetups", "two")), "limits.mostSetups: not a number"},
             {
                 map("limits", map("mostSetups", 1.5)),
@@ -303,41 +308,41 @@
             {map("tenants", "all"), "tenants: neither an object nor a list"},
             {"words", "settings: not an object"}
         };
-        for (Object[] one : wrong) {
-            var verdict = relay.received(wholeAnswer(1, ++seq, one[0]), seq);
+        for (Object[] one : invalid) {
+            var verdict = active.received(wholeAnswer(1, ++seq, one[0]), seq);
             assertEquals(
                     Kind.REFUSED,
                     verdict.kind(),
-                    relay.lastRefusal() + " for " + Arrays.toString(one));
+                    active.lastRefusal() + " for " + Arrays.toString(one));
             assertTrue(
-                    relay.lastRefusal().reason().startsWith((String) one[1]),
-                    relay.lastRefusal().reason());
-            assertEquals(new Version(1, seq), relay.lastRefusal().version());
-            assertEquals(new Version(1, 5), relay.version());
-            assertEquals(was, activeByName(relay));
+                    active.lastRefusal().reason().startsWith((String) one[1]),
+                    active.lastRefusal().reason());
+            assertEquals(new Version(1, seq), active.lastRefusal().version());
+            assertEquals(new Version(1, 5), active.version());
+            assertEquals(previous, activeByName(active));
             assertEquals(
                     Kind.SAME,
-                    relay.received(wholeAnswer(1, seq, one[0]), seq).kind(),
+                    active.received(wholeAnswer(1, seq, one[0]), seq).kind(),
                     "refused once");
         }
-        assertEquals(wrong.length, relay.refusalCount());
-        assertEquals(5, relay.activeSince());
+        assertEquals(invalid.length, active.refusalCount());
+        assertEquals(5, active.activeSince());
         // A valid version after them, as a change from the refused one.
-        relay.received(wholeAnswer(1, ++seq, map("limits", map("mostSetups", 0))), 30);
+        active.received(wholeAnswer(1, ++seq, map("limits", map("mostSetups", 0))), 30);
         assertEquals(
                 Kind.IN_FORCE,
-                relay.received(
+                active.received(
                                 changesAnswer(
                                         1, seq + 1, seq + 1, map("limits", map("mostSetups", 4))),
                                 31)
                         .kind());
-        assertEquals(4, relay.settings().maxSetupsPerTunnel);
-        assertEquals(31, relay.activeSince());
+        assertEquals(4, active.settings().maxSetupsPerTunnel);
+        assertEquals(31, active.activeSince());
     }
 
     @Test
     void otherReadersMayRefuseSettings() {
-        ActiveSettings relay =
+        ActiveSettings active =
                 new ActiveSettings(
                         ownSettings(),
                         all -> {
@@ -348,46 +353,46 @@
                         0);
         assertEquals(
                 Kind.REFUSED,
-                relay.received(wholeAnswer(1, 1, map("tenants", map("a", map(), "b", map()))), 1)
+                active.received(wholeAnswer(1, 1, map("tenants", map("a", map(), "b", map()))), 1)
                         .kind());
-        assertEquals("pools: one customer too many", relay.lastRefusal().reason());
-        assertEquals(List.of(0.5), relay.settings().customerShares);
+        assertEquals("pools: one customer too many", active.lastRefusal().reason());
+        assertEquals(List.of(0.5), active.settings().customerShares);
     }
 
     @Test
     void distinguishesStaleAnswersFromOtherEpochs() {
-        ActiveSettings relay = relay();
+        ActiveSettings active = newActiveSettings();
         assertEquals(
                 Kind.GAP,
-                relay.received(changesAnswer(3, 9, 9, map()), 1).kind(),
+                active.received(changesAnswer(3, 9, 9, map()), 1).kind(),
                 "no document to change yet");
-        assertTrue(relay.needsFullDocument());
-        relay.received(wholeAnswer(3, 9, map("siblings", 4)), 1);
-        assertEquals(Kind.STALE, relay.received(wholeAnswer(3, 8, map("siblings", 5)), 2).kind());
+        assertTrue(active.needsFullDocument());
+        active.received(wholeAnswer(3, 9, map("siblings", 4)), 1);
+        assertEquals(Kind.STALE, active.received(wholeAnswer(3, 8, map("siblings", 5)), 2).kind());
         assertEquals(
                 Kind.STALE,
-                relay.received(wholeAnswer(2, 99, map("siblings", 5)), 2).kind(),
+                active.received(wholeAnswer(2, 99, map("siblings", 5)), 2).kind(),
                 "an older epoch");
         assertEquals(
                 Kind.GAP,
-                relay.received(changesAnswer(3, 11, 11, map("siblings", 6)), 2).kind(),
+                active.received(changesAnswer(3, 11, 11, map("siblings", 6)), 2).kind(),
                 "10 is missing");
         assertEquals(
-                Kind.IN_FORCE, relay.received(wholeAnswer(3, 11, map("siblings", 6)), 2).kind());
+                Kind.IN_FORCE, active.received(wholeAnswer(3, 11, map("siblings", 6)), 2).kind());
         assertEquals(
                 Kind.GAP,
-                relay.received(changesAnswer(4, 12, 12, map("siblings", 7)), 2).kind(),
+                active.received(changesAnswer(4, 12, 12, map("siblings", 7)), 2).kind(),
                 "of another epoch");
-        assertEquals(6, relay.settings().relayCount);
+        assertEquals(6, active.settings().relayCount);
         assertEquals(
                 Kind.IN_FORCE,
-                relay.received(wholeAnswer(4, 2, map("siblings", 8)), 2).kind(),
+                active.received(wholeAnswer(4, 2, map("siblings", 8)), 2).kind(),
                 "lower, but of a later epoch");
-        assertEquals(8, relay.settings().relayCount);
-        relay.serviceChanged();
+        assertEquals(8, active.settings().relayCount);
+        active.serviceChanged();
         assertEquals(
                 Kind.IN_FORCE,
-                relay.received(wholeAnswer(1, 1, map("siblings", 9)), 2).kind(),
+                active.received(wholeAnswer(1, 1, map("siblings", 9)), 2).kind(),
                 "the whole document of another service counts");
         for (Map<String, Object> malformed :
                 List.of(
@@ -412,9 +417,9 @@
                                 List.of(map("seq", 2, "patch", map("siblings", 1)), 7)),
                         map("epoch", "x", "seq", 5, "whole", true, "settings", map()),
                         wholeAnswer(1, -1, map()))) {
-            assertThrows(Json.MalformedException.class, () -> relay.received(malformed, 3));
-            assertEquals(new Version(1, 1), relay.received());
-            assertEquals(9, relay.settings().relayCount);
+            assertThrows(Json.MalformedException.class, () -> active.received(malformed, 3));
+            assertEquals(new Version(1, 1), active.received());
+            assertEquals(9, active.settings().relayCount);
         }
     }
 
@@ -424,29 +429,29 @@
      */
     @Test
     void refusedFutureVersionDoesNotBlockLaterOnes() {
-        ActiveSettings relay = relay();
-        relay.received(wholeAnswer(1, 5, map("siblings", 5)), 1);
+        ActiveSettings active = newActiveSettings();
+        active.received(wholeAnswer(1, 5, map("siblings", 5)), 1);
         assertEquals(
                 Kind.REFUSED,
-                relay.received(wholeAnswer(9, 999, map("siblings", "many")), 2).kind());
+                active.received(wholeAnswer(9, 999, map("siblings", "many")), 2).kind());
         assertEquals(
                 Kind.GAP,
-                relay.received(changesAnswer(1, 5), 3).kind(),
+                active.received(changesAnswer(1, 5), 3).kind(),
                 "the others know no such version");
-        assertEquals(Kind.SAME, relay.received(wholeAnswer(1, 5, map("siblings", 5)), 3).kind());
+        assertEquals(Kind.SAME, active.received(wholeAnswer(1, 5, map("siblings", 5)), 3).kind());
         assertEquals(
                 Kind.IN_FORCE,
-                relay.received(changesAnswer(1, 6, 6, map("siblings", 6)), 4).kind());
-        relay.received(changesAnswer(1, 999, 7, map("siblings", "many")), 5);
+                active.received(changesAnswer(1, 6, 6, map("siblings", 6)), 4).kind());
+        active.received(changesAnswer(1, 999, 7, map("siblings", "many")), 5);
         assertEquals(
-                Kind.IN_FORCE, relay.received(wholeAnswer(1, 8, map("siblings", 8)), 6).kind());
-        assertEquals(8, relay.settings().relayCount);
+                Kind.IN_FORCE, active.received(wholeAnswer(1, 8, map("siblings", 8)), 6).kind());
+        assertEquals(8, active.settings().relayCount);
     }
 
     @Test
     void removedEntriesKeepTheirIndexAndReturnToIt() {
-        ActiveSettings relay = relay();
-        relay.received(
+        ActiveSettings active = newActiveSettings();
+        active.received(
                 wholeAnswer(
                         1,
                         1,
@@ -458,60 +463,60 @@
                 1);
         assertEquals(
                 List.of("chat", "pay", "bulk"),
-                relay.settings().profiles.stream().map(p -> p.name).toList());
+                active.settings().profiles.stream().map(p -> p.name).toList());
         assertEquals(
                 Map.of("pay", 1, "bulk", 2),
-                SettingsDecoder.activeIndexes(relay.effectiveDocument(), "profiles"));
+                SettingsDecoder.activeIndexes(active.effectiveDocument(), "profiles"));
         assertEquals(
                 Map.of("x", 1),
-                SettingsDecoder.activeIndexes(relay.effectiveDocument(), "tenants"));
+                SettingsDecoder.activeIndexes(active.effectiveDocument(), "tenants"));
         assertEquals(
                 List.of(1.0, 0.2),
-                relay.settings().customerShares,
+                active.settings().customerShares,
                 "a removed customer has no share to exceed");
-        assertEquals(0.3, relay.settings().profiles.get(0).setupGoal, "with its last values");
-        relay.received(
+        assertEquals(0.3, active.settings().profiles.get(0).setupGoal, "with its last values");
+        active.received(
                 changesAnswer(1, 2, 2, map("profiles", map("pay", null, "chat", map("credit", 5)))),
                 1);
         assertEquals(
                 Map.of("chat", 0, "bulk", 2),
-                SettingsDecoder.activeIndexes(relay.effectiveDocument(), "profiles"));
-        assertEquals(3, relay.settings().profiles.get(1).credit);
-        assertEquals(0.5, relay.settings().profiles.get(0).setupGoal, "with its new values");
+                SettingsDecoder.activeIndexes(active.effectiveDocument(), "profiles"));
+        assertEquals(3, active.settings().profiles.get(1).credit);
+        assertEquals(0.5, active.settings().profiles.get(0).setupGoal, "with its new values");
         for (int i = 3; i < 300; i++) {
-            relay.received(
+            active.received(
                     changesAnswer(
                             1, i, i, map("profiles", map("p" + (i - 1), null, "p" + i, map()))),
                     i);
         }
         assertTrue(
-                relay.lastRefusal().reason().startsWith("profiles: more than 256 names"),
-                relay.lastRefusal().reason());
-        assertEquals(256, relay.settings().profiles.size());
+                active.lastRefusal().reason().startsWith("profiles: more than 256 names"),
+                active.lastRefusal().reason());
+        assertEquals(256, active.settings().profiles.size());
     }
 
     @Test
     void restoresPersistedStateAndRejectsDamagedState() {
-        ActiveSettings relay = relay();
-        assertNull(relay.snapshot());
-        relay.received(
+        ActiveSettings active = newActiveSettings();
+        assertNull(active.snapshot());
+        active.received(
                 wholeAnswer(1, 6, map("profiles", map("once", map(), "pay", map("credit", 3)))), 6);
-        relay.received(changesAnswer(1, 7, 7, map("profiles", map("once", null))), 7);
-        relay.received(
+        active.received(changesAnswer(1, 7, 7, map("profiles", map("once", null))), 7);
+        active.received(
                 changesAnswer(1, 8, 8, map("profiles", map("pay", map("credit", "much")))), 8);
-        ActiveSettings next = relay();
-        next.restore(relay.snapshot());
-        assertEquals(new Version(1, 7), next.version(), "the last valid version");
-        assertEquals(activeByName(relay), activeByName(next));
+        ActiveSettings restored = newActiveSettings();
+        restored.restore(active.snapshot());
+        assertEquals(new Version(1, 7), restored.version(), "the last valid version");
+        assertEquals(activeByName(active), activeByName(restored));
         assertEquals(
                 List.of("chat", "once", "pay"),
-                next.settings().profiles.stream().map(p -> p.name).toList(),
+                restored.settings().profiles.stream().map(p -> p.name).toList(),
                 "with the same indexes");
-        assertEquals(7, next.activeSince());
-        assertFalse(next.needsFullDocument(), "changes are enough");
+        assertEquals(7, restored.activeSince());
+        assertFalse(restored.needsFullDocument(), "changes are enough");
         assertEquals(
                 Kind.REFUSED,
-                next.received(
+                restored.received(
                                 changesAnswer(
                                         1,
                                         8,
@@ -519,19 +524,19 @@
                                         map("profiles", map("pay", map("credit", "much")))),
                                 9)
                         .kind());
-        for (String part : List.of("epoch", "seq", "profiles", "customers", "settings")) {
-            for (Object wrong : Arrays.asList(null, "x", -7L, List.of(3), map("profiles", 1))) {
-                Map<String, Object> kept = new LinkedHashMap<>(relay.snapshot());
-                kept.put(part, wrong);
-                ActiveSettings other = relay();
+        for (String field : List.of("epoch", "seq", "profiles", "customers", "settings")) {
+            for (Object invalid : Arrays.asList(null, "x", -7L, List.of(3), map("profiles", 1))) {
+                Map<String, Object> snapshot = new LinkedHashMap<>(active.snapshot());
+                snapshot.put(field, invalid);
+                ActiveSettings other = newActiveSettings();
                 try {
-                    other.restore(kept);
+                    other.restore(snapshot);
                 } catch (Json.MalformedException e) {
                     assertEquals(Version.NONE, other.version());
                     assertEquals(
-                            activeByName(relay()),
+                            activeByName(newActiveSettings()),
                             activeByName(other),
-                            "as without a stored state: " + part + " " + wrong);
+                            "as without a stored state: " + field + " " + invalid);
                     assertEquals(
                             List.of("chat"),
                             other.settings().profiles.stream().map(p -> p.name).toList());
