--- a/relay/src/test/java/asterpulley/serve/ClientDisconnectTest.java
+++ b/relay/src/test/java/asterpulley/serve/ClientDisconnectTest.java
@@ -110,7 +110,9 @@
                 client.reset();
             }
             resume.run();
-            assertNull(established.readLine(), "its client had left before it could be written");
+            assertNull(
+                    established.readLine(),
+                    "its client had left before the request could be written");
             assertEquals(0, counterValue("setups_written"));
         }
     }
@@ -178,7 +180,7 @@
             try {
                 assertNull(backendConnection.readLine(), "the client's close is forwarded");
             } catch (SocketException reset) {
-                assertEquals(0, i % 2, "in the same way");
+                assertEquals(0, i % 2, "only a reset is forwarded as a reset");
             }
             backendConnection.close();
         }
@@ -277,7 +279,9 @@
         }
         resume.run();
         for (TestConnection connection : established) {
-            assertNull(connection.readLine(), "its client had left before it could be written");
+            assertNull(
+                    connection.readLine(),
+                    "its client had left before the request could be written");
         }
         awaitTunnelCount(0);
         assertEquals(4, counterValue("setups_written"), "only the first setups");
--- a/relay/src/test/java/asterpulley/serve/DiscoveryRecoveryTest.java
+++ b/relay/src/test/java/asterpulley/serve/DiscoveryRecoveryTest.java
@@ -43,17 +43,24 @@
     private static final String SERVICE_UNAVAILABLE =
             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-    /** What happens to a request. */
+    /** What happens to a request. The names appear in failure messages. */
     private enum Fault {
         NONE,
+        /** Nothing listens: connections are refused. */
         DOWN,
+        /** The response is 503. */
         REFUSES,
         RESETS,
+        /** There is no response. */
         SILENT,
+        /** The response ends before its announced length. */
         CUT,
+        /** The listen backlog is full: connections are neither established nor refused. */
         FULL,
         MALFORMED,
+        /** The request waits for its turn at a {@link SharedWorker}. */
         LATE,
+        /** As LATE, but refused with 503 while too many requests wait already. */
         OVERBOOKED
     }
 
--- a/relay/src/test/java/asterpulley/serve/GracefulShutdownTest.java
+++ b/relay/src/test/java/asterpulley/serve/GracefulShutdownTest.java
@@ -67,8 +67,8 @@
         startRelay(backend.listEntry("s1", "up"));
         CompletableFuture<Void> terminated = beginShutdown();
         Runnable resume = pauseEventLoop();
-        // By now the relay has been without clients long enough to terminate; in the same loop
-        // iteration a client waits in the listen backlog.
+        // After this pause the relay has been without clients long enough to terminate; in the same
+        // loop iteration a client waits in the listen backlog.
         Thread.sleep(800);
         TestConnection client = connectClient("chat", 2000);
         resume.run();
--- a/relay/src/test/java/asterpulley/serve/IdleClientsTest.java
+++ b/relay/src/test/java/asterpulley/serve/IdleClientsTest.java
@@ -99,7 +99,7 @@
 
         /**
          * Waits until the relay has closed a connection, that is, until there are more clients than
-         * it accepts.
+         * it accepts; gives up after 5 s.
          */
         void awaitFirstClose() throws InterruptedException {
             for (long until = System.nanoTime() + 5_000_000_000L;
@@ -197,7 +197,7 @@
         assertEquals(
                 ACTIVE_CLIENTS,
                 allAnswers.stream().filter("UP r1"::equals).count(),
-                "after its return: " + allAnswers);
+                "after discovery recovered: " + allAnswers);
         assertEquals(List.of(), List.copyOf(one.openRequests), "by the current list");
         assertEquals(0, counterValue("declined_no_sockets"));
     }
@@ -239,7 +239,7 @@
         assertEquals(
                 ACTIVE_CLIENTS,
                 allAnswers.stream().filter("UP r1"::equals).count(),
-                "after its return: " + allAnswers);
+                "after discovery recovered: " + allAnswers);
         assertEquals(List.of(), List.copyOf(one.openRequests), "by the current list");
         new ProcessBuilder("kill", "-USR1", Long.toString(relayProcess.pid())).start().waitFor();
         int refusedAccepts =
@@ -315,7 +315,7 @@
                         .toArray(String[]::new));
         awaitCounter("probes", 1 + newBackends.length);
         int usedSockets = socketCount();
-        assertTrue(usedSockets <= 24, "no more than there are: " + usedSockets);
+        assertTrue(usedSockets <= 24, "at most the available sockets: " + usedSockets);
     }
 
     @Test
@@ -338,6 +338,6 @@
                 allAnswers.stream().filter("UP r1"::equals).count(),
                 "among idle ones: " + allAnswers);
         int usedSockets = socketCount();
-        assertTrue(usedSockets <= 24, "no more than there are: " + usedSockets);
+        assertTrue(usedSockets <= 24, "at most the available sockets: " + usedSockets);
     }
 }
--- a/relay/src/test/java/asterpulley/serve/MultiRelaySettingsTest.java
+++ b/relay/src/test/java/asterpulley/serve/MultiRelaySettingsTest.java
@@ -33,6 +33,7 @@
     private static final Pattern VERSION_METRIC =
             Pattern.compile("relay_settings_version (-?[0-9]+)\n");
 
+    /** A relay process with its own endpoint of the settings service. */
     private final class RelayProcess {
         private final StubSettingsService.Endpoint endpoint;
         private final Path configFile, logFile;
@@ -76,7 +77,7 @@
         private int awaitLoggedPort(String logPrefix) throws IOException {
             Matcher matcher = Pattern.compile(logPrefix + " at 127.0.0.1:([0-9]+)").matcher("");
             while (!matcher.reset(Files.exists(logFile) ? Files.readString(logFile) : "").find()) {
-                assertTrue(process.isAlive(), () -> "it ended");
+                assertTrue(process.isAlive(), () -> "the process ended");
                 Thread.onSpinWait();
             }
             return Integer.parseInt(matcher.group(1));
--- a/relay/src/test/java/asterpulley/serve/OpenRequestFuzzTest.java
+++ b/relay/src/test/java/asterpulley/serve/OpenRequestFuzzTest.java
@@ -265,8 +265,8 @@
                         .withCharRange('\u0000', '\u00ff')
                         .ofMinLength(1)
                         .ofMaxLength(300)
-                        .filter(socket -> !socket.startsWith("PING"))
-                        .map(socket -> new ClientInput(socket.replace("%", "") + "\r\n", false));
+                        .filter(text -> !text.startsWith("PING"))
+                        .map(text -> new ClientInput(text.replace("%", "") + "\r\n", false));
         return Arbitraries.frequencyOf(
                 net.jqwik.api.Tuple.of(3, valid),
                 net.jqwik.api.Tuple.of(4, invalid),
--- a/relay/src/test/java/asterpulley/serve/OperatorApiTest.java
+++ b/relay/src/test/java/asterpulley/serve/OperatorApiTest.java
@@ -456,18 +456,18 @@
         }
         backends.get(0).send("half a li");
         awaitCounter("bytes_to_clients", 9);
-        TestConnection frontend = connect();
+        TestConnection healthChecker = connect();
         assertEquals(200, call("POST", "quiesce").status);
         long since = System.nanoTime();
-        frontend.send("PING\r\n");
-        assertEquals("NO", frontend.readLine());
+        healthChecker.send("PING\r\n");
+        assertEquals("NO", healthChecker.readLine());
         assertEquals(503, call("GET", "health").status);
         TestConnection lateClient = connectClient("chat", 2000);
         backend.openNextTunnel();
         assertEquals(
                 "UP r1",
                 lateClient.readLine(),
-                "a client that arrives before its frontend has noticed is still served");
+                "a client that arrives before the health check has failed is still served");
         awaitCounter("moved", 1);
         backends.get(0).send("ne\r\n");
         assertEquals("half a line", clients.get(0).readLine());
@@ -478,8 +478,8 @@
         }
         assertTrue(System.nanoTime() - since < 4e9, "all are moved within 4 s");
         assertEquals(200, call("POST", "resume").status);
-        frontend.send("PING\r\n");
-        assertEquals("PONG", frontend.readLine());
+        healthChecker.send("PING\r\n");
+        assertEquals("PONG", healthChecker.readLine());
         assertEquals(200, call("GET", "health").status);
         backendOfNewTunnel(backend);
     }
@@ -577,9 +577,9 @@
     @Test
     void opensNoOperatorApiAndStoresNothingWithoutAnOperatorAddress() throws Exception {
         startRelay(new Backend().listEntry("s1", "up"));
-        TestConnection frontend = connect();
-        frontend.send("PING\r\n");
-        assertEquals("PONG", frontend.readLine());
+        TestConnection healthChecker = connect();
+        healthChecker.send("PING\r\n");
+        assertEquals("PONG", healthChecker.readLine());
         assertEquals(0, counterValue("operator_calls"));
         try (var files = Files.list(folder)) {
             assertEquals(
--- a/relay/src/test/java/asterpulley/serve/RelayEndToEndTest.java
+++ b/relay/src/test/java/asterpulley/serve/RelayEndToEndTest.java
@@ -104,7 +104,9 @@
         assertEquals(0, counterValue("taken"));
         TestConnection client = connect();
         client.send(good + ",g=" + "x".repeat(4096 - 2 - 3 - good.length()) + "\r\n");
-        assertTrue(backend.openRequests.take().endsWith("x"), "the longest line is taken");
+        assertTrue(
+                backend.openRequests.take().endsWith("x"),
+                "a line of the maximum length is accepted");
     }
 
     @Test
--- a/relay/src/test/java/asterpulley/settings/ActiveSettingsTest.java
+++ b/relay/src/test/java/asterpulley/settings/ActiveSettingsTest.java
@@ -162,17 +162,22 @@
                 List.of(randomPatches(random, length), randomPatches(random, length));
         List<List<Object>> documents =
                 patches.stream().map(ActiveSettingsTest::documentVersions).toList();
-        for (int e = 0; e < 2; e++) {
+        for (int epochIndex = 0; epochIndex < 2; epochIndex++) {
             ActiveSettings ordered = newActiveSettings();
             for (int v = 0; v <= length; v++) {
                 var verdict =
                         ordered.received(
                                 v == 0
-                                        ? wholeAnswer(e + 1, 0, documents.get(e).get(0))
-                                        : changesAnswer(e + 1, v, v, patches.get(e).get(v - 1)),
+                                        ? wholeAnswer(
+                                                epochIndex + 1, 0, documents.get(epochIndex).get(0))
+                                        : changesAnswer(
+                                                epochIndex + 1,
+                                                v,
+                                                v,
+                                                patches.get(epochIndex).get(v - 1)),
                                 v);
                 if (verdict.kind() == Kind.IN_FORCE) {
-                    validVersions.put(new Version(e + 1, v), activeByName(ordered));
+                    validVersions.put(new Version(epochIndex + 1, v), activeByName(ordered));
                 }
             }
         }
@@ -180,7 +185,7 @@
         List<String> namesByIndex = new ArrayList<>();
         for (int i = 0; i <= answerCount; i++) {
             boolean last = i == answerCount;
-            int e = last ? 1 : random.nextInt(2);
+            int epochIndex = last ? 1 : random.nextInt(2);
             int from =
                     last && !active.needsFullDocument() && active.received().epoch() == 2
                             ? (int) active.received().seq()
@@ -192,17 +197,18 @@
                             : random.nextInt(3) == 0;
             Map<String, Object> answer;
             if (whole) {
-                answer = wholeAnswer(e + 1, to, documents.get(e).get(to));
+                answer = wholeAnswer(epochIndex + 1, to, documents.get(epochIndex).get(to));
             } else {
                 List<Object> changes = new ArrayList<>();
                 for (int v = from + 1; v <= to; v++) {
-                    changes.add(map("seq", v, "patch", patches.get(e).get(v - 1)));
+                    changes.add(map("seq", v, "patch", patches.get(epochIndex).get(v - 1)));
                     if (random.nextInt(4) == 0) {
                         changes.add(changes.get(random.nextInt(changes.size())));
                     }
                 }
                 java.util.Collections.shuffle(changes, random);
-                answer = map("epoch", e + 1, "seq", to, "whole", false, "changes", changes);
+                answer =
+                        map("epoch", epochIndex + 1, "seq", to, "whole", false, "changes", changes);
             }
             Version before = active.version();
             var verdict = active.received(answer, i);
@@ -376,7 +382,7 @@
         assertEquals(
                 Kind.GAP,
                 active.received(changesAnswer(3, 11, 11, map("siblings", 6)), 2).kind(),
-                "10 is missing");
+                "version 10 is missing");
         assertEquals(
                 Kind.IN_FORCE, active.received(wholeAnswer(3, 11, map("siblings", 6)), 2).kind());
         assertEquals(
@@ -437,7 +443,7 @@
         assertEquals(
                 Kind.GAP,
                 active.received(changesAnswer(1, 5), 3).kind(),
-                "the others know no such version");
+                "the other instances know no such version");
         assertEquals(Kind.SAME, active.received(wholeAnswer(1, 5, map("siblings", 5)), 3).kind());
         assertEquals(
                 Kind.IN_FORCE,
