--- a/relay/src/test/java/asterpulley/serve/OpenRequestFuzzTest.java
+++ b/relay/src/test/java/asterpulley/serve/OpenRequestFuzzTest.java
@@ -170,7 +170,7 @@
     }
 
     @Provide
-    Arbitrary<ClientInput> openings() {
+    Arbitrary<ClientInput> clientInputs() {
         Arbitrary<String> key =
                 Arbitraries.strings()
                         .withChars("0123456789abcdefABCDEF")
@@ -282,7 +282,7 @@
             seed = "41",
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void forwardsOnlyWellFormedOpenRequests(@ForAll("openings") ClientInput input)
+    void forwardsOnlyWellFormedOpenRequests(@ForAll("clientInputs") ClientInput input)
             throws Exception {
         if (++attempts == 500) {
             baselineHeapBytes = usedHeapBytes();
