--- a/relay/src/test/java/asterpulley/serve/FuzzTest.java
+++ b/relay/src/test/java/asterpulley/serve/OpenRequestFuzzTest.java
@@ -35,27 +35,30 @@
 import net.jqwik.api.lifecycle.BeforeContainer;
 
 /**
- * Generated openings against a relay on a socket: none serves what is not to the letter, keeps a
- * socket or grows memory.
+ * Sends generated open requests to a relay. Guards against malformed requests that reach a backend,
+ * leak a socket or tunnel, or grow the heap.
  */
-class FuzzTest {
-    private static final Logger QUIET = Logger.getLogger("asterpulley");
-    private static final Set<String> REACHED = ConcurrentHashMap.newKeySet();
-    private static final Set<String> MALFORMED = ConcurrentHashMap.newKeySet();
-    private static final long MOST_GROWTH = 16 << 20;
+class OpenRequestFuzzTest {
+    private static final Logger LOGGER = Logger.getLogger("asterpulley");
+    private static final Set<String> FORWARDED_IDS = ConcurrentHashMap.newKeySet();
+    private static final Set<String> MALFORMED_IDS = ConcurrentHashMap.newKeySet();
+    private static final long MAX_HEAP_GROWTH_BYTES = 16 << 20;
     private static ServerSocket backend;
     private static ExecutorService threads;
-    private static RelayInstance serve;
-    private static long ids;
-    private static int tries;
-    private static long heapAtFirst;
+    private static RelayInstance relay;
+    private static long lastId;
+    private static int attempts;
+    private static long baselineHeapBytes;
 
-    /** What a client sends, and whether it is an opening to the letter; the id stands for %s. */
-    private record Sent(String text, boolean good) {}
+    /**
+     * What a client sends, and whether it is a well-formed open request. {@code %s} stands for the
+     * id.
+     */
+    private record ClientInput(String text, boolean wellFormed) {}
 
     @BeforeContainer
-    static void start() throws IOException {
-        QUIET.setLevel(Level.WARNING);
+    static void startBackendAndRelay() throws IOException {
+        LOGGER.setLevel(Level.WARNING);
         threads =
                 Executors.newCachedThreadPool(
                         r -> {
@@ -67,13 +70,13 @@
         threads.submit(
                 () -> {
                     while (true) {
-                        Socket s = backend.accept();
-                        threads.submit(() -> answer(s));
+                        Socket socket = backend.accept();
+                        threads.submit(() -> serveBackend(socket));
                     }
                 });
-        Map<String, Object> host =
+        Map<String, Object> server =
                 Map.of("host", "b", "dial", "127.0.0.1:" + backend.getLocalPort(), "health", "up");
-        serve =
+        relay =
                 new RelayInstance(
                         Config.of(
                                 Map.of(
@@ -86,7 +89,7 @@
                                         "limits",
                                         Map.of("sockets", 300, "memory_mb", 64),
                                         "known",
-                                        Map.of("seq", 1, "whole", true, "hosts", List.of(host)),
+                                        Map.of("seq", 1, "whole", true, "hosts", List.of(server)),
                                         "settings",
                                         Map.of(
                                                 "profiles",
@@ -105,19 +108,20 @@
                                                 "limits",
                                                 Map.of("probes", true, "mostSetups", 2)))),
                         null);
-        serve.open();
+        relay.open();
     }
 
-    private static Void answer(Socket s) throws IOException {
-        try (s) {
-            BufferedReader in =
+    private static Void serveBackend(Socket socket) throws IOException {
+        try (socket) {
+            BufferedReader reader =
                     new BufferedReader(
-                            new InputStreamReader(s.getInputStream(), StandardCharsets.ISO_8859_1));
-            for (String line = in.readLine(); line != null; line = in.readLine()) {
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.ISO_8859_1));
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 if (line.startsWith("OPEN")) {
-                    REACHED.add(line.split(" ", -1)[1]);
+                    FORWARDED_IDS.add(line.split(" ", -1)[1]);
                 }
-                s.getOutputStream()
+                socket.getOutputStream()
                         .write(
                                 (line.equals("STATS") ? "PONG x0=0.01\r\n" : "UP r1\r\n")
                                         .getBytes(StandardCharsets.ISO_8859_1));
@@ -127,54 +131,59 @@
     }
 
     @AfterContainer
-    static void nothingIsLeft() throws Exception {
-        // Two of the sockets are the questions for load; all tunnels and newcomers must be gone
-        // within their times.
-        long left = Long.MAX_VALUE;
-        for (int i = 0; i < 100 && left > 2; i++) {
+    static void checkForLeaksAndStop() throws Exception {
+        // Two of the sockets are probe connections. All tunnels and pending connections must end
+        // within their timeouts.
+        long remaining = Long.MAX_VALUE;
+        for (int i = 0; i < 100 && remaining > 2; i++) {
             Thread.sleep(50);
-            left = now(book -> (long) book.sockets + book.held());
+            remaining = readOnEventLoop(registry -> (long) registry.sockets + registry.held());
         }
-        long wide = left;
-        assertTrue(wide <= 2, "sockets and tunnels left: " + wide);
-        MALFORMED.retainAll(REACHED);
-        assertEquals(Set.of(), MALFORMED, "reached a backend though malformed");
-        assertTrue(now(book -> book.counterValue("opened")) > 100, "good openings open");
-        long heap = heap();
-        assertTrue(heap - heapAtFirst < MOST_GROWTH, "the heap grew by " + (heap - heapAtFirst));
-        serve.kill();
+        long finalRemaining = remaining;
+        assertTrue(finalRemaining <= 2, "sockets and tunnels left: " + finalRemaining);
+        MALFORMED_IDS.retainAll(FORWARDED_IDS);
+        assertEquals(Set.of(), MALFORMED_IDS, "reached a backend though malformed");
+        assertTrue(
+                readOnEventLoop(registry -> registry.counterValue("opened")) > 100,
+                "well-formed requests open tunnels");
+        long heapBytes = usedHeapBytes();
+        assertTrue(
+                heapBytes - baselineHeapBytes < MAX_HEAP_GROWTH_BYTES,
+                "the heap grew by " + (heapBytes - baselineHeapBytes));
+        relay.kill();
         backend.close();
         threads.shutdownNow();
-        QUIET.setLevel(null);
+        LOGGER.setLevel(null);
     }
 
-    private static long now(java.util.function.ToLongFunction<asterpulley.net.TunnelRegistry> what)
+    private static long readOnEventLoop(
+            java.util.function.ToLongFunction<asterpulley.net.TunnelRegistry> function)
             throws Exception {
-        CompletableFuture<Long> got = new CompletableFuture<>();
-        serve.readCounters(book -> got.complete(what.applyAsLong(book)));
-        return got.get(20, TimeUnit.SECONDS);
+        CompletableFuture<Long> result = new CompletableFuture<>();
+        relay.readCounters(registry -> result.complete(function.applyAsLong(registry)));
+        return result.get(20, TimeUnit.SECONDS);
     }
 
-    private static long heap() {
+    private static long usedHeapBytes() {
         System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
     @Provide
-    Arbitrary<Sent> openings() {
+    Arbitrary<ClientInput> clientInputs() {
         Arbitrary<String> key =
                 Arbitraries.strings()
                         .withChars("0123456789abcdefABCDEF")
                         .ofMinLength(1)
                         .ofMaxLength(32);
-        Arbitrary<Integer> wait = Arbitraries.integers().between(500, 3000);
-        Arbitrary<String> extra =
+        Arbitrary<Integer> timeout = Arbitraries.integers().between(500, 3000);
+        Arbitrary<String> extraPairs =
                 Arbitraries.of("", ",g=5c", ",r=1", ",again=1", ",h=0.3,x=y", ",note=a=b");
-        Arbitrary<Sent> good =
-                Combinators.combine(key, wait, extra)
+        Arbitrary<ClientInput> valid =
+                Combinators.combine(key, timeout, extraPairs)
                         .as(
                                 (k, d, x) ->
-                                        new Sent(
+                                        new ClientInput(
                                                 "OPEN %s "
                                                         + k
                                                         + " c=live,t=acme,d="
@@ -182,7 +191,7 @@
                                                         + x
                                                         + "\r\n",
                                                 true));
-        Arbitrary<String> wrongPairs =
+        Arbitrary<String> invalidPairs =
                 Arbitraries.of(
                         "c=live,t=acme",
                         "c=live,d=0",
@@ -207,17 +216,17 @@
                         "c=live,d=\u0000500",
                         "c=live,d=+500",
                         "c=live,d=0500");
-        Arbitrary<Sent> wrong =
-                Combinators.combine(key, wrongPairs)
-                        .as((k, p) -> new Sent("OPEN %s " + k + " " + p + "\r\n", false));
-        Arbitrary<Sent> words =
+        Arbitrary<ClientInput> invalid =
+                Combinators.combine(key, invalidPairs)
+                        .as((k, p) -> new ClientInput("OPEN %s " + k + " " + p + "\r\n", false));
+        Arbitrary<ClientInput> badCommands =
                 Combinators.combine(
                                 Arbitraries.of(
                                         "open", "OPEN ", " OPEN", "OPENED", "GET", "MOVE", "UP", "",
                                         "STATS", "PONG", "BUSY", "OPEN\t"),
                                 key)
-                        .as((w, k) -> new Sent(w + " %s " + k + " c=live,d=500\r\n", false));
-        Arbitrary<Sent> marks =
+                        .as((w, k) -> new ClientInput(w + " %s " + k + " c=live,d=500\r\n", false));
+        Arbitrary<ClientInput> badIds =
                 Combinators.combine(
                                 Arbitraries.strings()
                                         .ofMinLength(1)
@@ -226,12 +235,12 @@
                                 Arbitraries.of(true, false))
                         .as(
                                 (m, first) ->
-                                        new Sent(
+                                        new ClientInput(
                                                 first
                                                         ? "OPEN " + m + "%s a c=live,d=500\r\n"
                                                         : "OPEN %s " + m + " c=live,d=500\r\n",
                                                 false));
-        Arbitrary<Sent> ends =
+        Arbitrary<ClientInput> badLineEnds =
                 Arbitraries.of(
                                 "OPEN %s a c=live,d=500\n",
                                 "OPEN %s a c=live,d=500\r\nOPEN",
@@ -240,31 +249,31 @@
                                 "OPEN %s a",
                                 "OPEN %s a c=live,d=500\r",
                                 "OPEN %s a c=live,d=500\r\r\n")
-                        .map(t -> new Sent(t, false));
-        Arbitrary<Sent> longs =
+                        .map(t -> new ClientInput(t, false));
+        Arbitrary<ClientInput> overlong =
                 Arbitraries.integers()
                         .between(4097, 20_000)
                         .map(
                                 n ->
-                                        new Sent(
+                                        new ClientInput(
                                                 "OPEN %s a c=live,d=500,g="
                                                         + "x".repeat(n)
                                                         + "\r\n",
                                                 false));
-        Arbitrary<Sent> noise =
+        Arbitrary<ClientInput> noise =
                 Arbitraries.strings()
                         .withCharRange('\u0000', '\u00ff')
                         .ofMinLength(1)
                         .ofMaxLength(300)
-                        .filter(s -> !s.startsWith("PING"))
-                        .map(s -> new Sent(s.replace("%", "") + "\r\n", false));
+                        .filter(text -> !text.startsWith("PING"))
+                        .map(text -> new ClientInput(text.replace("%", "") + "\r\n", false));
         return Arbitraries.frequencyOf(
-                net.jqwik.api.Tuple.of(3, good),
-                net.jqwik.api.Tuple.of(4, wrong),
-                net.jqwik.api.Tuple.of(2, words),
-                net.jqwik.api.Tuple.of(2, marks),
-                net.jqwik.api.Tuple.of(2, ends),
-                net.jqwik.api.Tuple.of(1, longs),
+                net.jqwik.api.Tuple.of(3, valid),
+                net.jqwik.api.Tuple.of(4, invalid),
+                net.jqwik.api.Tuple.of(2, badCommands),
+                net.jqwik.api.Tuple.of(2, badIds),
+                net.jqwik.api.Tuple.of(2, badLineEnds),
+                net.jqwik.api.Tuple.of(1, overlong),
                 net.jqwik.api.Tuple.of(3, noise));
     }
 
@@ -273,39 +282,40 @@
             seed = "41",
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void onlyOpeningsToTheLetterReachABackend(@ForAll("openings") Sent sent) throws Exception {
-        if (++tries == 500) {
-            heapAtFirst = heap();
+    void forwardsOnlyWellFormedOpenRequests(@ForAll("clientInputs") ClientInput input)
+            throws Exception {
+        if (++attempts == 500) {
+            baselineHeapBytes = usedHeapBytes();
         }
-        String id = Long.toHexString(++ids);
-        InetSocketAddress at = serve.address();
-        try (Socket s = new Socket(at.getAddress(), at.getPort())) {
-            s.setSoTimeout(10_000);
-            boolean whole = true;
+        String id = Long.toHexString(++lastId);
+        InetSocketAddress address = relay.address();
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+            socket.setSoTimeout(10_000);
+            boolean isLine = true;
             try {
-                s.getOutputStream()
-                        .write(sent.text.replace("%s", id).getBytes(StandardCharsets.ISO_8859_1));
-                whole = sent.text.indexOf('\n') >= 0;
+                socket.getOutputStream()
+                        .write(input.text.replace("%s", id).getBytes(StandardCharsets.ISO_8859_1));
+                isLine = input.text.indexOf('\n') >= 0;
                 String answer =
-                        whole
+                        isLine
                                 ? new BufferedReader(
                                                 new InputStreamReader(
-                                                        s.getInputStream(), LineCodec.CHARSET))
+                                                        socket.getInputStream(), LineCodec.CHARSET))
                                         .readLine()
                                 : null;
-                if (sent.good) {
+                if (input.wellFormed) {
                     assertTrue(
                             answer != null && (answer.equals("UP r1") || answer.startsWith("BUSY")),
                             answer);
-                } else if (whole) {
+                } else if (isLine) {
                     assertTrue(answer == null || answer.equals(LineCodec.ERR), answer);
                 }
             } catch (SocketException e) {
-                assertEquals(false, sent.good, "a good opening was cut off");
+                assertEquals(false, input.wellFormed, "a well-formed request was cut off");
             }
         }
-        if (!sent.good) {
-            MALFORMED.add(id);
+        if (!input.wellFormed) {
+            MALFORMED_IDS.add(id);
         }
     }
 }
