--- a/relay/src/main/java/asterpulley/door/Figures.java
+++ b/relay/src/main/java/asterpulley/door/MetricsText.java
@@ -5,101 +5,112 @@
 import asterpulley.settings.ActiveSettings;
 
 /**
- * Owns the figures' names, in the text format of Prometheus. Every figure is read where it stands,
- * from what is or from the one count of it; it must never count anything itself.
+ * Renders the metrics in the text format of Prometheus. Each value is read from the current state
+ * or from the one counter of it; nothing is counted here.
  */
-public final class Figures {
-    private Figures() {}
+public final class MetricsText {
+    private MetricsText() {}
 
-    /** {@code settings}: null where no service tells any; then they have no figures. */
-    public static String text(
-            TunnelRegistry book, LoadBalancerFilter route, ActiveSettings settings) {
+    /**
+     * Renders all metrics.
+     *
+     * @param activeSettings null if no service sends settings; they have no metrics then
+     */
+    public static String render(
+            TunnelRegistry registry,
+            LoadBalancerFilter loadBalancer,
+            ActiveSettings activeSettings) {
         StringBuilder text = new StringBuilder(1024);
-        head(
+        appendHeader(
                 text,
                 "downstream_requests_total",
                 "counter",
                 "Tunnels answered, by profile: opened, declined, closed with error.");
-        for (int p = 0; p < book.profiles().size(); p++) {
+        for (int profile = 0; profile < registry.profiles().size(); profile++) {
             for (TunnelRegistry.Answer answer : TunnelRegistry.Answer.values()) {
                 text.append("relay_downstream_requests_total{lane=\"")
-                        .append(escaped(book.profiles().get(p)))
+                        .append(escapeLabel(registry.profiles().get(profile)))
                         .append("\",result=\"")
-                        .append(result(answer))
+                        .append(resultLabel(answer))
                         .append("\"} ")
-                        .append(book.answerCount(answer, p))
+                        .append(registry.answerCount(answer, profile))
                         .append('\n');
             }
         }
-        figure(
+        appendMetric(
                 text,
                 "upstream_requests_total",
                 "counter",
                 "Setups written whole to servers.",
-                book.counterValue("setups_written"));
-        figure(text, "pending", "gauge", "Tunnels taken and not ended.", book.held());
-        figure(text, "members", "gauge", "Servers in the list.", route.listedServerCount(false));
-        figure(
+                registry.counterValue("setups_written"));
+        appendMetric(text, "pending", "gauge", "Tunnels taken and not ended.", registry.held());
+        appendMetric(
+                text,
+                "members",
+                "gauge",
+                "Servers in the list.",
+                loadBalancer.listedServerCount(false));
+        appendMetric(
                 text,
                 "members_unavailable",
                 "gauge",
                 "Listed servers that get nothing new from here now.",
-                route.listedServerCount(true));
-        figure(
+                loadBalancer.listedServerCount(true));
+        appendMetric(
                 text,
                 "config_reloads_total",
                 "counter",
                 "Configurations taken on while running.",
-                book.counterValue("configurations"));
-        figure(
+                registry.counterValue("configurations"));
+        appendMetric(
                 text,
                 "config_reload_errors_total",
                 "counter",
                 "Configurations that could not be read.",
-                book.counterValue("configurations_unreadable"));
-        if (settings != null) {
-            ActiveSettings.Version version = settings.version();
-            figure(
+                registry.counterValue("configurations_unreadable"));
+        if (activeSettings != null) {
+            ActiveSettings.Version version = activeSettings.version();
+            appendMetric(
                     text,
                     "settings_epoch",
                     "gauge",
                     "The history of the settings in force, -1: the relay's own file's.",
                     Math.max(-1, version.epoch()));
-            figure(
+            appendMetric(
                     text,
                     "settings_version",
                     "gauge",
                     "The version of the settings in force within it.",
                     version.seq());
-            figure(
+            appendMetric(
                     text,
                     "settings_since_seconds",
                     "gauge",
                     "Unix time at which it came in force.",
-                    Math.round(settings.activeSince()));
-            figure(
+                    Math.round(activeSettings.activeSince()));
+            appendMetric(
                     text,
                     "settings_changes_total",
                     "counter",
                     "Times that other settings came in force.",
-                    book.counterValue("settings_changes"));
-            figure(
+                    registry.counterValue("settings_changes"));
+            appendMetric(
                     text,
                     "settings_refused_total",
                     "counter",
                     "Versions that could not be in force.",
-                    settings.refusalCount());
-            figure(
+                    activeSettings.refusalCount());
+            appendMetric(
                     text,
                     "settings_failures_total",
                     "counter",
                     "Calls to the settings service that failed.",
-                    book.counterValue("settings_failures"));
+                    registry.counterValue("settings_failures"));
         }
         return text.toString();
     }
 
-    private static String result(TunnelRegistry.Answer answer) {
+    private static String resultLabel(TunnelRegistry.Answer answer) {
         return switch (answer) {
             case OPENED -> "completed";
             case DECLINED -> "rejected";
@@ -107,13 +118,13 @@
         };
     }
 
-    private static void figure(
+    private static void appendMetric(
             StringBuilder text, String name, String type, String help, long value) {
-        head(text, name, type, help);
+        appendHeader(text, name, type, help);
         text.append("relay_").append(name).append(' ').append(value).append('\n');
     }
 
-    private static void head(StringBuilder text, String name, String type, String help) {
+    private static void appendHeader(StringBuilder text, String name, String type, String help) {
         text.append("# HELP relay_")
                 .append(name)
                 .append(' ')
@@ -125,7 +136,7 @@
                 .append('\n');
     }
 
-    private static String escaped(String label) {
+    private static String escapeLabel(String label) {
         return label.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
     }
 }
--- a/relay/src/main/java/asterpulley/list/ServerList.java
+++ b/relay/src/main/java/asterpulley/list/ServerList.java
@@ -9,14 +9,16 @@
 import java.util.Map;
 
 /**
- * A list of backends as discovery writes it, whole or its changes since a version, with where this
- * relay reaches each. It owns the words of discovery's entries, and must never judge what they say.
+ * A list of servers as discovery sends it, either whole or as the changes since a version, with the
+ * address at which this relay dials each server. It defines the field names of discovery's entries
+ * and makes no decision about their content.
  */
 public record ServerList(
         long version, boolean whole, List<ServerEntry> servers, Map<String, String> dialAddresses) {
     /**
-     * The names that entries use, by their place in the settings; one that these do not know has a
-     * place of its own from its first entry on, so that it never passes for another.
+     * Maps the names of zones, models and cells in the entries to their index in the settings. A
+     * name that the settings do not contain gets an index of its own with its first entry, so that
+     * it is never taken for another one.
      */
     public static final class NameIndex {
         private final Map<String, Integer> zones;
@@ -24,50 +26,55 @@
         private final Map<String, Integer> cells = new HashMap<>();
 
         public NameIndex(Map<String, Object> settings) {
-            zones = numbered(SettingsDecoder.indexes(settings, "zones"));
-            models = numbered(SettingsDecoder.indexes(settings, "models"));
+            zones = withIndexesAsNames(SettingsDecoder.indexes(settings, "zones"));
+            models = withIndexesAsNames(SettingsDecoder.indexes(settings, "models"));
         }
 
-        /** An entry may also tell the place itself. */
-        private static Map<String, Integer> numbered(Map<String, Integer> places) {
-            for (int i = places.size() - 1; i >= 0; i--) {
-                places.putIfAbsent(Integer.toString(i), i);
+        /** Adds each index as a name, since an entry may also give the index itself. */
+        private static Map<String, Integer> withIndexesAsNames(Map<String, Integer> indexes) {
+            for (int i = indexes.size() - 1; i >= 0; i--) {
+                indexes.putIfAbsent(Integer.toString(i), i);
             }
-            return places;
+            return indexes;
         }
     }
 
-    public static ServerList fromJson(Map<String, Object> in, NameIndex names) {
+    /**
+     * Reads a list in the form in which discovery sends it.
+     *
+     * @throws Json.MalformedException if it is not in that form
+     */
+    public static ServerList fromJson(Map<String, Object> json, NameIndex nameIndex) {
         List<ServerEntry> servers = new ArrayList<>();
         Map<String, String> dials = new HashMap<>();
-        for (Object o : Json.list(in, "hosts")) {
-            Map<String, Object> e = Json.object(o, "an entry of hosts");
-            String host = Json.text(e, "host");
+        for (Object item : Json.list(json, "hosts")) {
+            Map<String, Object> entry = Json.object(item, "an entry of hosts");
+            String host = Json.text(entry, "host");
             ServerEntry.State state =
-                    switch (Json.text(e, "health")) {
+                    switch (Json.text(entry, "health")) {
                         case "up" -> ServerEntry.State.RUNNING;
                         case "removed" -> ServerEntry.State.GONE;
                         default -> ServerEntry.State.DRAINING;
                     };
-            if (Json.textOrNull(e, "dial") != null) {
-                dials.put(host, Json.text(e, "dial"));
+            if (Json.textOrNull(entry, "dial") != null) {
+                dials.put(host, Json.text(entry, "dial"));
             }
-            double born = Json.secondsFromMillis(e, "born_ms");
+            double bornAt = Json.secondsFromMillis(entry, "born_ms");
             servers.add(
                     new ServerEntry(
                             host,
-                            place(names.zones, e.get("site")),
-                            place(names.models, e.get("class")),
-                            place(names.cells, e.get("block")),
+                            indexOf(nameIndex.zones, entry.get("site")),
+                            indexOf(nameIndex.models, entry.get("class")),
+                            indexOf(nameIndex.cells, entry.get("block")),
                             state,
-                            born > 0 ? born : Double.NEGATIVE_INFINITY));
+                            bornAt > 0 ? bornAt : Double.NEGATIVE_INFINITY));
         }
-        return new ServerList(Json.integer(in, "seq"), Json.flag(in, "whole"), servers, dials);
+        return new ServerList(Json.integer(json, "seq"), Json.flag(json, "whole"), servers, dials);
     }
 
-    private static int place(Map<String, Integer> places, Object named) {
-        return named == null
+    private static int indexOf(Map<String, Integer> indexes, Object name) {
+        return name == null
                 ? 0
-                : places.computeIfAbsent(String.valueOf(named), name -> places.size());
+                : indexes.computeIfAbsent(String.valueOf(name), key -> indexes.size());
     }
 }
--- a/relay/src/main/java/asterpulley/serve/Config.java
+++ b/relay/src/main/java/asterpulley/serve/Config.java
@@ -19,69 +19,83 @@
 import java.util.Objects;
 
 /**
- * Owns what this relay is told: one file, read at its start and anew at every SIGHUP. Each reading
- * is a value of its own that never changes; what is wrong with a file must be said in one plain
- * line, and must never harm a relay that already runs on an earlier reading.
+ * The configuration of this relay: one file, read at its start and again at every SIGHUP. Each
+ * reading is an immutable value. An error in a file is reported in one plain line, and never harms
+ * a relay that already runs with an earlier reading.
  */
 final class Config {
-    /** What an operator's file says of that; the platform's may not. */
+    /**
+     * Key of the settings service's address, in an operator's file only; the platform's file may
+     * not name one.
+     */
     static final String SETTINGS_SERVICE = "settings_service";
 
     final String name;
-    final InetSocketAddress listen;
-    final InetSocketAddress discovery;
+    final InetSocketAddress listenAddress;
+    final InetSocketAddress discoveryAddress;
 
-    /** Where operators call; null where they do not. */
-    final InetSocketAddress operator;
+    /** Where operators call; null if they cannot. */
+    final InetSocketAddress operatorAddress;
 
     /**
-     * Where settings are told while it runs; null: nowhere, as on the platform, and those of the
-     * file count.
+     * The service that sends settings at run time; null if there is none, as on the platform, and
+     * the settings of the file count.
      */
-    final InetSocketAddress settingsService;
+    final InetSocketAddress settingsServiceAddress;
 
     final long seed;
-    final int sockets;
-    final double memory;
+    final int socketLimit;
+    final double memoryBytes;
     final Settings settings;
     final LineCodec lineCodec;
     final ServerList.NameIndex nameIndex;
     final ServerList initialServerList;
 
-    /** What is told of pools; null where nothing is, as on the platform. */
-    private final Map<String, Object> routes;
-
-    private final Map<String, Object> told;
-
-    private Config(Map<String, Object> in) {
-        told = Json.object(in.get("settings"), "settings");
-        name = Json.text(in, "name");
-        listen = address(Json.text(in, "listen"));
-        discovery = in.get("discovery") == null ? null : address(Json.text(in, "discovery"));
-        operator = in.get("operator") == null ? null : address(Json.text(in, "operator"));
-        settingsService =
-                in.get(SETTINGS_SERVICE) == null ? null : address(Json.text(in, SETTINGS_SERVICE));
-        seed = seed(Json.text(in, "seed"));
-        sockets = (int) Json.number(Json.objectOrEmpty(in, "limits"), "sockets", 1024);
-        memory = Json.number(Json.objectOrEmpty(in, "limits"), "memory_mb", 192) * (1 << 20);
-        connectTimeout(told);
-        settings = SettingsDecoder.decode(told);
-        lineCodec = new LineCodec(told);
-        nameIndex = new ServerList.NameIndex(told);
-        initialServerList = ServerList.fromJson(Json.object(in.get("known"), "known"), nameIndex);
-        routes = in.get("routes") == null ? null : Json.object(in.get("routes"), "routes");
-        if (routes != null) {
-            // What is wrong with it is to be said now, not when it is used.
-            charter(told);
+    /** The configuration of the pools; null if there is none, as on the platform. */
+    private final Map<String, Object> poolsDocument;
+
+    private final Map<String, Object> settingsDocument;
+
+    private Config(Map<String, Object> document) {
+        settingsDocument = Json.object(document.get("settings"), "settings");
+        name = Json.text(document, "name");
+        listenAddress = address(Json.text(document, "listen"));
+        discoveryAddress =
+                document.get("discovery") == null
+                        ? null
+                        : address(Json.text(document, "discovery"));
+        operatorAddress =
+                document.get("operator") == null ? null : address(Json.text(document, "operator"));
+        settingsServiceAddress =
+                document.get(SETTINGS_SERVICE) == null
+                        ? null
+                        : address(Json.text(document, SETTINGS_SERVICE));
+        seed = seed(Json.text(document, "seed"));
+        socketLimit = (int) Json.number(Json.objectOrEmpty(document, "limits"), "sockets", 1024);
+        memoryBytes =
+                Json.number(Json.objectOrEmpty(document, "limits"), "memory_mb", 192) * (1 << 20);
+        connectTimeout(settingsDocument);
+        settings = SettingsDecoder.decode(settingsDocument);
+        lineCodec = new LineCodec(settingsDocument);
+        nameIndex = new ServerList.NameIndex(settingsDocument);
+        initialServerList =
+                ServerList.fromJson(Json.object(document.get("known"), "known"), nameIndex);
+        poolsDocument =
+                document.get("routes") == null
+                        ? null
+                        : Json.object(document.get("routes"), "routes");
+        if (poolsDocument != null) {
+            // An error in it must be reported now and not when it is used.
+            routingPolicy(settingsDocument);
         }
         if (settings.profiles.isEmpty()) {
             throw new Json.MalformedException("settings name no profiles");
         }
     }
 
-    /** What the file of another form says, under the same names. */
-    static Config of(Map<String, Object> in) {
-        return new Config(in);
+    /** Reads the content of a file of another form, under the same names. */
+    static Config of(Map<String, Object> document) {
+        return new Config(document);
     }
 
     static Config read(Path file) throws IOException {
@@ -98,34 +112,39 @@
         }
     }
 
-    boolean tellsOfPools() {
-        return routes != null;
+    boolean hasPools() {
+        return poolsDocument != null;
     }
 
-    /** With the names and credits of these settings, which are those in force. */
-    RoutingPolicy charter(Map<String, Object> inForce) {
-        return routes == null ? null : RoutingPolicyDecoder.decode(routes, settings.zone, inForce);
+    /**
+     * Returns the routing policy with the names and credits of the given settings, the active ones;
+     * null if no pools are configured.
+     */
+    RoutingPolicy routingPolicy(Map<String, Object> effectiveDocument) {
+        return poolsDocument == null
+                ? null
+                : RoutingPolicyDecoder.decode(poolsDocument, settings.zone, effectiveDocument);
     }
 
     static double connectTimeout(Map<String, Object> settings) {
         return Json.number(Json.objectOrEmpty(settings, "limits"), "dialTimeoutMs", 1000) / 1000;
     }
 
-    /** The settings of this reading, by the platform's names. */
-    Map<String, Object> told() {
-        return told;
+    /** Returns the settings of this reading, by the platform's names. */
+    Map<String, Object> settingsDocument() {
+        return settingsDocument;
     }
 
     /**
-     * True where that reading asks for what only a new start can give: the module and the names are
-     * set up once.
+     * Returns whether the new configuration changes something that only a restart can apply: the
+     * decision module and the names are set up once.
      */
-    boolean needsStart(Config anew) {
-        return !told.equals(anew.told)
-                || !name.equals(anew.name)
-                || !listen.equals(anew.listen)
-                || !Objects.equals(operator, anew.operator)
-                || (settingsService == null) != (anew.settingsService == null);
+    boolean requiresRestart(Config newConfig) {
+        return !settingsDocument.equals(newConfig.settingsDocument)
+                || !name.equals(newConfig.name)
+                || !listenAddress.equals(newConfig.listenAddress)
+                || !Objects.equals(operatorAddress, newConfig.operatorAddress)
+                || (settingsServiceAddress == null) != (newConfig.settingsServiceAddress == null);
     }
 
     private static long seed(String hex) {
--- a/relay/src/main/java/asterpulley/serve/ControlPlane.java
+++ b/relay/src/main/java/asterpulley/serve/ControlPlane.java
@@ -2,7 +2,7 @@
 
 import asterpulley.Settings;
 import asterpulley.line.ProbeFilter;
-import asterpulley.list.Discovery;
+import asterpulley.list.DiscoveryWatcher;
 import asterpulley.net.AdmissionFilter;
 import asterpulley.net.Dialer;
 import asterpulley.net.EventLoop;
@@ -25,62 +25,71 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Owns what one relay needs to decide, whatever clients it has: the watch on the list and, where a
- * service tells them, on the settings, the probes, the module behind its route, and the room. A
- * front (the line protocol in {@link Serve}, or one without sockets) stands on it. It must never
- * know a client's connection.
+ * The parts of a relay that make decisions, independent of its clients' protocol: the watch on the
+ * server list and, where a service sends them, on the settings, the probes, the decision module
+ * with its filter, and admission. A protocol frontend (the line protocol in {@link RelayInstance},
+ * or one without sockets) builds on it. It has no access to client connections.
  */
 public final class ControlPlane {
     public final EventLoop loop;
     public final TunnelRegistry registry;
     public final LoadBalancerFilter decisions;
     public final AdmissionFilter admission;
-    final IdleConnections lobby;
-    final Discovery discovery;
+    final IdleConnections idleConnections;
+    final DiscoveryWatcher discovery;
     final Dialer dialer;
-    final SocketFilter sockets;
+    final SocketFilter socketFilter;
     private final ProbeFilter probes;
 
-    /** The watch on the settings; null where no service tells any. */
-    final SettingsWatch settingsWatcher;
+    /** The watch on the settings; null if no service sends them. */
+    final SettingsWatcher settingsWatcher;
 
-    private final ActiveSettings told;
+    private final ActiveSettings activeSettings;
 
-    /** What reads the names of profiles and customers besides. */
-    private Consumer<Map<String, Object>> front = names -> {};
+    /** The frontend's reader of the names of profiles and customers. */
+    private Consumer<Map<String, Object>> documentListener = names -> {};
 
-    private Runnable settled = () -> {};
+    private Runnable settingsListener = () -> {};
     private Config config;
-    private Settings inForce;
+    private Settings settings;
 
-    /** Of all that is taken and not answered, also by settings that were in force until now. */
-    private double longestTimeout;
+    /**
+     * The longest client timeout of all tunnels that were taken and not answered yet, including
+     * those taken under earlier settings.
+     */
+    private double maxClientTimeout;
 
-    /** {@code kept}: what outlives this process; null: nothing. */
+    /**
+     * @param stateFiles files that outlive this process; null if there are none
+     */
     ControlPlane(
             Config config,
-            StateFiles kept,
-            TunnelProtocol talk,
+            StateFiles stateFiles,
+            TunnelProtocol protocol,
             EventLoop loop,
             TCPNIOTransport transport) {
         this.config = config;
         this.loop = loop;
-        told =
-                config.settingsService == null
+        activeSettings =
+                config.settingsServiceAddress == null
                         ? null
                         : new ActiveSettings(
-                                config.told(), all -> this.config.charter(all), loop.now());
-        if (told != null) {
-            SettingsWatch.restore(told, kept);
+                                config.settingsDocument(),
+                                document -> this.config.routingPolicy(document),
+                                loop.now());
+        if (activeSettings != null) {
+            SettingsWatcher.restore(activeSettings, stateFiles);
         }
-        inForce = told == null ? config.settings : told.settings();
-        longestTimeout = longest();
-        registry = new TunnelRegistry(inForce.profiles.stream().map(p -> p.name).toList());
-        lobby = new IdleConnections(loop, registry, talk);
+        settings = activeSettings == null ? config.settings : activeSettings.settings();
+        maxClientTimeout = maxClientTimeoutOfProfiles();
+        registry =
+                new TunnelRegistry(
+                        settings.profiles.stream().map(profile -> profile.name).toList());
+        idleConnections = new IdleConnections(loop, registry, protocol);
         decisions = new LoadBalancerFilter(loop, registry);
         discovery =
-                new Discovery(
-                        config.discovery,
+                new DiscoveryWatcher(
+                        config.discoveryAddress,
                         !config.settings.subscribesToServerList,
                         config.nameIndex,
                         config.initialServerList,
@@ -90,43 +99,49 @@
                         transport);
         dialer =
                 new Dialer(
-                        Config.connectTimeout(names()),
+                        Config.connectTimeout(effectiveDocument()),
                         transport,
                         loop,
                         registry,
-                        lobby,
-                        discovery::dial);
-        probes = new ProbeFilter(inForce, loop, registry, dialer, decisions);
-        sockets = new SocketFilter(transport, loop, registry, lobby);
+                        idleConnections,
+                        discovery::dialAddress);
+        probes = new ProbeFilter(settings, loop, registry, dialer, decisions);
+        socketFilter = new SocketFilter(transport, loop, registry, idleConnections);
         admission =
-                new AdmissionFilter(loop, inForce, talk, registry, lobby, new Random(config.seed));
-        admission.setSocketLimit(config.sockets);
-        lobby.setSpareReleaser(probes::closeUnused);
-        probes.setFilterChain(FilterChainBuilder.stateless().add(sockets).add(probes).build());
+                new AdmissionFilter(
+                        loop,
+                        settings,
+                        protocol,
+                        registry,
+                        idleConnections,
+                        new Random(config.seed));
+        admission.setSocketLimit(config.socketLimit);
+        idleConnections.setSpareReleaser(probes::closeUnused);
+        probes.setFilterChain(FilterChainBuilder.stateless().add(socketFilter).add(probes).build());
         settingsWatcher =
-                told == null
+                activeSettings == null
                         ? null
-                        : new SettingsWatch(
-                                config.settingsService,
-                                told,
-                                this::settingsChanged,
+                        : new SettingsWatcher(
+                                config.settingsServiceAddress,
+                                activeSettings,
+                                this::applySettings,
                                 loop,
                                 registry,
                                 new Random(config.seed + 1),
                                 transport,
-                                kept);
+                                stateFiles);
     }
 
-    /** As a configuration of the platform's names tells it. */
+    /** Creates one from a configuration in the platform's names, without state files. */
     public static ControlPlane of(
-            Map<String, Object> told,
-            TunnelProtocol talk,
+            Map<String, Object> document,
+            TunnelProtocol protocol,
             EventLoop loop,
             TCPNIOTransport transport) {
-        return new ControlPlane(Config.of(told), null, talk, loop, transport);
+        return new ControlPlane(Config.of(document), null, protocol, loop, transport);
     }
 
-    /** What carries a relay's sockets: one thread, the loop's. */
+    /** Creates the transport for a relay's sockets, which has a single thread, the event loop's. */
     public static TCPNIOTransport createTransport(EventLoop loop, MemoryManager<?> memory) {
         return TCPNIOTransportBuilder.newInstance()
                 .setName("relay")
@@ -145,84 +160,98 @@
                 .build();
     }
 
-    /** Starts to decide, to watch and to probe; on the loop's thread. */
+    /** Starts to make decisions, to watch and to probe. Called on the event loop's thread. */
     public void start() {
         start(() -> {});
     }
 
-    /** {@code settingsHeard}: told once, where a service tells settings. */
-    void start(Runnable settingsHeard) {
-        if (config.tellsOfPools()) {
+    /**
+     * @param onSettingsServiceHeard run once the settings service was heard, if there is one
+     */
+    void start(Runnable onSettingsServiceHeard) {
+        if (config.hasPools()) {
             decisions.setPoolRouter(
                     new PoolRouter(
-                            config.charter(names()), loop.now(), registry::log, registry::count));
+                            config.routingPolicy(effectiveDocument()),
+                            loop.now(),
+                            registry::log,
+                            registry::count));
         }
         if (settingsWatcher != null) {
-            settingsWatcher.start(settingsHeard);
+            settingsWatcher.start(onSettingsServiceHeard);
         }
         decisions.start(
-                inForce,
+                settings,
                 config.seed,
                 config.initialServerList.servers(),
                 probes::probe,
                 discovery::watch);
-        lobby.start();
+        idleConnections.start();
         probes.start();
     }
 
-    /** Another reading of the file: its pools count by what it says from now on. */
-    void reread(Config anew) {
-        config = anew;
+    /** Uses another reading of the configuration file from now on, for the pools. */
+    void updateConfig(Config newConfig) {
+        config = newConfig;
     }
 
     /**
-     * Is told the settings by their names, as others come in force, before anybody else has them.
+     * Sets the listener that gets the settings by their names when others become active, before
+     * anything else uses them.
      */
-    void whenNamesChange(Consumer<Map<String, Object>> then) {
-        front = then;
+    void onDocumentChange(Consumer<Map<String, Object>> listener) {
+        documentListener = listener;
     }
 
-    /** Is told when others are in force, after everybody has them. */
-    public void onSettingsApplied(Runnable then) {
-        settled = then;
+    /** Sets the listener that is run when other settings are active, after everything uses them. */
+    public void onSettingsApplied(Runnable listener) {
+        settingsListener = listener;
     }
 
-    /** The settings in force, by the platform's names. */
-    Map<String, Object> names() {
-        return told == null ? config.told() : told.effectiveDocument();
+    /** Returns the active settings by the platform's names. */
+    Map<String, Object> effectiveDocument() {
+        return activeSettings == null
+                ? config.settingsDocument()
+                : activeSettings.effectiveDocument();
     }
 
-    /** Others are in force: what reads them has them all when this returns, between two events. */
-    private void settingsChanged() {
-        Map<String, Object> all = told.effectiveDocument();
-        RoutingPolicy charter = config.charter(all);
-        inForce = told.settings();
-        front.accept(all);
-        registry.profiles(inForce.profiles.stream().map(p -> p.name).toList());
-        admission.updateSettings(inForce);
-        probes.updateSettings(inForce);
-        dialer.setConnectTimeout(Config.connectTimeout(all));
-        decisions.updateSettings(inForce, charter);
-        loop.schedule(longestTimeout, () -> longestTimeout = longest());
-        longestTimeout = Math.max(longestTimeout, longest());
-        settled.run();
+    /**
+     * Called when other settings became active. All readers of the settings have the new ones when
+     * this returns, between two events.
+     */
+    private void applySettings() {
+        Map<String, Object> document = activeSettings.effectiveDocument();
+        RoutingPolicy routingPolicy = config.routingPolicy(document);
+        settings = activeSettings.settings();
+        documentListener.accept(document);
+        registry.profiles(settings.profiles.stream().map(profile -> profile.name).toList());
+        admission.updateSettings(settings);
+        probes.updateSettings(settings);
+        dialer.setConnectTimeout(Config.connectTimeout(document));
+        decisions.updateSettings(settings, routingPolicy);
+        loop.schedule(maxClientTimeout, () -> maxClientTimeout = maxClientTimeoutOfProfiles());
+        maxClientTimeout = Math.max(maxClientTimeout, maxClientTimeoutOfProfiles());
+        settingsListener.run();
     }
 
-    private double longest() {
-        return inForce.profiles.stream().mapToDouble(p -> p.clientTimeout).max().orElse(0);
+    private double maxClientTimeoutOfProfiles() {
+        return settings.profiles.stream()
+                .mapToDouble(profile -> profile.clientTimeout)
+                .max()
+                .orElse(0);
     }
 
-    /** So long a client may wait that was taken until now. */
-    double longestTimeout() {
-        return longestTimeout;
+    /** Returns how long any client taken so far may wait for its answer, in seconds. */
+    double maxClientTimeout() {
+        return maxClientTimeout;
     }
 
-    /** The settings in force, where a service tells them; else null. */
+    /** Returns the active settings if a service sends them, else null. */
     public ActiveSettings activeSettings() {
-        return told;
+        return activeSettings;
     }
 
-    /** The version of the list that is in force here. */
+    /** Returns the version of the server list that is in use here. */
     public long serverListVersion() {
         return discovery.version();
     }
--- a/relay/src/main/java/asterpulley/serve/Main.java
+++ b/relay/src/main/java/asterpulley/serve/Main.java
@@ -1,13 +1,13 @@
 package asterpulley.serve;
 
 /**
- * The platform's command line of one relay: nothing but {@code serve}, so that nothing else is
- * loaded.
+ * The platform's command line of one relay. Its only command is {@code serve}, so that no other
+ * code is loaded.
  */
 public final class Main {
     private static final String USAGE =
             """
-            usage: serve     relay tunnels on sockets; LB_CONFIG names the file of what the relay is told
+            usage: serve     relay tunnels on sockets; LB_CONFIG names the configuration file
                    --help    print this
             """;
 
--- a/relay/src/main/java/asterpulley/serve/RelayInstance.java
+++ b/relay/src/main/java/asterpulley/serve/RelayInstance.java
@@ -3,13 +3,13 @@
 import static asterpulley.net.Addresses.format;
 
 import asterpulley.decode.Json;
-import asterpulley.door.Door;
+import asterpulley.door.OperatorHttpServer;
 import asterpulley.line.ClientRequestFilter;
 import asterpulley.line.ForwardingFilter;
 import asterpulley.line.LineCodec;
 import asterpulley.line.LineProtocol;
 import asterpulley.line.SetupFilter;
-import asterpulley.list.Discovery;
+import asterpulley.list.DiscoveryWatcher;
 import asterpulley.net.AcceptStrategy;
 import asterpulley.net.ClientListener;
 import asterpulley.net.EventLoop;
@@ -33,83 +33,90 @@
 import sun.misc.Signal;
 
 /**
- * Owns one relay's life: it reads the configuration, builds the chains of stages, listens, and
- * leaves in order when it is told to. Everything after the start happens on the one selector
- * thread. It must never end with a tunnel unanswered or a client unmoved while there is still time.
+ * One running relay: reads the configuration, builds the filter chains, listens, and shuts down
+ * gracefully when it is told to. After the start everything runs on the single selector thread. As
+ * long as there is time, it never ends with an unanswered tunnel or a client that was not moved.
  */
 public final class RelayInstance {
     private static final Logger LOG = Logger.getLogger("asterpulley.serve.Serve");
 
-    /** Held here: a logger that nobody holds is collected, and its level with it. */
-    private static final Logger GRIZZLY = Logger.getLogger("org.glassfish.grizzly");
+    /**
+     * Referenced here, since a logger without a strong reference is garbage collected and loses its
+     * level.
+     */
+    private static final Logger GRIZZLY_LOG = Logger.getLogger("org.glassfish.grizzly");
 
     /**
-     * What a caller at the door sends may be anything, and needs no trace; the relay's own stages
-     * tell of themselves.
+     * Operators' callers may send anything, which needs no stack trace; the relay's own filters log
+     * their errors themselves.
      */
-    private static final Logger CHAINS = Logger.getLogger("org.glassfish.grizzly.filterchain");
+    private static final Logger FILTER_CHAIN_LOG =
+            Logger.getLogger("org.glassfish.grizzly.filterchain");
 
     /**
-     * Descriptors that are no connections: files of the program, selectors, the listening socket.
+     * Descriptors that are not connections: the program's files, selectors, the listening socket.
      */
-    private static final int OWN_FILES = 40;
+    private static final int RESERVED_DESCRIPTORS = 40;
 
-    /** The part of the memory that may hold what slow readers have not read. */
-    private static final double FOR_SLOW_READERS = 0.1;
+    /** The share of the memory that may hold data for slow readers. */
+    private static final double SLOW_READER_MEMORY_SHARE = 0.1;
 
     /**
-     * The part that is kept for buffers, also where the process has more than this relay was told.
+     * The share of the memory reserved for buffers, also if the process has more than the
+     * configured memory.
      */
-    private static final double POOLED = 0.03;
+    private static final double POOLED_MEMORY_SHARE = 0.03;
 
     /**
-     * A start waits so long for news of the list, well within the time in which it has to be ready.
+     * How long a start waits for news of the list, well within the time in which a relay has to be
+     * ready.
      */
-    private static final double CATCH_UP = 2.5;
+    private static final double MAX_CATCH_UP_SECONDS = 2.5;
 
     /**
-     * Where the machine is slow, a start waits no longer than until then, seconds from its begin,
-     * but a moment it does.
+     * On a slow machine a start waits for news only until {@code READY_WITHIN_SECONDS} after its
+     * begin, but at least {@code MIN_CATCH_UP_SECONDS}.
      */
-    private static final double READY = 5, MOMENT = 0.5;
+    private static final double READY_WITHIN_SECONDS = 5, MIN_CATCH_UP_SECONDS = 0.5;
 
-    /** Before what a relay knows of its pools, in its log. */
+    /** Precedes the state of the pools in the log. */
     public static final String ROUTES_LOG_PREFIX = "routes ";
 
-    private final long begun = System.nanoTime();
+    private final long startedNanos = System.nanoTime();
     private Config config;
     private final EventLoop loop = new EventLoop();
-    private final ControlPlane control;
-    private final TunnelRegistry book;
-    private final LoadBalancerFilter route;
-    private final Discovery discovery;
+    private final ControlPlane controlPlane;
+    private final TunnelRegistry registry;
+    private final LoadBalancerFilter loadBalancer;
+    private final DiscoveryWatcher discovery;
     private final TCPNIOTransport transport;
     private ClientListener listener;
-    private final CountDownLatch gone = new CountDownLatch(1);
-    private final Farewell farewell;
+    private final CountDownLatch terminated = new CountDownLatch(1);
+    private final GracefulShutdown gracefulShutdown;
 
     /**
-     * Null where operators have no address here: then nothing outlives this process, and its
-     * address is its own.
+     * Null if operators have no address here. Then nothing outlives this process, and it shares its
+     * client address with no other process.
      */
-    private final Operators operators;
+    private final OperatorService operatorService;
 
-    private final Door door;
-    private final StateFiles kept;
-    private final CountDownLatch current = new CountDownLatch(1),
-            settingsHeard = new CountDownLatch(1);
+    private final OperatorHttpServer operatorServer;
+    private final StateFiles stateFiles;
+    private final CountDownLatch listCurrent = new CountDownLatch(1),
+            settingsServiceHeard = new CountDownLatch(1);
 
-    /** Null where no service tells settings: then those of the file count, from a start. */
-    private final SettingsWatch settings;
+    /** Null if no service sends settings. Then those of the file count, from a start. */
+    private final SettingsWatcher settingsWatcher;
 
-    /** Guarded by {@link #gone}, like the listener until it is open. */
-    private boolean shut;
+    /** Guarded by {@link #terminated}, like the listener until it is open. */
+    private boolean acceptingStopped;
 
     /**
-     * Decides from now on; nobody is accepted before {@link #open}. {@code folder}: what outlives
-     * it; null: nothing.
+     * Starts to make decisions; clients are accepted only after {@link #open}.
+     *
+     * @param stateFolder folder of the files that outlive this process; null if there is none
      */
-    RelayInstance(Config config, Path folder) throws IOException {
+    RelayInstance(Config config, Path stateFolder) throws IOException {
         this.config = config;
         transport =
                 ControlPlane.createTransport(
@@ -119,112 +126,148 @@
                                 1,
                                 1,
                                 1,
-                                pooled(config.memory),
+                                pooledMemoryShare(config.memoryBytes),
                                 0.25f,
                                 false));
-        LineProtocol talk = new LineProtocol();
-        kept =
-                config.operator == null || folder == null
+        LineProtocol protocol = new LineProtocol();
+        stateFiles =
+                config.operatorAddress == null || stateFolder == null
+                        ? null
+                        : new StateFiles(stateFolder, config.name);
+        controlPlane = new ControlPlane(config, stateFiles, protocol, loop, transport);
+        registry = controlPlane.registry;
+        loadBalancer = controlPlane.decisions;
+        discovery = controlPlane.discovery;
+        settingsWatcher = controlPlane.settingsWatcher;
+        gracefulShutdown =
+                new GracefulShutdown(
+                        loop,
+                        registry,
+                        loadBalancer,
+                        controlPlane.idleConnections,
+                        this::stopAccepting);
+        operatorService =
+                config.operatorAddress == null
                         ? null
-                        : new StateFiles(folder, config.name);
-        control = new ControlPlane(config, kept, talk, loop, transport);
-        book = control.registry;
-        route = control.decisions;
-        discovery = control.discovery;
-        settings = control.settingsWatcher;
-        farewell = new Farewell(loop, book, route, control.lobby, this::shut);
-        operators =
-                config.operator == null
+                        : new OperatorService(
+                                gracefulShutdown,
+                                registry,
+                                loadBalancer,
+                                loop,
+                                stateFiles,
+                                settingsWatcher);
+        operatorServer =
+                operatorService == null
                         ? null
-                        : new Operators(farewell, book, route, loop, kept, settings);
-        door = operators == null ? null : new Door(operators, loop, book);
-        SetupFilter send = new SetupFilter(loop, book, control.dialer, route);
-        ForwardingFilter relay = new ForwardingFilter(loop, book, route, send);
-        talk.setFilters(send, relay);
-        transport.setIOStrategy(new AcceptStrategy(loop, control.admission));
-        limits();
-        send.setFilterChain(
-                FilterChainBuilder.stateless().add(control.sockets).add(send).add(relay).build());
-        ClientRequestFilter takeIn =
+                        : new OperatorHttpServer(operatorService, loop, registry);
+        SetupFilter setupFilter =
+                new SetupFilter(loop, registry, controlPlane.dialer, loadBalancer);
+        ForwardingFilter forwardingFilter =
+                new ForwardingFilter(loop, registry, loadBalancer, setupFilter);
+        protocol.setFilters(setupFilter, forwardingFilter);
+        transport.setIOStrategy(new AcceptStrategy(loop, controlPlane.admission));
+        applyLimits();
+        setupFilter.setFilterChain(
+                FilterChainBuilder.stateless()
+                        .add(controlPlane.socketFilter)
+                        .add(setupFilter)
+                        .add(forwardingFilter)
+                        .build());
+        ClientRequestFilter requestFilter =
                 new ClientRequestFilter(
                         loop,
-                        new LineCodec(control.names()),
-                        talk,
-                        book,
-                        control.lobby,
-                        () -> !farewell.quiet());
-        control.whenNamesChange(names -> takeIn.setCodec(new LineCodec(names)));
+                        new LineCodec(controlPlane.effectiveDocument()),
+                        protocol,
+                        registry,
+                        controlPlane.idleConnections,
+                        () -> !gracefulShutdown.isQuiesced());
+        controlPlane.onDocumentChange(document -> requestFilter.setCodec(new LineCodec(document)));
         transport.setProcessor(
                 FilterChainBuilder.stateless()
-                        .add(control.sockets)
-                        .add(takeIn)
-                        .add(control.admission)
-                        .add(route)
-                        .add(relay)
+                        .add(controlPlane.socketFilter)
+                        .add(requestFilter)
+                        .add(controlPlane.admission)
+                        .add(loadBalancer)
+                        .add(forwardingFilter)
                         .build());
-        // Timers and the module start as the loop's first work.
+        // Timers and the decision module start as the first task of the event loop.
         transport.start();
-        CountDownLatch started = new CountDownLatch(1);
+        CountDownLatch loopStarted = new CountDownLatch(1);
         loop.submit(
                 () -> {
-                    if (catchesUp()) {
-                        discovery.whenCurrent(current::countDown);
+                    if (mustCatchUp()) {
+                        discovery.onCurrent(listCurrent::countDown);
                     }
-                    control.start(settingsHeard::countDown);
-                    if (operators != null) {
-                        operators.start();
+                    controlPlane.start(settingsServiceHeard::countDown);
+                    if (operatorService != null) {
+                        operatorService.start();
                     }
-                    relay.start();
-                    started.countDown();
+                    forwardingFilter.start();
+                    loopStarted.countDown();
                 });
         try {
-            started.await();
+            loopStarted.await();
         } catch (InterruptedException e) {
             throw new IOException("interrupted at the start");
         }
     }
 
     /**
-     * The list at hand may be older than what counts as told: where another process of this relay
-     * may serve meanwhile, and where the list is pushed, since then all that was pushed counts from
-     * the first moment of a process.
+     * Returns whether the configured server list may be older than what counts as known to this
+     * relay. That is so if another process of this relay may have served meanwhile, and if the list
+     * is pushed, since everything that was pushed then counts from the first moment of a process.
      */
-    private boolean catchesUp() {
-        return config.discovery != null
-                && (operators != null || !config.settings.subscribesToServerList);
+    private boolean mustCatchUp() {
+        return config.discoveryAddress != null
+                && (operatorService != null || !config.settings.subscribesToServerList);
     }
 
-    /** Serves as soon as this returns; where it has to, it catches up with the list before. */
+    /**
+     * Accepts clients by the time this returns; if needed it first waits for the current server
+     * list.
+     */
     void open() throws IOException {
-        if (operators != null) {
-            door.open(config.operator, transport);
+        if (operatorService != null) {
+            operatorServer.open(config.operatorAddress, transport);
             LOG.info(
                     "operators are answered at "
-                            + format(door.address())
-                            + (kept == null
-                                    ? "; TMPDIR is not set, so cordons end with this process and an upgrade is not seen"
+                            + format(operatorServer.address())
+                            + (stateFiles == null
+                                    ? "; TMPDIR is not set, so cordons end with this process and an upgrade is not detected"
                                     : ""));
         }
         try {
-            double patience =
-                    Math.max(MOMENT, Math.min(CATCH_UP, READY - (System.nanoTime() - begun) / 1e9));
-            String waited = Math.round(10 * patience) / 10.0 + " s, serving by ";
-            long until = System.nanoTime() + (long) (patience * 1e9);
-            if (settings != null
-                    && !settingsHeard.await(until - System.nanoTime(), TimeUnit.NANOSECONDS)) {
-                LOG.info("no news of the settings in " + waited + settings.inForce().version());
+            double waitSeconds =
+                    Math.max(
+                            MIN_CATCH_UP_SECONDS,
+                            Math.min(
+                                    MAX_CATCH_UP_SECONDS,
+                                    READY_WITHIN_SECONDS
+                                            - (System.nanoTime() - startedNanos) / 1e9));
+            String waitedText = Math.round(10 * waitSeconds) / 10.0 + " s, serving with ";
+            long deadlineNanos = System.nanoTime() + (long) (waitSeconds * 1e9);
+            if (settingsWatcher != null
+                    && !settingsServiceHeard.await(
+                            deadlineNanos - System.nanoTime(), TimeUnit.NANOSECONDS)) {
+                LOG.info(
+                        "no news of the settings in "
+                                + waitedText
+                                + settingsWatcher.activeSettings().version());
             }
-            if (catchesUp() && !current.await(until - System.nanoTime(), TimeUnit.NANOSECONDS)) {
-                LOG.info("no news of the list in " + waited + "the one at hand");
+            if (mustCatchUp()
+                    && !listCurrent.await(
+                            deadlineNanos - System.nanoTime(), TimeUnit.NANOSECONDS)) {
+                LOG.info("no news of the list in " + waitedText + "the one at hand");
             }
         } catch (InterruptedException e) {
             throw new IOException("interrupted at the start");
         }
-        synchronized (gone) {
-            if (shut) {
+        synchronized (terminated) {
+            if (acceptingStopped) {
                 return;
             }
-            listener = ClientListener.open(config.listen, operators != null, transport);
+            listener =
+                    ClientListener.open(config.listenAddress, operatorService != null, transport);
         }
         LOG.info(
                 "serving "
@@ -234,121 +277,133 @@
                         + ", backends known "
                         + config.initialServerList.servers().size()
                         + ", sockets "
-                        + config.sockets);
-        if (kept != null) {
-            kept.markServing();
+                        + config.socketLimit);
+        if (stateFiles != null) {
+            stateFiles.markServing();
         }
-        if (operators != null) {
-            loop.submit(operators::opened);
+        if (operatorService != null) {
+            loop.submit(operatorService::markAccepting);
         }
     }
 
-    /** Nobody is accepted from now on; who waits in the queue still is. On the loop's thread. */
-    private void shut() {
-        synchronized (gone) {
-            shut = true;
+    /**
+     * Accepts no new clients from now on, except those already in the listening socket's queue.
+     * Called on the event loop's thread.
+     */
+    private void stopAccepting() {
+        synchronized (terminated) {
+            acceptingStopped = true;
             try {
                 if (listener != null) {
                     listener.close();
                 }
             } catch (IOException e) {
-                LOG.warning("the clients' address is not given up before the end: " + e);
+                LOG.warning("cannot close the clients' listener before the end: " + e);
             }
         }
     }
 
-    private static float pooled(double memory) {
-        return (float) (POOLED * Math.min(1, memory / Runtime.getRuntime().maxMemory()));
+    private static float pooledMemoryShare(double memoryBytes) {
+        return (float)
+                (POOLED_MEMORY_SHARE * Math.min(1, memoryBytes / Runtime.getRuntime().maxMemory()));
     }
 
-    private void limits() {
-        // At an upgrade two processes share the memory.
-        book.maxPendingWrites =
+    private void applyLimits() {
+        // During an upgrade two processes share the memory.
+        registry.maxPendingWrites =
                 (int)
-                        (config.memory
-                                / (operators == null ? 1 : 2)
-                                * FOR_SLOW_READERS
+                        (config.memoryBytes
+                                / (operatorService == null ? 1 : 2)
+                                * SLOW_READER_MEMORY_SHARE
                                 / SocketFilter.BUFFER_BYTES);
-        control.admission.setSocketLimit(
-                config.sockets - OWN_FILES - (door == null ? 0 : Door.SOCKETS));
+        controlPlane.admission.setSocketLimit(
+                config.socketLimit
+                        - RESERVED_DESCRIPTORS
+                        - (operatorServer == null ? 0 : OperatorHttpServer.MAX_SOCKETS));
     }
 
     /**
-     * Told to read its configuration anew, from any thread but the loop's. A file that can't be
-     * read leaves the relay as it was. Two that come together are read one after the other, so that
-     * the later file is the one that holds.
+     * Reads the configuration again. Called from any thread but the event loop's. If the file
+     * cannot be read the relay stays as it was. Concurrent calls read one after the other, so that
+     * the later file takes effect last.
      */
-    synchronized void reload(Source source) {
+    synchronized void reload(ConfigSource source) {
         try {
             applyConfig(source.read());
         } catch (IOException | RuntimeException e) {
-            loop.submit(() -> book.count("configurations_unreadable"));
+            loop.submit(() -> registry.count("configurations_unreadable"));
             LOG.warning("configuration kept, the new one cannot be read: " + e.getMessage());
         }
     }
 
-    /** From any thread. */
-    void applyConfig(Config anew) {
-        loop.submit(() -> change(anew));
+    /** Applies another configuration. Called from any thread. */
+    void applyConfig(Config newConfig) {
+        loop.submit(() -> applyConfigOnLoop(newConfig));
     }
 
-    private void change(Config anew) {
+    private void applyConfigOnLoop(Config newConfig) {
         LOG.info(
                 "configuration read anew: "
-                        + (anew.discovery == null
+                        + (newConfig.discoveryAddress == null
                                 ? "backends "
                                         + config.initialServerList.servers().size()
                                         + " to "
-                                        + anew.initialServerList.servers().size()
+                                        + newConfig.initialServerList.servers().size()
                                 : "discovery "
-                                        + format(config.discovery)
+                                        + format(config.discoveryAddress)
                                         + " to "
-                                        + format(anew.discovery))
+                                        + format(newConfig.discoveryAddress))
                         + ", sockets "
-                        + anew.sockets
+                        + newConfig.socketLimit
                         + ", held "
-                        + book.held()
-                        + (config.needsStart(anew)
+                        + registry.held()
+                        + (config.requiresRestart(newConfig)
                                 ? "; changes of name, listen and settings wait for a restart"
                                 : ""));
-        book.count("configurations");
-        if (anew.tellsOfPools() != (route.poolRouter() != null)
-                || anew.tellsOfPools()
-                        && !route.poolRouter()
+        registry.count("configurations");
+        if (newConfig.hasPools() != (loadBalancer.poolRouter() != null)
+                || newConfig.hasPools()
+                        && !loadBalancer
+                                .poolRouter()
                                 .reload(
-                                        anew.charter(
-                                                settings == null ? anew.told() : control.names()),
+                                        newConfig.routingPolicy(
+                                                settingsWatcher == null
+                                                        ? newConfig.settingsDocument()
+                                                        : controlPlane.effectiveDocument()),
                                         loop.now())) {
             LOG.warning(
-                    "pools wait for a restart: whether they are told, their names and this relay's own count from a start");
+                    "changes of pools wait for a restart: whether there are any, their names and this relay's own pool are read at the start");
         }
-        config = anew;
-        limits();
-        control.reread(anew);
-        if (settings != null && anew.settingsService != null) {
-            settings.moveTo(anew.settingsService);
+        config = newConfig;
+        applyLimits();
+        controlPlane.updateConfig(newConfig);
+        if (settingsWatcher != null && newConfig.settingsServiceAddress != null) {
+            settingsWatcher.setAddress(newConfig.settingsServiceAddress);
         }
-        if (anew.discovery == null) {
-            discovery.tell(anew.initialServerList);
+        if (newConfig.discoveryAddress == null) {
+            discovery.applyConfiguredList(newConfig.initialServerList);
         } else {
-            discovery.moveTo(anew.discovery);
+            discovery.setAddress(newConfig.discoveryAddress);
         }
     }
 
-    /** Where a configuration is read from, at the start and anew at every SIGHUP. */
-    public interface Source {
+    /** Where the configuration is read from, at the start and again at every SIGHUP. */
+    public interface ConfigSource {
         /**
-         * What the configuration says, under the platform's names; a plain message where it can't
-         * be read.
+         * Returns the content of the configuration, by the platform's names.
+         *
+         * @throws IOException with a plain message if it cannot be read
          */
-        Map<String, Object> told() throws IOException;
+        Map<String, Object> load() throws IOException;
 
         private Config read() throws IOException {
-            return Config.of(told());
+            return Config.of(load());
         }
     }
 
-    /** Serves as the platform tells it, until told to end; returns the exit status. */
+    /**
+     * Runs a relay as the platform configures it, until it is told to end. Returns the exit status.
+     */
     public static int run(PrintStream stderr) {
         System.setProperty(
                 "java.util.logging.SimpleFormatter.format", "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n");
@@ -360,25 +415,31 @@
         return run(
                 file,
                 () -> {
-                    Map<String, Object> told = Config.readJson(Path.of(file));
-                    // The platform has no such service: only an operator's own file may name one.
-                    told.remove(Config.SETTINGS_SERVICE);
-                    return told;
+                    Map<String, Object> document = Config.readJson(Path.of(file));
+                    // The platform has no settings service: only an operator's own file may name
+                    // one.
+                    document.remove(Config.SETTINGS_SERVICE);
+                    return document;
                 },
                 stderr);
     }
 
-    /** Serves by a configuration of any form, until told to end; returns the exit status. */
-    public static int run(String file, Source source, PrintStream stderr) {
-        GRIZZLY.setLevel(Level.WARNING);
-        CHAINS.setLevel(Level.SEVERE);
-        // What is told before there is a relay to tell is done as soon as there is one.
-        CompletableFuture<RelayInstance> there = new CompletableFuture<>();
-        Signal.handle(new Signal("TERM"), s -> there.thenAccept(RelayInstance::beginShutdown));
-        Signal.handle(new Signal("HUP"), s -> there.thenAccept(serve -> serve.reload(source)));
+    /**
+     * Runs a relay with a configuration of any form, until it is told to end. Returns the exit
+     * status.
+     */
+    public static int run(String file, ConfigSource source, PrintStream stderr) {
+        GRIZZLY_LOG.setLevel(Level.WARNING);
+        FILTER_CHAIN_LOG.setLevel(Level.SEVERE);
+        // Signals that arrive before the relay exists are handled as soon as it does.
+        CompletableFuture<RelayInstance> instance = new CompletableFuture<>();
+        Signal.handle(
+                new Signal("TERM"), signal -> instance.thenAccept(RelayInstance::beginShutdown));
+        Signal.handle(
+                new Signal("HUP"), signal -> instance.thenAccept(relay -> relay.reload(source)));
         Signal.handle(
                 new Signal("USR1"),
-                s -> there.thenAccept(serve -> serve.readCounters(serve::tellAll)));
+                signal -> instance.thenAccept(relay -> relay.readCounters(relay::logState)));
         Config config;
         try {
             config = source.read();
@@ -395,17 +456,17 @@
         }
         try {
             String folder = System.getenv("TMPDIR");
-            RelayInstance serve =
+            RelayInstance relay =
                     new RelayInstance(
                             config, folder == null || folder.isEmpty() ? null : Path.of(folder));
-            there.complete(serve);
-            serve.open();
-            serve.awaitTermination();
+            instance.complete(relay);
+            relay.open();
+            relay.awaitTermination();
             return 0;
         } catch (IOException e) {
             stderr.println(
                     "asterpulley serve: cannot listen at "
-                            + format(config.listen)
+                            + format(config.listenAddress)
                             + ": "
                             + e.getMessage());
             return 1;
@@ -419,36 +480,37 @@
     }
 
     InetSocketAddress operatorAddress() {
-        return door.address();
+        return operatorServer.address();
     }
 
-    private void tellAll(TunnelRegistry counts) {
-        LOG.info(counts.toString());
-        if (route.poolRouter() != null) {
-            LOG.info(ROUTES_LOG_PREFIX + Json.text(route.poolRouter().state(loop.now())));
+    private void logState(TunnelRegistry registry) {
+        LOG.info(registry.toString());
+        if (loadBalancer.poolRouter() != null) {
+            LOG.info(ROUTES_LOG_PREFIX + Json.text(loadBalancer.poolRouter().state(loop.now())));
         }
     }
 
-    /** What was counted so far, read on the loop's own thread. */
+    /** Passes the counters to a reader, on the event loop's thread. */
     void readCounters(Consumer<TunnelRegistry> reader) {
-        loop.submit(() -> reader.accept(book));
+        loop.submit(() -> reader.accept(registry));
     }
 
-    /** Tells it to end, from any thread. */
+    /** Starts the graceful shutdown. Called from any thread. */
     void beginShutdown() {
         loop.submit(
                 () -> {
-                    boolean succeeded = kept != null && kept.isSuperseded();
-                    if (succeeded) {
-                        shut();
+                    boolean superseded = stateFiles != null && stateFiles.isSuperseded();
+                    if (superseded) {
+                        stopAccepting();
                     }
-                    farewell.leave(control.longestTimeout(), succeeded, gone::countDown);
+                    gracefulShutdown.shutDown(
+                            controlPlane.maxClientTimeout(), superseded, terminated::countDown);
                 });
     }
 
-    /** Waits until it has left. */
+    /** Waits until the shutdown has finished. */
     void awaitTermination() throws InterruptedException {
-        gone.await();
+        terminated.await();
     }
 
     /** Drops everything at once, as a kill would. */
--- a/relay/src/main/java/asterpulley/serve/StateFiles.java
+++ b/relay/src/main/java/asterpulley/serve/StateFiles.java
@@ -17,49 +17,51 @@
 import java.util.logging.Logger;
 
 /**
- * Owns the files by which processes of one relay know of each other: who is left out by operators,
- * which process serves, what it has learned, and the settings in force where a service tells them.
- * They are small, and in memory where the platform keeps them. Each is written whole (a new file,
- * then a rename) or not at all; one that cannot be read is told by its name and must never keep a
- * relay from starting.
+ * The files by which the processes of one relay share state: the cordoned servers, which process
+ * serves, the learned values, and the active settings if a service sends them. They are small, and
+ * on the platform they are in memory. Each is written whole (a new file, then a rename) or not at
+ * all. An unreadable file is reported by its name and never keeps a relay from starting.
  */
 final class StateFiles {
     private static final Logger LOG = Logger.getLogger("asterpulley.serve.Kept");
-    private static final String HEAD = "left out by operators, one a line", END = "end ";
-    private final Path cordons, serving, learned, settings;
-    private Object seen = "never read";
+    private static final String CORDONS_HEAD = "left out by operators, one a line",
+            CORDONS_END = "end ";
+    private final Path cordonsFile, servingFile, learnedFile, settingsFile;
+    private Object lastSeenStamp = "never read";
 
-    /** {@code relay}: its name, since several may share a folder. */
-    StateFiles(Path folder, String relay) {
-        String name = relay.replaceAll("[^A-Za-z0-9._-]", "_");
-        cordons = folder.resolve("asterpulley-" + name + ".cordons");
-        serving = folder.resolve("asterpulley-" + name + ".serving");
-        learned = folder.resolve("asterpulley-" + name + ".learned");
-        settings = folder.resolve("asterpulley-" + name + ".settings");
+    /**
+     * @param relayName part of the files' names, since several relays may share a folder
+     */
+    StateFiles(Path folder, String relayName) {
+        String fileSafeName = relayName.replaceAll("[^A-Za-z0-9._-]", "_");
+        cordonsFile = folder.resolve("asterpulley-" + fileSafeName + ".cordons");
+        servingFile = folder.resolve("asterpulley-" + fileSafeName + ".serving");
+        learnedFile = folder.resolve("asterpulley-" + fileSafeName + ".learned");
+        settingsFile = folder.resolve("asterpulley-" + fileSafeName + ".settings");
     }
 
     /**
-     * Who is left out; empty where no file says. Of one that was cut, the whole lines count: a ban
-     * that stays by mistake can be lifted.
+     * Returns the cordoned servers; empty if there is no file. Of a truncated file the complete
+     * lines count: a cordon that stays by mistake can be lifted.
      */
     Optional<Set<String>> cordons() {
         Set<String> servers = new TreeSet<>();
-        seen = stamp();
+        lastSeenStamp = cordonsStamp();
         try {
-            String text = Files.readString(cordons, StandardCharsets.ISO_8859_1);
+            String text = Files.readString(cordonsFile, StandardCharsets.ISO_8859_1);
             List<String> lines = text.lines().toList();
             for (int i = 1; i < lines.size(); i++) {
-                boolean whole = i + 1 < lines.size() || text.endsWith("\n");
-                if (whole && lines.get(i).matches("[!-~]{1,255}")) {
+                boolean complete = i + 1 < lines.size() || text.endsWith("\n");
+                if (complete && lines.get(i).matches("[!-~]{1,255}")) {
                     servers.add(lines.get(i));
                 }
             }
-            if (!text.startsWith(HEAD + "\n")
-                    || !text.endsWith("\n" + END + servers.size() + "\n")) {
+            if (!text.startsWith(CORDONS_HEAD + "\n")
+                    || !text.endsWith("\n" + CORDONS_END + servers.size() + "\n")) {
                 LOG.warning(
-                        "cut or foreign: "
-                                + cordons
-                                + ", what could be read of it counts: "
+                        "truncated or not a cordons file: "
+                                + cordonsFile
+                                + ", its readable entries count: "
                                 + servers);
             }
         } catch (NoSuchFileException e) {
@@ -67,42 +69,50 @@
         } catch (IOException e) {
             LOG.warning(
                     "cannot be read: "
-                            + cordons
+                            + cordonsFile
                             + ", "
                             + e.getClass().getSimpleName()
-                            + "; who is left out stays so");
+                            + "; the cordons stay as they are");
             return Optional.empty();
         }
         return Optional.of(servers);
     }
 
     void cordons(Set<String> servers) throws IOException {
-        StringBuilder text = new StringBuilder(HEAD).append('\n');
+        StringBuilder text = new StringBuilder(CORDONS_HEAD).append('\n');
         servers.forEach(server -> text.append(server).append('\n'));
-        write(cordons, text.append(END).append(servers.size()).append('\n').toString());
-        seen = stamp();
+        write(cordonsFile, text.append(CORDONS_END).append(servers.size()).append('\n').toString());
+        lastSeenStamp = cordonsStamp();
     }
 
     /**
-     * True where another process has written who is left out since this one last read or wrote it.
+     * Returns true if another process has written the cordons since this one last read or wrote
+     * them.
      */
     boolean cordonsChanged() {
-        return !seen.equals(stamp());
+        return !lastSeenStamp.equals(cordonsStamp());
     }
 
-    private Object stamp() {
+    private Object cordonsStamp() {
         try {
-            BasicFileAttributes of = Files.readAttributes(cordons, BasicFileAttributes.class);
-            return List.of(of.lastModifiedTime(), of.size(), String.valueOf(of.fileKey()));
+            BasicFileAttributes attributes =
+                    Files.readAttributes(cordonsFile, BasicFileAttributes.class);
+            return List.of(
+                    attributes.lastModifiedTime(),
+                    attributes.size(),
+                    String.valueOf(attributes.fileKey()));
         } catch (IOException e) {
             return "none";
         }
     }
 
-    /** What another process had learned; empty where nothing is kept or it is no row of numbers. */
+    /**
+     * Returns what another process has learned; empty if nothing is stored or the file is not a
+     * list of numbers.
+     */
     double[] learned() {
         try {
-            return Files.readString(learned, StandardCharsets.ISO_8859_1)
+            return Files.readString(learnedFile, StandardCharsets.ISO_8859_1)
                     .lines()
                     .mapToDouble(Double::parseDouble)
                     .toArray();
@@ -111,48 +121,48 @@
         }
     }
 
-    /** Keeps what this process has learned; where it can't, a new one learns anew. */
-    void learned(double[] all) {
+    /** Stores what this process has learned; if that fails, the next process learns it again. */
+    void learned(double[] values) {
         StringBuilder text = new StringBuilder();
-        Arrays.stream(all).forEach(x -> text.append((float) x).append('\n'));
+        Arrays.stream(values).forEach(value -> text.append((float) value).append('\n'));
         try {
-            write(learned, text.toString());
+            write(learnedFile, text.toString());
         } catch (IOException e) {
-            LOG.fine("not kept: " + e);
+            LOG.fine("learned values not stored: " + e);
         }
     }
 
-    /** The settings that a process before had in force; null where none are kept. */
+    /** Returns the active settings of the previous process; null if none are stored. */
     Map<String, Object> settings() throws IOException {
         try {
-            return Config.readJson(settings);
+            return Config.readJson(settingsFile);
         } catch (NoSuchFileException e) {
             return null;
         } catch (Json.MalformedException e) {
-            throw new IOException(settings + ", " + e.getMessage());
+            throw new IOException(settingsFile + ", " + e.getMessage());
         }
     }
 
-    void settings(Map<String, Object> all) throws IOException {
-        write(settings, Json.text(all) + "\n");
+    void settings(Map<String, Object> snapshot) throws IOException {
+        write(settingsFile, Json.text(snapshot) + "\n");
     }
 
-    /** This process serves from now on. */
+    /** Records that this process serves from now on. */
     void markServing() {
         try {
-            write(serving, ProcessHandle.current().pid() + "\n");
+            write(servingFile, ProcessHandle.current().pid() + "\n");
         } catch (IOException e) {
             LOG.warning(
                     "cannot be written: "
-                            + serving
-                            + "; at an upgrade this process is not known to serve");
+                            + servingFile
+                            + "; at an upgrade the previous process does not learn that this one serves");
         }
     }
 
-    /** True where another process has taken over and runs. */
+    /** Returns true if another process has taken over and is running. */
     boolean isSuperseded() {
         try {
-            long pid = Long.parseLong(Files.readString(serving).trim());
+            long pid = Long.parseLong(Files.readString(servingFile).trim());
             return pid != ProcessHandle.current().pid() && ProcessHandle.of(pid).isPresent();
         } catch (IOException | NumberFormatException e) {
             return false;
@@ -160,12 +170,13 @@
     }
 
     private static void write(Path file, String text) throws IOException {
-        Path whole = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
+        Path temporary =
+                file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
         try {
-            Files.writeString(whole, text, StandardCharsets.UTF_8);
-            Files.move(whole, file, StandardCopyOption.ATOMIC_MOVE);
+            Files.writeString(temporary, text, StandardCharsets.UTF_8);
+            Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            Files.deleteIfExists(whole);
+            Files.deleteIfExists(temporary);
             throw e;
         }
     }
--- a/relay/src/main/java/asterpulley/settings/ActiveSettings.java
+++ b/relay/src/main/java/asterpulley/settings/ActiveSettings.java
@@ -14,20 +14,22 @@
 import java.util.function.Consumer;
 
 /**
- * Owns which version of the settings is in force here, without I/O and in the time that it is told.
- * What a service tells is a document that is laid over the relay's own settings: whole, or by
- * changes from version to version (JSON merge patch). Each is tried on a copy and checked whole. It
- * must never have half of a version in force, never go back to an older one, never lose the last
- * good one to a bad one, and never give a profile or customer another place while the process
- * lives.
+ * Decides which version of the settings is active in this relay. It does no I/O and takes the time
+ * from its caller. A settings service sends a document that is merged over the relay's own
+ * settings, either whole or as changes from version to version (JSON merge patch). Each version is
+ * applied to a copy and validated completely before it is activated.
+ *
+ * <p>Invariants: a version is never active in part; an older version of a service never replaces a
+ * newer one; an invalid version never displaces the last valid one; and a profile or customer never
+ * changes its index while the process lives.
  */
 public final class ActiveSettings {
     /**
-     * The history of a service, which only another, higher number replaces, and the version within
-     * it.
+     * A version of the settings: the history of a service, which only a history with a higher
+     * number replaces, and the version within that history.
      */
     public record Version(long epoch, long seq) implements Comparable<Version> {
-        /** Before any that a service can tell. */
+        /** Sorts before every version that a service can send. */
         public static final Version NONE = new Version(Long.MIN_VALUE, -1);
 
         @Override
@@ -43,7 +45,7 @@
         }
     }
 
-    /** What became of an answer. GAP: what lies between is missing. */
+    /** How an answer was handled. GAP: changes before those in the answer are missing. */
     public enum Kind {
         IN_FORCE,
         REFUSED,
@@ -53,117 +55,131 @@
     }
 
     /**
-     * {@code changed}: another version is in force; that may be so also where a later one was
-     * refused or is missing.
+     * The result of applying an answer. {@code changed}: another version became active, which is
+     * possible also if a later version was refused or is missing.
      */
-    public record Verdict(Kind kind, boolean changed) {}
+    public record UpdateResult(Kind kind, boolean changed) {}
 
-    /** A version that can't be in force: the path of the fault, and what it is. */
-    public record Refusal(Version version, String reason, double at) {}
+    /** A version that was refused, and the path and description of its first error. */
+    public record Refusal(Version version, String reason, double refusedAt) {}
 
-    /** A list as it was told, and each of its entries at its place. */
-    private record Placed(Object told, List<Object> entries) {}
+    /** A list as it was given, and its entries by their stable index. */
+    private record StableList(Object source, List<Object> entries) {}
 
-    private record Told(Version version, Object settings) {}
+    /** A version and its whole settings document. */
+    private record VersionedDocument(Version version, Object document) {}
 
-    private final Map<String, Object> own;
-    private final Consumer<Map<String, Object>> readers;
+    private final Map<String, Object> ownSettings;
+    private final Consumer<Map<String, Object>> validator;
 
-    /** What was told last, good or bad: changes go from there. */
-    private Told received = new Told(Version.NONE, null);
+    /** The version received last, valid or not; the next changes are applied to it. */
+    private VersionedDocument received = new VersionedDocument(Version.NONE, null);
 
     private boolean needsFullDocument = true;
 
-    /** The last good one. */
-    private Told good = received;
+    /** The last valid version, which is the active one. */
+    private VersionedDocument lastGood = received;
 
-    /** No answer below it counts: what is in force, until another service is asked. */
-    private Version floor = Version.NONE;
+    /**
+     * Answers with a lower version are ignored: the active version, until another service is asked.
+     */
+    private Version minVersion = Version.NONE;
 
     private double activeSince;
     private Refusal lastRefusal;
     private long refusalCount;
 
-    /** By their place, those that were taken away as well. */
-    private Set<String> profiles = new LinkedHashSet<>(), customers = new LinkedHashSet<>();
+    /** Names in the order of their index, including removed ones. */
+    private Set<String> profileOrder = new LinkedHashSet<>(), customerOrder = new LinkedHashSet<>();
 
-    private final Map<String, Placed> placed = new HashMap<>();
+    private final Map<String, StableList> stableLists = new HashMap<>();
     private Map<String, Object> effectiveDocument;
     private Settings settings;
 
     /**
-     * {@code own}: the settings of the relay's own file, in force until a service tells. {@code
-     * readers}: who else reads settings, on a copy, and throws {@link Json.Malformed} where it
-     * can't.
+     * @param ownSettings the settings of the relay's own file, active until a service sends others
+     * @param validator another reader of the merged settings, called with a copy; it throws {@link
+     *     Json.MalformedException} if it cannot use them
+     * @param now the time, in seconds
      */
     public ActiveSettings(
-            Map<String, Object> own, Consumer<Map<String, Object>> readers, double now) {
-        this.own = own;
-        this.readers = readers;
+            Map<String, Object> ownSettings, Consumer<Map<String, Object>> validator, double now) {
+        this.ownSettings = ownSettings;
+        this.validator = validator;
         activeSince = now;
-        adopt(Map.of());
+        activate(Map.of());
     }
 
     /**
-     * An answer of the service; {@link Json.Malformed} where it has not the form of one: then
-     * nothing is changed.
+     * Applies an answer of the service.
+     *
+     * @throws Json.MalformedException if the answer is not well-formed; nothing is changed then
      */
-    public Verdict received(Map<String, Object> answer, double now) {
-        Version at =
+    public UpdateResult received(Map<String, Object> answer, double now) {
+        Version answerVersion =
                 new Version(
                         answer.get("epoch") == null ? 0 : Json.integer(answer, "epoch"),
                         Json.integer(answer, "seq"));
-        if (at.seq < 0 || at.epoch < 0) {
+        if (answerVersion.seq < 0 || answerVersion.epoch < 0) {
             throw new Json.MalformedException("seq or epoch is below 0");
         }
         boolean whole = Json.flag(answer, "whole");
         if (whole && !answer.containsKey("settings")) {
             throw new Json.MalformedException("field settings is missing");
         }
-        Map<Long, Change> changes = whole ? Map.of() : changes(answer);
-        // What was refused bounds nothing: a version that was never anybody's must not shut out
-        // those that are.
-        if (at.compareTo(floor) < 0) {
-            return new Verdict(Kind.STALE, false);
+        Map<Long, Change> changes = whole ? Map.of() : parseChanges(answer);
+        // A refused version does not raise the minimum: a version that no relay ever had must not
+        // shut out the real ones.
+        if (answerVersion.compareTo(minVersion) < 0) {
+            return new UpdateResult(Kind.STALE, false);
         }
         if (whole) {
             needsFullDocument = false;
-            if (at.equals(received.version) || at.equals(floor)) {
-                received = at.equals(floor) ? good : received;
-                return new Verdict(Kind.SAME, false);
+            if (answerVersion.equals(received.version) || answerVersion.equals(minVersion)) {
+                received = answerVersion.equals(minVersion) ? lastGood : received;
+                return new UpdateResult(Kind.SAME, false);
             }
-            return tried(
-                    List.of(new Told(at, MergePatch.apply(null, answer.get("settings")))), now);
+            return activateLatestValid(
+                    List.of(
+                            new VersionedDocument(
+                                    answerVersion, MergePatch.apply(null, answer.get("settings")))),
+                    now);
         }
-        needsFullDocument |= at.epoch != received.version.epoch || at.seq < received.version.seq;
-        List<Told> steps = new ArrayList<>();
-        long last = received.version.seq;
-        Object document = received.settings;
-        for (Change next = changes.get(last);
-                next != null && !needsFullDocument;
-                next = changes.get(last)) {
-            last = next.to;
-            document = MergePatch.apply(document, next.patch);
-            steps.add(new Told(new Version(at.epoch, last), document));
+        needsFullDocument |=
+                answerVersion.epoch != received.version.epoch
+                        || answerVersion.seq < received.version.seq;
+        List<VersionedDocument> steps = new ArrayList<>();
+        long lastSeq = received.version.seq;
+        Object document = received.document;
+        for (Change change = changes.get(lastSeq);
+                change != null && !needsFullDocument;
+                change = changes.get(lastSeq)) {
+            lastSeq = change.to;
+            document = MergePatch.apply(document, change.patch);
+            steps.add(new VersionedDocument(new Version(answerVersion.epoch, lastSeq), document));
         }
         needsFullDocument |=
-                last < changes.values().stream().mapToLong(Change::to).reduce(at.seq, Math::max);
+                lastSeq
+                        < changes.values().stream()
+                                .mapToLong(Change::to)
+                                .reduce(answerVersion.seq, Math::max);
         return steps.isEmpty()
-                ? new Verdict(needsFullDocument ? Kind.GAP : Kind.SAME, false)
-                : tried(steps, now);
+                ? new UpdateResult(needsFullDocument ? Kind.GAP : Kind.SAME, false)
+                : activateLatestValid(steps, now);
     }
 
-    /** From one version to another. */
+    /** A merge patch from one version to another. */
     private record Change(long from, long to, Object patch) {}
 
     /**
-     * By the version from which each goes; of two the shorter step, so that the last good version
-     * is met everywhere.
+     * Returns the changes by the version from which they start. Of two that start at the same
+     * version the shorter step is used, so that all relays pass through the same versions and end
+     * with the same last valid one.
      */
-    private static Map<Long, Change> changes(Map<String, Object> answer) {
+    private static Map<Long, Change> parseChanges(Map<String, Object> answer) {
         Map<Long, Change> changes = new HashMap<>();
-        for (Object o : Json.list(answer, "changes")) {
-            Map<String, Object> change = Json.object(o, "a change");
+        for (Object item : Json.list(answer, "changes")) {
+            Map<String, Object> change = Json.object(item, "a change");
             long to = Json.integer(change, "seq");
             long from = change.get("from") == null ? to - 1 : Json.integer(change, "from");
             if (from < 0 || from >= to || !change.containsKey("patch")) {
@@ -173,205 +189,241 @@
             changes.merge(
                     from,
                     new Change(from, to, change.get("patch")),
-                    (x, y) -> x.to <= y.to ? x : y);
+                    (first, second) -> first.to <= second.to ? first : second);
         }
         return changes;
     }
 
     /**
-     * Versions in their order: the last good one of them is in force from now on, later ones are
-     * refused.
+     * Activates the last valid one of the versions, which are in ascending order, and refuses later
+     * ones.
      */
-    private Verdict tried(List<Told> steps, double now) {
+    private UpdateResult activateLatestValid(List<VersionedDocument> steps, double now) {
         received = steps.get(steps.size() - 1);
         Kind kind = needsFullDocument ? Kind.GAP : Kind.IN_FORCE;
         for (int i = steps.size() - 1; i >= 0; i--) {
-            String wrong = taken(steps.get(i));
-            if (wrong == null) {
+            String error = tryActivate(steps.get(i));
+            if (error == null) {
                 activeSince = now;
-                return new Verdict(kind, true);
+                return new UpdateResult(kind, true);
             }
             refusalCount++;
             if (i == steps.size() - 1) {
-                lastRefusal = new Refusal(received.version, wrong, now);
+                lastRefusal = new Refusal(received.version, error, now);
                 kind = Kind.REFUSED;
             }
         }
-        return new Verdict(kind, false);
+        return new UpdateResult(kind, false);
     }
 
     /**
-     * Puts it in force; the path of what is wrong with it, and all as it was, where it can't be.
+     * Activates a version. Returns null, or the path and description of its error; nothing is
+     * changed then.
      */
-    private String taken(Told step) {
-        String wrong = Schema.wrong(step.settings, good.settings, own);
-        if (wrong != null) {
-            return wrong;
+    private String tryActivate(VersionedDocument candidate) {
+        String error = SettingsSchema.findError(candidate.document, lastGood.document, ownSettings);
+        if (error != null) {
+            return error;
         }
         try {
-            adopt(Json.object(step.settings, "settings"));
+            activate(Json.object(candidate.document, "settings"));
         } catch (Json.MalformedException e) {
             return e.getMessage();
         }
-        good = step;
-        floor = step.version;
+        lastGood = candidate;
+        minVersion = candidate.version;
         return null;
     }
 
-    private void adopt(Map<String, Object> document) {
-        Set<String> p = new LinkedHashSet<>(profiles), c = new LinkedHashSet<>(customers);
-        Map<String, Object> all = effectiveDocument(document, p, c);
-        Settings read = SettingsDecoder.decode(all);
-        readers.accept(all);
-        settings = read;
-        effectiveDocument = all;
-        profiles = p;
-        customers = c;
-        placed.put(
+    private void activate(Map<String, Object> document) {
+        Set<String> newProfileOrder = new LinkedHashSet<>(profileOrder),
+                newCustomerOrder = new LinkedHashSet<>(customerOrder);
+        Map<String, Object> merged = effectiveDocument(document, newProfileOrder, newCustomerOrder);
+        Settings decoded = SettingsDecoder.decode(merged);
+        validator.accept(merged);
+        settings = decoded;
+        effectiveDocument = merged;
+        profileOrder = newProfileOrder;
+        customerOrder = newCustomerOrder;
+        stableLists.put(
                 "profiles",
-                new Placed(
-                        document.getOrDefault("profiles", own.get("profiles")),
-                        Json.list(all, "profiles")));
-        placed.put(
+                new StableList(
+                        document.getOrDefault("profiles", ownSettings.get("profiles")),
+                        Json.list(merged, "profiles")));
+        stableLists.put(
                 "tenants",
-                new Placed(
-                        document.getOrDefault("tenants", own.get("tenants")),
-                        Json.list(all, "tenants")));
+                new StableList(
+                        document.getOrDefault("tenants", ownSettings.get("tenants")),
+                        Json.list(merged, "tenants")));
     }
 
     /**
-     * All settings with the document laid over the relay's own; each profile and customer at its
-     * place.
+     * Merges the document over the relay's own settings, with each profile and customer at its
+     * index.
      */
     private Map<String, Object> effectiveDocument(
-            Map<String, Object> document, Set<String> p, Set<String> c) {
-        Map<String, Object> plain = new LinkedHashMap<>(document);
-        Object profilesTold =
-                plain.containsKey("profiles") ? plain.remove("profiles") : own.get("profiles");
-        Object customersTold =
-                plain.containsKey("tenants") ? plain.remove("tenants") : own.get("tenants");
-        Map<String, Object> all = Json.object(MergePatch.apply(own, plain), "settings");
-        all.put("profiles", placed("profiles", profilesTold, p, Schema.PROFILES));
-        all.put("tenants", placed("tenants", customersTold, c, Schema.CUSTOMERS));
-        return all;
+            Map<String, Object> document,
+            Set<String> newProfileOrder,
+            Set<String> newCustomerOrder) {
+        Map<String, Object> otherSettings = new LinkedHashMap<>(document);
+        Object givenProfiles =
+                otherSettings.containsKey("profiles")
+                        ? otherSettings.remove("profiles")
+                        : ownSettings.get("profiles");
+        Object givenCustomers =
+                otherSettings.containsKey("tenants")
+                        ? otherSettings.remove("tenants")
+                        : ownSettings.get("tenants");
+        Map<String, Object> merged =
+                Json.object(MergePatch.apply(ownSettings, otherSettings), "settings");
+        merged.put(
+                "profiles",
+                stableEntries(
+                        "profiles", givenProfiles, newProfileOrder, SettingsSchema.MAX_PROFILES));
+        merged.put(
+                "tenants",
+                stableEntries(
+                        "tenants", givenCustomers, newCustomerOrder, SettingsSchema.MAX_CUSTOMERS));
+        return merged;
     }
 
-    /** One that was taken away keeps its place, for what stands of it, and nothing new names it. */
-    private List<Object> placed(String list, Object told, Set<String> places, int most) {
-        Placed last = placed.get(list);
-        if (last != null && last.told == told && last.entries.size() == places.size()) {
-            return last.entries;
+    /**
+     * Returns the entries in the order of their index. A removed entry keeps its index for the
+     * tunnels that still use it and is marked as retired, so that no new tunnel can name it.
+     */
+    private List<Object> stableEntries(
+            String listName, Object given, Set<String> order, int maxNames) {
+        StableList previous = stableLists.get(listName);
+        if (previous != null
+                && previous.source == given
+                && previous.entries.size() == order.size()) {
+            return previous.entries;
         }
-        Map<String, Map<String, Object>> now = Schema.byName(told);
-        if (list.equals("profiles") && now.isEmpty()) {
+        Map<String, Map<String, Object>> givenByName = SettingsSchema.entriesByName(given);
+        if (listName.equals("profiles") && givenByName.isEmpty()) {
             throw new Json.MalformedException("profiles: none is left");
         }
-        places.addAll(now.keySet());
-        if (places.size() > most) {
+        order.addAll(givenByName.keySet());
+        if (order.size() > maxNames) {
             throw new Json.MalformedException(
-                    list
+                    listName
                             + ": more than "
-                            + most
+                            + maxNames
                             + " names since the start, those taken away counted");
         }
-        Map<String, Map<String, Object>> before = Schema.byName(last == null ? null : last.entries);
-        List<Object> all = new ArrayList<>();
-        for (String name : places) {
-            Map<String, Object> one =
+        Map<String, Map<String, Object>> previousByName =
+                SettingsSchema.entriesByName(previous == null ? null : previous.entries);
+        List<Object> entries = new ArrayList<>();
+        for (String name : order) {
+            Map<String, Object> entry =
                     new LinkedHashMap<>(
-                            now.getOrDefault(name, before.getOrDefault(name, Map.of())));
-            one.put("name", name);
-            one.remove(SettingsDecoder.RETIRED);
-            if (!now.containsKey(name)) {
-                one.put(SettingsDecoder.RETIRED, true);
-                // Whoever stands of it is over no share any more.
-                one.remove("share");
+                            givenByName.getOrDefault(
+                                    name, previousByName.getOrDefault(name, Map.of())));
+            entry.put("name", name);
+            entry.remove(SettingsDecoder.RETIRED);
+            if (!givenByName.containsKey(name)) {
+                entry.put(SettingsDecoder.RETIRED, true);
+                // Its remaining tunnels do not exceed any share.
+                entry.remove("share");
             }
-            all.add(one);
+            entries.add(entry);
         }
-        return all;
+        return entries;
     }
 
     /**
-     * Another service is asked from now on: its history is its own, so its whole counts whatever
-     * its version.
+     * Called when another service is asked from now on. Its history is unrelated to the old one, so
+     * its whole document counts, whatever the version.
      */
     public void serviceChanged() {
-        received = new Told(Version.NONE, null);
-        floor = Version.NONE;
+        received = new VersionedDocument(Version.NONE, null);
+        minVersion = Version.NONE;
         needsFullDocument = true;
     }
 
-    /** What to keep over a restart; null where no service has told anything that is in force. */
+    /**
+     * Returns the state to persist across a restart; null if no version from a service is active.
+     */
     public Map<String, Object> snapshot() {
-        if (good.version.equals(Version.NONE)) {
+        if (lastGood.version.equals(Version.NONE)) {
             return null;
         }
-        Map<String, Object> kept = new LinkedHashMap<>();
-        kept.put("epoch", good.version.epoch);
-        kept.put("seq", good.version.seq);
-        kept.put("since", activeSince);
-        kept.put("profiles", List.copyOf(profiles));
-        kept.put("customers", List.copyOf(customers));
-        kept.put("settings", good.settings);
-        return kept;
+        Map<String, Object> snapshot = new LinkedHashMap<>();
+        snapshot.put("epoch", lastGood.version.epoch);
+        snapshot.put("seq", lastGood.version.seq);
+        snapshot.put("since", activeSince);
+        snapshot.put("profiles", List.copyOf(profileOrder));
+        snapshot.put("customers", List.copyOf(customerOrder));
+        snapshot.put("settings", lastGood.document);
+        return snapshot;
     }
 
     /**
-     * Goes on from what was kept, before anything was told; {@link Json.Malformed} where it cannot
-     * be in force.
+     * Continues from a persisted snapshot. Called before anything is received.
+     *
+     * @throws Json.MalformedException if the snapshot cannot be activated; nothing is changed then
      */
-    public void restore(Map<String, Object> kept) {
-        Version version = new Version(Json.integer(kept, "epoch"), Json.integer(kept, "seq"));
-        double from = Json.number(kept, "since", activeSince);
-        Set<String> p = places(kept, "profiles", Schema.PROFILES),
-                c = places(kept, "customers", Schema.CUSTOMERS);
-        Set<String> ownProfiles = profiles, ownCustomers = customers;
-        Told whole = new Told(version, kept.get("settings"));
-        profiles = p;
-        customers = c;
-        placed.clear();
-        String wrong = version.epoch < 0 || version.seq < 0 ? "a version below 0" : taken(whole);
-        if (wrong != null) {
-            profiles = ownProfiles;
-            customers = ownCustomers;
-            throw new Json.MalformedException(wrong);
+    public void restore(Map<String, Object> snapshot) {
+        Version version =
+                new Version(Json.integer(snapshot, "epoch"), Json.integer(snapshot, "seq"));
+        double restoredSince = Json.number(snapshot, "since", activeSince);
+        Set<String>
+                restoredProfileOrder =
+                        restoredOrder(snapshot, "profiles", SettingsSchema.MAX_PROFILES),
+                restoredCustomerOrder =
+                        restoredOrder(snapshot, "customers", SettingsSchema.MAX_CUSTOMERS);
+        Set<String> initialProfileOrder = profileOrder, initialCustomerOrder = customerOrder;
+        VersionedDocument restored = new VersionedDocument(version, snapshot.get("settings"));
+        profileOrder = restoredProfileOrder;
+        customerOrder = restoredCustomerOrder;
+        stableLists.clear();
+        String error =
+                version.epoch < 0 || version.seq < 0 ? "a version below 0" : tryActivate(restored);
+        if (error != null) {
+            profileOrder = initialProfileOrder;
+            customerOrder = initialCustomerOrder;
+            throw new Json.MalformedException(error);
         }
-        received = whole;
+        received = restored;
         needsFullDocument = false;
-        activeSince = from;
+        activeSince = restoredSince;
     }
 
     /**
-     * The places of the process before, so that what it learned by place is of the same names; too
-     * many begin anew.
+     * Returns the index order of the previous process, so that values it learned by index belong to
+     * the same names. An order that already uses more than half of the allowed names is dropped,
+     * and indexes start anew.
      */
-    private static Set<String> places(Map<String, Object> kept, String list, int most) {
-        Set<String> places = new LinkedHashSet<>();
-        Json.list(kept, list).forEach(name -> places.add(String.valueOf(name)));
-        return places.size() > most / 2 ? new LinkedHashSet<>() : places;
+    private static Set<String> restoredOrder(
+            Map<String, Object> snapshot, String listName, int maxNames) {
+        Set<String> order = new LinkedHashSet<>();
+        Json.list(snapshot, listName).forEach(name -> order.add(String.valueOf(name)));
+        return order.size() > maxNames / 2 ? new LinkedHashSet<>() : order;
     }
 
-    /** True where only the whole document helps: there is none yet, or changes are missing. */
+    /** Returns true if only a whole document helps: there is none yet, or changes are missing. */
     public boolean needsFullDocument() {
         return needsFullDocument;
     }
 
-    /** What was told last, good or bad: a service is asked for what is newer. */
+    /** Returns the version received last, valid or not; a service is asked for newer ones. */
     public Version received() {
         return received.version;
     }
 
     public Version version() {
-        return good.version;
+        return lastGood.version;
     }
 
-    /** When the version in force came in force; before any, when this process started. */
+    /**
+     * Returns when the active version was activated; before the first one, when this process
+     * started.
+     */
     public double activeSince() {
         return activeSince;
     }
 
-    /** The last one that was refused; null: none. */
+    /** Returns the last refused version, or null if none was refused. */
     public Refusal lastRefusal() {
         return lastRefusal;
     }
@@ -380,14 +432,17 @@
         return refusalCount;
     }
 
-    /** What is in force, for the module; never changed once it is handed out. */
+    /**
+     * Returns the active settings for the decision module. The object is never changed after it was
+     * returned.
+     */
     public Settings settings() {
         return settings;
     }
 
     /**
-     * The same as names and values, as a relay's file has them; those taken away are marked as
-     * retired.
+     * Returns the active settings as names and values, in the form of a relay's file; removed
+     * profiles and customers are marked as retired.
      */
     public Map<String, Object> effectiveDocument() {
         return effectiveDocument;
