--- a/relay/src/main/java/asterpulley/door/OperatorApi.java
+++ b/relay/src/main/java/asterpulley/door/OperatorApi.java
@@ -39,7 +39,10 @@
     /** Allows new setups to a server again. */
     Response uncordon(String server);
 
-    /** Moves the clients away and keeps new ones away until {@link #resume}. */
+    /**
+     * Reports not ready and moves the clients away, until {@link #resume}; clients that still
+     * arrive are answered.
+     */
     Response quiesce();
 
     /** Ends {@link #quiesce}. */
--- a/relay/src/main/java/asterpulley/list/DiscoveryWatcher.java
+++ b/relay/src/main/java/asterpulley/list/DiscoveryWatcher.java
@@ -143,7 +143,10 @@
         onCurrent = action;
     }
 
-    /** Makes the first call, or the next one after a failure or after the watch was given up. */
+    /**
+     * Called by the decision module: makes the first call, or the next one after a failure or after
+     * the watch was given up.
+     */
     public void watch() {
         if (!watching && poll.address() != null) {
             watching = true;
--- a/relay/src/main/java/asterpulley/serve/Config.java
+++ b/relay/src/main/java/asterpulley/serve/Config.java
@@ -30,6 +30,10 @@
      */
     static final String SETTINGS_SERVICE = "settings_service";
 
+    private static final double DEFAULT_SOCKET_LIMIT = 1024, DEFAULT_MEMORY_MB = 192;
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 1000;
+    private static final int BYTES_PER_MB = 1 << 20;
+
     final String name;
     final InetSocketAddress listenAddress;
     final InetSocketAddress discoveryAddress;
@@ -71,9 +75,15 @@
                         ? null
                         : address(Json.text(document, SETTINGS_SERVICE));
         seed = seed(Json.text(document, "seed"));
-        socketLimit = (int) Json.number(Json.objectOrEmpty(document, "limits"), "sockets", 1024);
+        socketLimit =
+                (int)
+                        Json.number(
+                                Json.objectOrEmpty(document, "limits"),
+                                "sockets",
+                                DEFAULT_SOCKET_LIMIT);
         memoryBytes =
-                Json.number(Json.objectOrEmpty(document, "limits"), "memory_mb", 192) * (1 << 20);
+                Json.number(Json.objectOrEmpty(document, "limits"), "memory_mb", DEFAULT_MEMORY_MB)
+                        * BYTES_PER_MB;
         connectTimeout(settingsDocument);
         settings = SettingsDecoder.decode(settingsDocument);
         lineCodec = new LineCodec(settingsDocument);
@@ -93,7 +103,7 @@
         }
     }
 
-    /** Reads the content of a file of another form, under the same names. */
+    /** Reads a configuration from the content of a file of any form. */
     static Config of(Map<String, Object> document) {
         return new Config(document);
     }
@@ -127,7 +137,11 @@
     }
 
     static double connectTimeout(Map<String, Object> settings) {
-        return Json.number(Json.objectOrEmpty(settings, "limits"), "dialTimeoutMs", 1000) / 1000;
+        return Json.number(
+                        Json.objectOrEmpty(settings, "limits"),
+                        "dialTimeoutMs",
+                        DEFAULT_CONNECT_TIMEOUT_MS)
+                / 1000;
     }
 
     /** Returns the settings of this reading, by the platform's names. */
--- a/relay/src/main/java/asterpulley/serve/ControlPlane.java
+++ b/relay/src/main/java/asterpulley/serve/ControlPlane.java
@@ -33,7 +33,10 @@
 public final class ControlPlane {
     public final EventLoop loop;
     public final TunnelRegistry registry;
+
+    /** Calls the decision module and carries out its decisions. */
     public final LoadBalancerFilter decisions;
+
     public final AdmissionFilter admission;
     final IdleConnections idleConnections;
     final DiscoveryWatcher discovery;
@@ -47,7 +50,7 @@
     private final ActiveSettings activeSettings;
 
     /** The frontend's reader of the names of profiles and customers. */
-    private Consumer<Map<String, Object>> documentListener = names -> {};
+    private Consumer<Map<String, Object>> documentListener = document -> {};
 
     private Runnable settingsListener = () -> {};
     private Config config;
@@ -190,7 +193,7 @@
         probes.start();
     }
 
-    /** Uses another reading of the configuration file from now on, for the pools. */
+    /** Sets the configuration that was read last; its pools apply from now on. */
     void updateConfig(Config newConfig) {
         config = newConfig;
     }
--- a/relay/src/main/java/asterpulley/serve/GracefulShutdown.java
+++ b/relay/src/main/java/asterpulley/serve/GracefulShutdown.java
@@ -16,7 +16,10 @@
 final class GracefulShutdown {
     private static final Logger LOG = Logger.getLogger("asterpulley.serve.Farewell");
 
-    /** After a restart has begun, new clients and their first lines arrive for less than this. */
+    /**
+     * When a restart begins, new clients keep arriving for less than this, and their first lines
+     * arrive within it.
+     */
     private static final double ARRIVAL_WINDOW_SECONDS = 0.6;
 
     /**
@@ -39,12 +42,15 @@
      */
     private static final double MOVE_SPREAD_SECONDS = 1;
 
-    /** They are served as long as possible, but all are moved this long before the last moment. */
+    /**
+     * Established clients are served as long as possible, but moved this long before the last
+     * moment.
+     */
     private static final double MOVES_DONE_BEFORE_END_SECONDS = 0.4;
 
     /**
-     * The clients of a quiesced relay are moved after the front has noticed, and before the time at
-     * which the operation counts as failed.
+     * The clients of a quiesced relay are moved once the platform's front has noticed that it is
+     * quiesced, and all before the time at which the operation counts as failed.
      */
     private static final double QUIESCE_MOVES_FROM_SECONDS = 0.4, QUIESCE_MOVES_UNTIL_SECONDS = 2.8;
 
--- a/relay/src/main/java/asterpulley/serve/SettingsWatcher.java
+++ b/relay/src/main/java/asterpulley/serve/SettingsWatcher.java
@@ -37,6 +37,9 @@
 
     private static final double MIN_BACKOFF_SECONDS = 0.2;
 
+    /** A delay is multiplied by a random factor from 0.75 to 1.25. */
+    private static final double MIN_JITTER_FACTOR = 0.75, JITTER_RANGE = 0.5;
+
     /**
      * Delay between an answer and the next call, so that changes made meanwhile arrive in one
      * answer and are applied at once.
@@ -148,7 +151,7 @@
      * once.
      */
     private void backOff() {
-        scheduleCall(backOff * (0.75 + 0.5 * random.nextDouble()));
+        scheduleCall(backOff * (MIN_JITTER_FACTOR + JITTER_RANGE * random.nextDouble()));
         backOff = Math.min(MAX_BACKOFF_SECONDS, 2 * backOff);
     }
 
--- a/relay/src/main/java/asterpulley/serve/StateFiles.java
+++ b/relay/src/main/java/asterpulley/serve/StateFiles.java
@@ -78,6 +78,7 @@
         return Optional.of(servers);
     }
 
+    /** Stores the cordoned servers. */
     void cordons(Set<String> servers) throws IOException {
         StringBuilder text = new StringBuilder(CORDONS_HEAD).append('\n');
         servers.forEach(server -> text.append(server).append('\n'));
@@ -143,6 +144,7 @@
         }
     }
 
+    /** Stores the active settings. */
     void settings(Map<String, Object> snapshot) throws IOException {
         write(settingsFile, Json.text(snapshot) + "\n");
     }
--- a/relay/src/main/java/asterpulley/settings/ActiveSettings.java
+++ b/relay/src/main/java/asterpulley/settings/ActiveSettings.java
@@ -361,7 +361,8 @@
     /**
      * Continues from a persisted snapshot. Called before anything is received.
      *
-     * @throws Json.MalformedException if the snapshot cannot be activated; nothing is changed then
+     * @throws Json.MalformedException if the snapshot cannot be activated; the active settings stay
+     *     then
      */
     public void restore(Map<String, Object> snapshot) {
         Version version =
@@ -411,6 +412,7 @@
         return received.version;
     }
 
+    /** Returns the active version; {@link Version#NONE} if none came from a service. */
     public Version version() {
         return lastGood.version;
     }
--- a/relay/src/main/java/asterpulley/settings/SettingsSchema.java
+++ b/relay/src/main/java/asterpulley/settings/SettingsSchema.java
@@ -17,6 +17,9 @@
 
     private static final double MAX_DURATION_MS = 3.6e6;
 
+    /** What the decoder uses for a profile that does not say. */
+    private static final double DEFAULT_SETUP_GOAL_MS = 500, DEFAULT_CLIENT_TIMEOUT_MS = 2000;
+
     /**
      * Read from the relay's own file at its start only, since other data than settings refers to
      * these names and kinds.
@@ -208,9 +211,11 @@
                     return entryPath + "." + setting.getKey() + ": " + error;
                 }
             }
-            double setupGoalMs = Json.number(entry.getValue(), "setupGoalMs", 500);
+            double setupGoalMs =
+                    Json.number(entry.getValue(), "setupGoalMs", DEFAULT_SETUP_GOAL_MS);
             if (path.equals("profiles")
-                    && Json.number(entry.getValue(), "clientTimeoutMs", 2000) < setupGoalMs) {
+                    && Json.number(entry.getValue(), "clientTimeoutMs", DEFAULT_CLIENT_TIMEOUT_MS)
+                            < setupGoalMs) {
                 return entryPath + ".clientTimeoutMs: below setupGoalMs, which is " + setupGoalMs;
             }
         }
