--- a/relay/src/main/java/asterpulley/door/OperatorHttpServer.java
+++ b/relay/src/main/java/asterpulley/door/OperatorHttpServer.java
@@ -39,9 +39,7 @@
  * never lets a caller delay another.
  */
 public final class OperatorHttpServer extends BaseFilter {
-    /**
-     * Descriptors reserved for operators: the listening socket, and the others for waiting callers.
-     */
+    /** Descriptors reserved for operators: one for the listening socket, the others for callers. */
     public static final int MAX_SOCKETS = 24;
 
     private static final int MAX_CALLERS = MAX_SOCKETS - 1;
--- a/relay/src/main/java/asterpulley/list/DiscoveryWatcher.java
+++ b/relay/src/main/java/asterpulley/list/DiscoveryWatcher.java
@@ -87,7 +87,10 @@
     /** The last answer that had any content. */
     private ServerList lastList;
 
-    private boolean watching, down, idle;
+    private boolean watching, down;
+
+    /** Discovery answers at once with nothing new, so the list is polled instead of watched. */
+    private boolean idle;
 
     /**
      * Set when the last call failed: changes since then are fetched first, by a call that does not
@@ -219,7 +222,7 @@
                                 loop.now());
         catchingUp = false;
         version = list.version();
-        // A discovery that counts anew from a lower version is accepted once it has waited for
+        // A discovery that restarts from a lower version is accepted once it has waited for
         // news; until then its version may go back and forth.
         highestVersion = pause == 0 ? version : Math.max(highestVersion, version);
         lastList = hasContent ? list : lastList;
--- a/relay/src/main/java/asterpulley/list/ServerList.java
+++ b/relay/src/main/java/asterpulley/list/ServerList.java
@@ -46,7 +46,7 @@
      */
     public static ServerList fromJson(Map<String, Object> json, NameIndex nameIndex) {
         List<ServerEntry> servers = new ArrayList<>();
-        Map<String, String> dials = new HashMap<>();
+        Map<String, String> dialAddresses = new HashMap<>();
         for (Object item : Json.list(json, "hosts")) {
             Map<String, Object> entry = Json.object(item, "an entry of hosts");
             String host = Json.text(entry, "host");
@@ -57,7 +57,7 @@
                         default -> ServerEntry.State.DRAINING;
                     };
             if (Json.textOrNull(entry, "dial") != null) {
-                dials.put(host, Json.text(entry, "dial"));
+                dialAddresses.put(host, Json.text(entry, "dial"));
             }
             double bornAt = Json.secondsFromMillis(entry, "born_ms");
             servers.add(
@@ -69,7 +69,8 @@
                             state,
                             bornAt > 0 ? bornAt : Double.NEGATIVE_INFINITY));
         }
-        return new ServerList(Json.integer(json, "seq"), Json.flag(json, "whole"), servers, dials);
+        return new ServerList(
+                Json.integer(json, "seq"), Json.flag(json, "whole"), servers, dialAddresses);
     }
 
     private static int indexOf(Map<String, Integer> indexes, Object name) {
--- a/relay/src/main/java/asterpulley/serve/Config.java
+++ b/relay/src/main/java/asterpulley/serve/Config.java
@@ -63,18 +63,20 @@
     private Config(Map<String, Object> document) {
         settingsDocument = Json.object(document.get("settings"), "settings");
         name = Json.text(document, "name");
-        listenAddress = address(Json.text(document, "listen"));
+        listenAddress = parseAddress(Json.text(document, "listen"));
         discoveryAddress =
                 document.get("discovery") == null
                         ? null
-                        : address(Json.text(document, "discovery"));
+                        : parseAddress(Json.text(document, "discovery"));
         operatorAddress =
-                document.get("operator") == null ? null : address(Json.text(document, "operator"));
+                document.get("operator") == null
+                        ? null
+                        : parseAddress(Json.text(document, "operator"));
         settingsServiceAddress =
                 document.get(SETTINGS_SERVICE) == null
                         ? null
-                        : address(Json.text(document, SETTINGS_SERVICE));
-        seed = seed(Json.text(document, "seed"));
+                        : parseAddress(Json.text(document, SETTINGS_SERVICE));
+        seed = parseSeed(Json.text(document, "seed"));
         socketLimit =
                 (int)
                         Json.number(
@@ -136,9 +138,10 @@
                 : RoutingPolicyDecoder.decode(poolsDocument, settings.zone, effectiveDocument);
     }
 
-    static double connectTimeout(Map<String, Object> settings) {
+    /** Returns how long a connection to a server may take to open, in seconds. */
+    static double connectTimeout(Map<String, Object> settingsDocument) {
         return Json.number(
-                        Json.objectOrEmpty(settings, "limits"),
+                        Json.objectOrEmpty(settingsDocument, "limits"),
                         "dialTimeoutMs",
                         DEFAULT_CONNECT_TIMEOUT_MS)
                 / 1000;
@@ -161,7 +164,7 @@
                 || (settingsServiceAddress == null) != (newConfig.settingsServiceAddress == null);
     }
 
-    private static long seed(String hex) {
+    private static long parseSeed(String hex) {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
@@ -169,7 +172,7 @@
         }
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         return Addresses.parse(text)
                 .orElseThrow(
                         () ->
--- a/relay/src/main/java/asterpulley/serve/ControlPlane.java
+++ b/relay/src/main/java/asterpulley/serve/ControlPlane.java
@@ -57,8 +57,8 @@
     private Settings settings;
 
     /**
-     * The longest client timeout of all tunnels that were taken and not answered yet, including
-     * those taken under earlier settings.
+     * The longest client timeout, in seconds, of all tunnels that were accepted and not answered
+     * yet, including those accepted under earlier settings.
      */
     private double maxClientTimeout;
 
@@ -135,7 +135,7 @@
                                 stateFiles);
     }
 
-    /** Creates one from a configuration in the platform's names, without state files. */
+    /** Creates a control plane from the content of a configuration, without state files. */
     public static ControlPlane of(
             Map<String, Object> document,
             TunnelProtocol protocol,
@@ -244,7 +244,7 @@
                 .orElse(0);
     }
 
-    /** Returns how long any client taken so far may wait for its answer, in seconds. */
+    /** Returns how long any client accepted so far may wait for its answer, in seconds. */
     double maxClientTimeout() {
         return maxClientTimeout;
     }
--- a/relay/src/main/java/asterpulley/serve/RelayInstance.java
+++ b/relay/src/main/java/asterpulley/serve/RelayInstance.java
@@ -79,7 +79,7 @@
      */
     private static final double READY_WITHIN_SECONDS = 5, MIN_CATCH_UP_SECONDS = 0.5;
 
-    /** Precedes the state of the pools in the log. */
+    /** Precedes the state of the pools in the log; {@code routes explain} searches for it. */
     public static final String ROUTES_LOG_PREFIX = "routes ";
 
     private final long startedNanos = System.nanoTime();
--- a/relay/src/main/java/asterpulley/settings/ActiveSettings.java
+++ b/relay/src/main/java/asterpulley/settings/ActiveSettings.java
@@ -45,7 +45,10 @@
         }
     }
 
-    /** How an answer was handled. GAP: changes before those in the answer are missing. */
+    /**
+     * How an answer was handled; counters have these names in lower case. GAP: changes before those
+     * in the answer are missing.
+     */
     public enum Kind {
         IN_FORCE,
         REFUSED,
