--- a/relay/src/main/java/asterpulley/settings/ActiveSettings.java
+++ b/relay/src/main/java/asterpulley/settings/ActiveSettings.java
@@ -101,8 +101,8 @@
 
     /**
      * @param ownSettings the settings of the relay's own file, active until a service sends others
-     * @param validator another reader of the merged settings, called with a copy; it throws {@link
-     *     Json.MalformedException} if it cannot use them
+     * @param validator another reader of the settings, called with the merged document before it is
+     *     activated; it throws {@link Json.MalformedException} if it cannot use them
      * @param now the time, in seconds
      */
     public ActiveSettings(
