--- a/relay/src/main/java/asterpulley/line/ClientRequestFilter.java
+++ b/relay/src/main/java/asterpulley/line/ClientRequestFilter.java
@@ -19,81 +19,85 @@
  * wait for a client that does not speak.
  */
 public final class ClientRequestFilter extends BaseFilter {
-    private final EventLoop loop;
-    private LineCodec words;
-    private final TunnelProtocol talk;
-    private final TunnelRegistry book;
-    private final IdleConnections lobby;
-    private final BooleanSupplier wanted;
+    private final EventLoop eventLoop;
+    private LineCodec codec;
+    private final TunnelProtocol protocol;
+    private final TunnelRegistry registry;
+    private final IdleConnections idleConnections;
+    private final BooleanSupplier acceptsClients;
 
     /** {@code wanted}: whether the front shall send more clients here. */
     public ClientRequestFilter(
-            EventLoop loop,
-            LineCodec words,
-            TunnelProtocol talk,
-            TunnelRegistry book,
-            IdleConnections lobby,
-            BooleanSupplier wanted) {
-        this.loop = loop;
-        this.words = words;
-        this.talk = talk;
-        this.book = book;
-        this.lobby = lobby;
-        this.wanted = wanted;
+            EventLoop eventLoop,
+            LineCodec codec,
+            TunnelProtocol protocol,
+            TunnelRegistry registry,
+            IdleConnections idleConnections,
+            BooleanSupplier acceptsClients) {
+        this.eventLoop = eventLoop;
+        this.codec = codec;
+        this.protocol = protocol;
+        this.registry = registry;
+        this.idleConnections = idleConnections;
+        this.acceptsClients = acceptsClients;
     }
 
     /**
      * The names that lines may use from now on; a line in part is read by those of when it is
      * whole.
      */
-    public void setCodec(LineCodec anew) {
-        words = anew;
+    public void setCodec(LineCodec updated) {
+        codec = updated;
     }
 
     @Override
     public NextAction handleAccept(FilterChainContext ctx) {
-        book.count("accepted");
-        book.lastAcceptedAt = loop.now();
-        lobby.comes(PeerConnection.of(ctx.getConnection()));
+        registry.count("accepted");
+        registry.lastAcceptedAt = eventLoop.now();
+        idleConnections.addPending(PeerConnection.of(ctx.getConnection()));
         return ctx.getInvokeAction();
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        PeerConnection leg = PeerConnection.of(ctx.getConnection());
-        if (leg.passage != null) {
+        PeerConnection peer = PeerConnection.of(ctx.getConnection());
+        if (peer.tunnel != null) {
             return ctx.getInvokeAction();
         }
         if (!(ctx.getMessage() instanceof Buffer in)) {
-            leg.close();
+            peer.close();
             return ctx.getStopAction();
         }
-        String line = LineAssembler.of(leg).next(in);
+        String line = LineAssembler.of(peer).nextLine(in);
         // A client waits for the answer to its line: what has more behind it is none, and nothing
         // of it is heeded.
-        boolean wrong =
-                LineAssembler.of(leg).tooLong()
-                        || line != null && (LineAssembler.of(leg).bare() || in.hasRemaining());
+        boolean malformed =
+                LineAssembler.of(peer).isTooLong()
+                        || line != null
+                                && (LineAssembler.of(peer).endedWithBareLineFeed()
+                                        || in.hasRemaining());
         in.tryDispose();
-        leg.spokeAt = loop.now();
-        leg.awaited = line == null && !wrong;
-        if (leg.awaited) {
+        peer.lastRequestAt = eventLoop.now();
+        peer.awaitingRequest = line == null && !malformed;
+        if (peer.awaitingRequest) {
             return ctx.getStopAction();
         }
-        if (!wrong && line.equals(LineCodec.PING)) {
-            book.count("pings");
-            leg.say(LineCodec.line(wanted.getAsBoolean() ? LineCodec.PONG : LineCodec.NO));
+        if (!malformed && line.equals(LineCodec.PING)) {
+            registry.count("pings");
+            peer.send(
+                    LineCodec.encode(
+                            acceptsClients.getAsBoolean() ? LineCodec.PONG : LineCodec.NO));
             return ctx.getStopAction();
         }
-        LineCodec.OpenRequest opening = wrong ? null : words.parseOpen(line);
-        if (opening == null || !book.registerId(opening.id())) {
-            book.count(opening == null ? "malformed" : "repeated_ids");
-            leg.say(LineCodec.line(LineCodec.ERR));
-            leg.linger();
+        LineCodec.OpenRequest request = malformed ? null : codec.parseOpen(line);
+        if (request == null || !registry.registerId(request.id())) {
+            registry.count(request == null ? "malformed" : "repeated_ids");
+            peer.send(LineCodec.encode(LineCodec.ERR));
+            peer.linger();
             return ctx.getStopAction();
         }
-        book.count("taken");
-        ctx.setMessage(new TunnelContext(leg, opening, talk, loop.now()));
+        registry.count("taken");
+        ctx.setMessage(new TunnelContext(peer, request, protocol, eventLoop.now()));
         return ctx.getInvokeAction();
     }
 }
--- a/relay/src/main/java/asterpulley/line/ForwardingFilter.java
+++ b/relay/src/main/java/asterpulley/line/ForwardingFilter.java
@@ -14,46 +14,49 @@
 
 /**
  * The fifth stage, relay: owns a tunnel that stands. It passes bytes both ways unchanged and as
- * they come, reads along for what the backend tells of the tunnel, ends each side as the other
+ * they come, reads along for what the backend tells of the tunnel, ends each side as the otherPeer
  * ended, and moves clients away. It must never change a byte, never speak to a client in the middle
  * of a line, and never hold a line back.
  */
 public final class ForwardingFilter extends BaseFilter {
-    /** One side has ended and the other says nothing this long: it holds sockets for nobody. */
-    private static final double HALF_CLOSED = 10;
+    /** One side has ended and the otherPeer says nothing this long: it holds sockets for nobody. */
+    private static final double HALF_CLOSED_TIMEOUT_SECONDS = 10;
 
     /**
      * A client must not wait for ever on what fell silent. The platform bounds that at 7 s from
      * where it stopped, which may be 2 s, the time between two lines of a client, before the first
      * line that nothing answers.
      */
-    private static final double SILENT = 3.5;
+    private static final double SILENT_BACKEND_SECONDS = 3.5;
 
     /**
      * A sound backend brings a line back at once: from here on the module is told, as often as
      * this.
      */
-    private static final double SLOW = 1.1;
+    private static final double SLOW_REPORT_INTERVAL_SECONDS = 1.1;
 
-    private static final double SWEEP = 0.25;
+    private static final double SWEEP_INTERVAL_SECONDS = 0.25;
 
     /**
      * A line that the backend does not finish can not be waited for any longer than it may be held
      * back.
      */
-    private static final double UNFINISHED = 0.8;
+    private static final double PARTIAL_LINE_TIMEOUT_SECONDS = 0.8;
 
-    private final EventLoop loop;
-    private final TunnelRegistry book;
-    private final LoadBalancerFilter route;
-    private final SetupFilter send;
+    private final EventLoop eventLoop;
+    private final TunnelRegistry registry;
+    private final LoadBalancerFilter loadBalancerFilter;
+    private final SetupFilter setupFilter;
 
     public ForwardingFilter(
-            EventLoop loop, TunnelRegistry book, LoadBalancerFilter route, SetupFilter send) {
-        this.loop = loop;
-        this.book = book;
-        this.route = route;
-        this.send = send;
+            EventLoop eventLoop,
+            TunnelRegistry registry,
+            LoadBalancerFilter loadBalancerFilter,
+            SetupFilter setupFilter) {
+        this.eventLoop = eventLoop;
+        this.registry = registry;
+        this.loadBalancerFilter = loadBalancerFilter;
+        this.setupFilter = setupFilter;
     }
 
     /**
@@ -61,158 +64,164 @@
      * reports do.
      */
     public void start() {
-        for (TunnelContext passage : book.all()) {
-            double waits = passage.unansweredSince > 0 ? loop.now() - passage.unansweredSince : 0;
-            if (passage.established && waits > SILENT) {
-                book.count("moved_silent");
-                move(passage);
-            } else if (passage.established && waits > (passage.slowReports + 1) * SLOW) {
-                passage.slowReports++;
-                book.count("lines_unanswered");
-                route.delay(passage, waits);
+        for (TunnelContext tunnel : registry.all()) {
+            double waited =
+                    tunnel.unansweredSince > 0 ? eventLoop.now() - tunnel.unansweredSince : 0;
+            if (tunnel.established && waited > SILENT_BACKEND_SECONDS) {
+                registry.count("moved_silent");
+                move(tunnel);
+            } else if (tunnel.established
+                    && waited > (tunnel.slowReports + 1) * SLOW_REPORT_INTERVAL_SECONDS) {
+                tunnel.slowReports++;
+                registry.count("lines_unanswered");
+                loadBalancerFilter.messageDelayed(tunnel, waited);
             }
         }
-        loop.schedule(SWEEP, this::start);
+        eventLoop.schedule(SWEEP_INTERVAL_SECONDS, this::start);
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        PeerConnection leg = PeerConnection.of(ctx.getConnection());
-        TunnelContext passage = leg.passage;
+        PeerConnection peer = PeerConnection.of(ctx.getConnection());
+        TunnelContext tunnel = peer.tunnel;
         Object message = ctx.getMessage();
-        boolean fromClient = passage.client == leg;
+        boolean fromClient = tunnel.client == peer;
         if (message instanceof SocketFilter.InputEnd end) {
-            end(passage, leg, end);
-        } else if (!passage.established && (passage.finished || !fromClient)) {
+            connectionEnded(tunnel, peer, end);
+        } else if (!tunnel.established && (tunnel.finished || !fromClient)) {
             ((Buffer) message).tryDispose();
-        } else if (!passage.established) {
-            // A client waits for its answer: words before it are no client's, and no backend shall
+        } else if (!tunnel.established) {
+            // A client waited for its answer: words before it are no client's, and no backend shall
             // have to read them.
             ((Buffer) message).tryDispose();
-            book.count("early_words");
-            route.drop(passage);
+            registry.count("early_words");
+            loadBalancerFilter.abort(tunnel);
         } else if (fromClient) {
-            toBackend(passage, (Buffer) message);
+            forwardToBackend(tunnel, (Buffer) message);
         } else {
-            toClient(passage, (Buffer) message);
+            forwardToClient(tunnel, (Buffer) message);
         }
         return ctx.getStopAction();
     }
 
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
-        PeerConnection leg = PeerConnection.of(ctx.getConnection());
-        if (leg.passage != null) {
-            end(leg.passage, leg, SocketFilter.InputEnd.RESET);
+        PeerConnection peer = PeerConnection.of(ctx.getConnection());
+        if (peer.tunnel != null) {
+            connectionEnded(peer.tunnel, peer, SocketFilter.InputEnd.RESET);
         }
         return ctx.getStopAction();
     }
 
-    private void toBackend(TunnelContext passage, Buffer bytes) {
-        if (passage.unansweredSince == 0) {
-            passage.unansweredSince = loop.now();
-            passage.slowReports = 0;
+    private void forwardToBackend(TunnelContext tunnel, Buffer bytes) {
+        if (tunnel.unansweredSince == 0) {
+            tunnel.unansweredSince = eventLoop.now();
+            tunnel.slowReports = 0;
         }
-        book.add("bytes_to_backends", bytes.remaining());
-        passage.lastActivityAt = loop.now();
-        passage.backend.write(bytes, passage.client);
+        registry.add("bytes_to_backends", bytes.remaining());
+        tunnel.lastActivityAt = eventLoop.now();
+        tunnel.backend.write(bytes, tunnel.client);
     }
 
-    private void toClient(TunnelContext passage, Buffer bytes) {
-        int from = bytes.position();
-        LineAssembler gather = LineAssembler.of(passage.backend);
-        for (String line = gather.next(bytes); line != null; line = gather.next(bytes)) {
-            heed(passage, line);
+    private void forwardToClient(TunnelContext tunnel, Buffer bytes) {
+        int start = bytes.position();
+        LineAssembler assembler = LineAssembler.of(tunnel.backend);
+        for (String line = assembler.nextLine(bytes);
+                line != null;
+                line = assembler.nextLine(bytes)) {
+            inspectBackendLine(tunnel, line);
         }
-        bytes.position(from);
-        book.add("bytes_to_clients", bytes.remaining());
-        passage.lastActivityAt = loop.now();
-        passage.client.write(bytes, passage.backend);
-        if (passage.moving && gather.between()) {
-            moveNow(passage);
+        bytes.position(start);
+        registry.add("bytes_to_clients", bytes.remaining());
+        tunnel.lastActivityAt = eventLoop.now();
+        tunnel.client.write(bytes, tunnel.backend);
+        if (tunnel.moving && assembler.isBetweenLines()) {
+            moveNow(tunnel);
         }
     }
 
-    private void heed(TunnelContext passage, String line) {
-        double cores = LineCodec.load(line);
+    private void inspectBackendLine(TunnelContext tunnel, String line) {
+        double cores = LineCodec.parseLoad(line);
         if (!Double.isNaN(cores)) {
-            route.load(passage, cores);
+            loadBalancerFilter.loadReported(tunnel, cores);
             return;
         }
-        Termination.Cause word = LineCodec.cause(line);
-        if (word == Termination.Cause.BYE || word == Termination.Cause.MOVE) {
-            passage.backendEndCause = word;
+        Termination.Cause endCause = LineCodec.endCause(line);
+        if (endCause == Termination.Cause.BYE || endCause == Termination.Cause.MOVE) {
+            tunnel.backendEndCause = endCause;
         }
-        if (passage.unansweredSince > 0) {
-            double message = loop.now() - passage.unansweredSince;
-            passage.unansweredSince = 0;
-            book.count(message > 0.1 ? "lines_slow" : "lines_answered");
+        if (tunnel.unansweredSince > 0) {
+            double delay = eventLoop.now() - tunnel.unansweredSince;
+            tunnel.unansweredSince = 0;
+            registry.count(delay > 0.1 ? "lines_slow" : "lines_answered");
         }
     }
 
-    /** One side ended: so does the other, in the same way. */
-    private void end(TunnelContext passage, PeerConnection leg, SocketFilter.InputEnd end) {
-        boolean byClient = passage.client == leg;
-        if (!passage.established) {
-            if (byClient) {
-                left(passage, end);
+    /** One side ended: so does the otherPeer, in the same way. */
+    private void connectionEnded(
+            TunnelContext tunnel, PeerConnection peer, SocketFilter.InputEnd end) {
+        boolean fromClient = tunnel.client == peer;
+        if (!tunnel.established) {
+            if (fromClient) {
+                clientEndedBeforeAnswer(tunnel, end);
             } else {
-                leg.close();
+                peer.close();
             }
             return;
         }
-        PeerConnection other = byClient ? passage.backend : passage.client;
+        PeerConnection otherPeer = fromClient ? tunnel.backend : tunnel.client;
         Termination.Cause cause =
-                byClient
+                fromClient
                         ? Termination.Cause.CLIENT_LEFT
-                        : passage.backendEndCause != null
-                                ? passage.backendEndCause
+                        : tunnel.backendEndCause != null
+                                ? tunnel.backendEndCause
                                 : Termination.Cause.BROKEN;
-        passage.clientEnded |= byClient;
-        passage.backendEnded |= !byClient;
-        if (!byClient && passage.backendEndCause != null) {
+        tunnel.clientEnded |= fromClient;
+        tunnel.backendEnded |= !fromClient;
+        if (!fromClient && tunnel.backendEndCause != null) {
             // A reset on a client's last line must not destroy the backend's last word to that
             // client.
-            finish(passage, cause);
-            leg.close();
-            other.linger();
+            finish(tunnel, cause);
+            peer.close();
+            otherPeer.linger();
         } else if (end == SocketFilter.InputEnd.RESET) {
-            finish(passage, cause);
-            leg.close();
-            other.reset();
-        } else if (passage.clientEnded && passage.backendEnded) {
-            finish(passage, cause);
-            leg.closeInOrder();
-            other.closeInOrder();
+            finish(tunnel, cause);
+            peer.close();
+            otherPeer.reset();
+        } else if (tunnel.clientEnded && tunnel.backendEnded) {
+            finish(tunnel, cause);
+            peer.closeAfterWrites();
+            otherPeer.closeAfterWrites();
         } else {
-            if (!byClient) {
-                finish(passage, cause);
+            if (!fromClient) {
+                finish(tunnel, cause);
             }
-            passage.lastActivityAt = loop.now();
-            other.endSending();
-            loop.schedule(HALF_CLOSED, () -> halfClosed(passage));
+            tunnel.lastActivityAt = eventLoop.now();
+            otherPeer.shutdownOutput();
+            eventLoop.schedule(HALF_CLOSED_TIMEOUT_SECONDS, () -> checkHalfClosed(tunnel));
         }
     }
 
     /**
      * Guards against a side that never ends: a client's machine, or a backend's, that fell silent.
      */
-    private void halfClosed(TunnelContext passage) {
-        if (passage.client.closed() && passage.backend.closed()) {
+    private void checkHalfClosed(TunnelContext tunnel) {
+        if (tunnel.client.isClosed() && tunnel.backend.isClosed()) {
             return;
         }
-        double moved =
+        double lastTransferAt =
                 Math.max(
-                        passage.lastActivityAt,
-                        Math.max(passage.client.wroteAt, passage.backend.wroteAt));
-        double quiet = loop.now() - moved;
-        if (quiet < HALF_CLOSED) {
-            loop.schedule(HALF_CLOSED - quiet, () -> halfClosed(passage));
+                        tunnel.lastActivityAt,
+                        Math.max(tunnel.client.lastWriteAt, tunnel.backend.lastWriteAt));
+        double idleSeconds = eventLoop.now() - lastTransferAt;
+        if (idleSeconds < HALF_CLOSED_TIMEOUT_SECONDS) {
+            eventLoop.schedule(
+                    HALF_CLOSED_TIMEOUT_SECONDS - idleSeconds, () -> checkHalfClosed(tunnel));
             return;
         }
-        finish(passage, Termination.Cause.CLIENT_LEFT);
-        passage.client.close();
-        passage.backend.close();
+        finish(tunnel, Termination.Cause.CLIENT_LEFT);
+        tunnel.client.close();
+        tunnel.backend.close();
     }
 
     /**
@@ -220,62 +229,62 @@
      * sent whole may still open and is waited for; nothing is sent on from here, and in any case
      * there is an answer.
      */
-    private void left(TunnelContext passage, SocketFilter.InputEnd end) {
-        if (passage.finished) {
-            passage.client.close();
+    private void clientEndedBeforeAnswer(TunnelContext tunnel, SocketFilter.InputEnd end) {
+        if (tunnel.finished) {
+            tunnel.client.close();
             return;
         }
-        book.count("left_before_answer");
-        passage.clientEnded = true;
-        route.withdrawn(passage);
+        registry.count("left_before_answer");
+        tunnel.clientEnded = true;
+        loadBalancerFilter.clientWithdrew(tunnel);
         if (end == SocketFilter.InputEnd.RESET
-                || passage.progress.compareTo(Termination.Progress.SENT) < 0) {
-            send.abandon(passage);
+                || tunnel.progress.compareTo(Termination.Progress.SENT) < 0) {
+            setupFilter.abandonSetup(tunnel);
         }
-        if (!passage.setupPending) {
-            route.giveUp(passage);
+        if (!tunnel.setupPending) {
+            loadBalancerFilter.finishUnopened(tunnel);
         }
     }
 
-    private void finish(TunnelContext passage, Termination.Cause cause) {
-        if (!passage.finished) {
-            passage.finished = true;
-            book.count("ended_" + cause.name().toLowerCase());
-            route.serverConnectionEnded(passage, passage.termination(cause));
-            book.remove(passage);
+    private void finish(TunnelContext tunnel, Termination.Cause cause) {
+        if (!tunnel.finished) {
+            tunnel.finished = true;
+            registry.count("ended_" + cause.name().toLowerCase());
+            loadBalancerFilter.serverConnectionEnded(tunnel, tunnel.termination(cause));
+            registry.remove(tunnel);
         }
     }
 
     /** Sends the client elsewhere, as soon as no line is under way to it. */
-    public void move(TunnelContext passage) {
-        if (!passage.established || passage.finished || passage.moving) {
+    public void move(TunnelContext tunnel) {
+        if (!tunnel.established || tunnel.finished || tunnel.moving) {
             return;
         }
-        passage.moving = true;
-        if (LineAssembler.of(passage.backend).between()) {
-            moveNow(passage);
+        tunnel.moving = true;
+        if (LineAssembler.of(tunnel.backend).isBetweenLines()) {
+            moveNow(tunnel);
         } else {
-            loop.schedule(
-                    UNFINISHED,
+            eventLoop.schedule(
+                    PARTIAL_LINE_TIMEOUT_SECONDS,
                     () -> {
-                        if (!passage.finished) {
-                            book.count("moved_unfinished");
-                            finish(passage, Termination.Cause.CLIENT_LEFT);
-                            passage.backend.close();
-                            passage.client.linger();
+                        if (!tunnel.finished) {
+                            registry.count("moved_unfinished");
+                            finish(tunnel, Termination.Cause.CLIENT_LEFT);
+                            tunnel.backend.close();
+                            tunnel.client.linger();
                         }
                     });
         }
     }
 
-    private void moveNow(TunnelContext passage) {
-        if (passage.finished) {
+    private void moveNow(TunnelContext tunnel) {
+        if (tunnel.finished) {
             return;
         }
-        book.count("moved");
-        passage.client.say(LineCodec.line(LineCodec.MOVE));
-        finish(passage, Termination.Cause.CLIENT_LEFT);
-        passage.backend.close();
-        passage.client.linger();
+        registry.count("moved");
+        tunnel.client.send(LineCodec.encode(LineCodec.MOVE));
+        finish(tunnel, Termination.Cause.CLIENT_LEFT);
+        tunnel.backend.close();
+        tunnel.client.linger();
     }
 }
--- a/relay/src/main/java/asterpulley/line/LineAssembler.java
+++ b/relay/src/main/java/asterpulley/line/LineAssembler.java
@@ -12,26 +12,26 @@
 public final class LineAssembler {
     private byte[] bytes = new byte[128];
     private int size;
-    private boolean tooLong, bare;
+    private boolean tooLong, bareLineFeed;
 
     /** What has come in part on this connection. */
-    public static LineAssembler of(PeerConnection leg) {
-        if (leg.partly == null) {
-            leg.partly = new LineAssembler();
+    public static LineAssembler of(PeerConnection peer) {
+        if (peer.decoderState == null) {
+            peer.decoderState = new LineAssembler();
         }
-        return (LineAssembler) leg.partly;
+        return (LineAssembler) peer.decoderState;
     }
 
     /**
      * The next whole line, without its end; null when it is still to come. What follows it stays in
      * the buffer.
      */
-    public String next(Buffer in) {
+    public String nextLine(Buffer in) {
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
-                bare = size == 0 || bytes[size - 1] != '\r';
-                int end = bare ? size : size - 1;
+                bareLineFeed = size == 0 || bytes[size - 1] != '\r';
+                int end = bareLineFeed ? size : size - 1;
                 String line = new String(bytes, 0, end, LineCodec.CHARSET);
                 size = 0;
                 return line;
@@ -49,17 +49,17 @@
     }
 
     /** True once a line came that is longer than any may be. */
-    public boolean tooLong() {
+    public boolean isTooLong() {
         return tooLong;
     }
 
     /** True when the last line ended without its carriage return. */
-    public boolean bare() {
-        return bare;
+    public boolean endedWithBareLineFeed() {
+        return bareLineFeed;
     }
 
     /** True between two lines. */
-    public boolean between() {
+    public boolean isBetweenLines() {
         return size == 0;
     }
 }
--- a/relay/src/main/java/asterpulley/line/LineCodec.java
+++ b/relay/src/main/java/asterpulley/line/LineCodec.java
@@ -29,10 +29,10 @@
     public static final String STATS = "STATS";
     public static final String NO = "NO";
 
-    private static final Pattern MARK = Pattern.compile("[0-9a-fA-F]{1,32}");
+    private static final Pattern HEX_ID = Pattern.compile("[0-9a-fA-F]{1,32}");
 
     /** No blank, no control character. */
-    private static final Pattern PLAIN = Pattern.compile("[!-~\\x80-\\xff]+");
+    private static final Pattern PRINTABLE = Pattern.compile("[!-~\\x80-\\xff]+");
 
     private static final Pattern MILLISECONDS = Pattern.compile("[1-9][0-9]{0,9}");
 
@@ -48,23 +48,21 @@
             String group,
             double clientTimeout,
             String previousServer,
-            String beforePatience,
-            String afterPatience)
+            String beforeTimeout,
+            String afterTimeout)
             implements TunnelRequest {
         /** The line for a backend: unchanged but for how long this relay will wait. */
         @Override
         public byte[] setupMessage(double wait) {
-            return line(
-                    afterPatience == null
-                            ? beforePatience
-                            : beforePatience
-                                    + Math.max(1, Math.round(wait * 1000))
-                                    + afterPatience);
+            return encode(
+                    afterTimeout == null
+                            ? beforeTimeout
+                            : beforeTimeout + Math.max(1, Math.round(wait * 1000)) + afterTimeout);
         }
     }
 
     /** A line as it goes out. */
-    public static byte[] line(String text) {
+    public static byte[] encode(String text) {
         return (text + "\r\n").getBytes(CHARSET);
     }
 
@@ -73,20 +71,20 @@
 
     /** The names that lines may use, by their place in the settings. */
     public LineCodec(Map<String, Object> settings) {
-        profiles = places(settings, "profiles");
-        customers = places(settings, "tenants");
+        profiles = indexByName(settings, "profiles");
+        customers = indexByName(settings, "tenants");
     }
 
     /** Names as the bytes of a line have them. */
-    private static Map<String, Integer> places(Map<String, Object> settings, String list) {
-        Map<String, Integer> places = new HashMap<>();
-        SettingsDecoder.activeIndexes(settings, list)
+    private static Map<String, Integer> indexByName(Map<String, Object> settings, String section) {
+        Map<String, Integer> indexes = new HashMap<>();
+        SettingsDecoder.activeIndexes(settings, section)
                 .forEach(
                         (name, place) ->
-                                places.put(
+                                indexes.put(
                                         new String(name.getBytes(StandardCharsets.UTF_8), CHARSET),
                                         place));
-        return places;
+        return indexes;
     }
 
     /**
@@ -94,53 +92,56 @@
      * and what one client sent must never cost another its tunnel.
      */
     public OpenRequest parseOpen(String line) {
-        String[] w = line.split(" ", -1);
-        if (w.length != 4
-                || !w[0].equals("OPEN")
-                || !MARK.matcher(w[1]).matches()
-                || !MARK.matcher(w[2]).matches()
-                || !PLAIN.matcher(w[3]).matches()) {
+        String[] words = line.split(" ", -1);
+        if (words.length != 4
+                || !words[0].equals("OPEN")
+                || !HEX_ID.matcher(words[1]).matches()
+                || !HEX_ID.matcher(words[2]).matches()
+                || !PRINTABLE.matcher(words[3]).matches()) {
             return null;
         }
-        Map<String, String> named = new HashMap<>();
-        String before = line;
-        String after = null;
-        int from = line.length() - w[3].length();
-        for (String pair : w[3].split(",", -1)) {
-            int eq = pair.indexOf('=');
-            if (eq <= 0 || named.put(pair.substring(0, eq), pair.substring(eq + 1)) != null) {
+        Map<String, String> parameters = new HashMap<>();
+        String beforeTimeout = line;
+        String afterTimeout = null;
+        int pairStart = line.length() - words[3].length();
+        for (String parameter : words[3].split(",", -1)) {
+            int equals = parameter.indexOf('=');
+            if (equals <= 0
+                    || parameters.put(
+                                    parameter.substring(0, equals), parameter.substring(equals + 1))
+                            != null) {
                 return null;
             }
-            if (pair.startsWith("d=")) {
-                before = line.substring(0, from + 2);
-                after = line.substring(from + pair.length());
+            if (parameter.startsWith("d=")) {
+                beforeTimeout = line.substring(0, pairStart + 2);
+                afterTimeout = line.substring(pairStart + parameter.length());
             }
-            from += pair.length() + 1;
+            pairStart += parameter.length() + 1;
         }
-        Integer profile = profiles.get(named.get("c"));
-        String customer = named.get("t");
-        String at = named.get("at");
-        String patience = named.get("d");
-        boolean wrong =
+        Integer profile = profiles.get(parameters.get("c"));
+        String customer = parameters.get("t");
+        String previousServer = parameters.get("at");
+        String clientTimeout = parameters.get("d");
+        boolean invalid =
                 profile == null
                         || customer != null
                                 && !customers.isEmpty()
                                 && !customers.containsKey(customer)
-                        || patience == null && at == null
-                        || patience != null && !MILLISECONDS.matcher(patience).matches()
-                        || "".equals(at);
-        return wrong
+                        || clientTimeout == null && previousServer == null
+                        || clientTimeout != null && !MILLISECONDS.matcher(clientTimeout).matches()
+                        || "".equals(previousServer);
+        return invalid
                 ? null
                 : new OpenRequest(
-                        w[1],
-                        w[2],
+                        words[1],
+                        words[2],
                         profile,
                         customers.getOrDefault(customer, -1),
-                        named.get("g"),
-                        patience == null ? Double.NaN : Long.parseLong(patience) / 1000.0,
-                        at,
-                        before,
-                        after);
+                        parameters.get("g"),
+                        clientTimeout == null ? Double.NaN : Long.parseLong(clientTimeout) / 1000.0,
+                        previousServer,
+                        beforeTimeout,
+                        afterTimeout);
     }
 
     public static String busy(double retryAfter) {
@@ -152,7 +153,7 @@
     }
 
     /** What a backend's line says of the tunnel's end; null where it says nothing of that. */
-    public static Termination.Cause cause(String line) {
+    public static Termination.Cause endCause(String line) {
         int space = line.indexOf(' ');
         return switch (space < 0 ? line : line.substring(0, space)) {
             case "BYE" -> Termination.Cause.BYE;
@@ -164,7 +165,7 @@
     }
 
     /** A tunnel's load in cores, where this line tells it; else NaN. */
-    public static double load(String line) {
+    public static double parseLoad(String line) {
         if (!line.startsWith("LOAD ")) {
             return Double.NaN;
         }
@@ -175,23 +176,23 @@
         }
     }
 
-    public static Outcome probed(String line) {
+    public static Outcome probeOutcome(String line) {
         return line.startsWith(PONG)
                 ? Outcome.OK
-                : Termination.Cause.BUSY == cause(line) ? Outcome.FULL : Outcome.FAILED;
+                : Termination.Cause.BUSY == endCause(line) ? Outcome.FULL : Outcome.FAILED;
     }
 
     /** The load report behind an answer's first word, where there is one. */
-    public static LoadReport report(String line) {
+    public static LoadReport parseReport(String line) {
         Map<String, Object> figures = new HashMap<>();
         int space = line.indexOf(' ');
         for (String pair :
                 space < 0 ? new String[0] : line.substring(space + 1).trim().split(",")) {
-            int eq = pair.indexOf('=');
+            int equals = pair.indexOf('=');
             try {
                 figures.put(
-                        name(pair.substring(0, Math.max(0, eq))),
-                        Double.valueOf(pair.substring(eq + 1)));
+                        reportKey(pair.substring(0, Math.max(0, equals))),
+                        Double.valueOf(pair.substring(equals + 1)));
             } catch (NumberFormatException e) {
                 // A figure that is no number is left out, the others count.
                 continue;
@@ -201,7 +202,7 @@
     }
 
     /** Lines may name figures otherwise than the settings do. */
-    private static String name(String figure) {
+    private static String reportKey(String figure) {
         return switch (figure) {
             case "util" -> "busy";
             case "inflight" -> "rif";
--- a/relay/src/main/java/asterpulley/line/LineProtocol.java
+++ b/relay/src/main/java/asterpulley/line/LineProtocol.java
@@ -9,47 +9,47 @@
  * moves to the stages that own them. It must hold nothing itself.
  */
 public final class LineProtocol implements TunnelProtocol {
-    private SetupFilter send;
-    private ForwardingFilter relay;
+    private SetupFilter setupFilter;
+    private ForwardingFilter forwardingFilter;
 
     /** The stages that it stands for, once they are there. */
-    public void setFilters(SetupFilter setups, ForwardingFilter standing) {
-        send = setups;
-        relay = standing;
+    public void setFilters(SetupFilter setupFilter, ForwardingFilter forwardingFilter) {
+        this.setupFilter = setupFilter;
+        this.forwardingFilter = forwardingFilter;
     }
 
     @Override
-    public void startSetup(TunnelContext passage, String host, double timeout) {
-        send.setup(passage, host, timeout);
+    public void startSetup(TunnelContext tunnel, String serverName, double timeout) {
+        setupFilter.startSetup(tunnel, serverName, timeout);
     }
 
     @Override
-    public void reopen(TunnelContext passage) {
-        send.reopen(passage);
+    public void reopen(TunnelContext tunnel) {
+        setupFilter.reopen(tunnel);
     }
 
     @Override
-    public void abandonSetup(TunnelContext passage) {
-        send.abandon(passage);
+    public void abandonSetup(TunnelContext tunnel) {
+        setupFilter.abandonSetup(tunnel);
     }
 
     @Override
-    public void recallSetup(TunnelContext passage) {
-        send.recall(passage);
+    public void recallSetup(TunnelContext tunnel) {
+        setupFilter.recallSetup(tunnel);
     }
 
     @Override
-    public void move(TunnelContext passage) {
-        relay.move(passage);
+    public void move(TunnelContext tunnel) {
+        forwardingFilter.move(tunnel);
     }
 
     @Override
     public void decline(PeerConnection client, double retryAfter) {
-        client.say(LineCodec.line(LineCodec.busy(retryAfter)));
+        client.send(LineCodec.encode(LineCodec.busy(retryAfter)));
     }
 
     @Override
     public void closeWithError(PeerConnection client) {
-        client.say(LineCodec.line(LineCodec.ERR));
+        client.send(LineCodec.encode(LineCodec.ERR));
     }
 }
--- a/relay/src/main/java/asterpulley/line/ProbeFilter.java
+++ b/relay/src/main/java/asterpulley/line/ProbeFilter.java
@@ -28,49 +28,49 @@
      * A connection unused this long is of a backend that nobody asks any more, or of a machine that
      * fell silent.
      */
-    private static final double UNUSED = 60;
+    private static final double UNUSED_TIMEOUT_SECONDS = 60;
 
     /** One backend's connection and the question that is out on it. */
-    private static final class Line {
-        private final String host;
+    private static final class BackendProbe {
+        private final String serverName;
         private String address;
-        private PeerConnection leg;
+        private PeerConnection connection;
 
         /**
          * The number of the question that is out, or was: who dialled for an earlier one is not
          * heard any more.
          */
-        private int question;
+        private int probeNumber;
 
-        private boolean asked, fresh;
-        private double askedAt;
-        private Termination.Progress reach;
-        private EventLoop.Timer patience;
+        private boolean awaitingAnswer, newConnection;
+        private double lastProbeAt;
+        private Termination.Progress progress;
+        private EventLoop.Timer timeoutTimer;
 
-        private Line(String host) {
-            this.host = host;
+        private BackendProbe(String serverName) {
+            this.serverName = serverName;
         }
     }
 
-    private final EventLoop loop;
-    private final TunnelRegistry book;
+    private final EventLoop eventLoop;
+    private final TunnelRegistry registry;
     private final Dialer dialer;
-    private final LoadBalancerFilter route;
-    private double patience;
-    private final Map<String, Line> lines = new HashMap<>();
-    private final Map<PeerConnection, Line> byLeg = new HashMap<>();
-    private FilterChain chain;
+    private final LoadBalancerFilter loadBalancerFilter;
+    private double answerTimeout;
+    private final Map<String, BackendProbe> probesByServer = new HashMap<>();
+    private final Map<PeerConnection, BackendProbe> probesByConnection = new HashMap<>();
+    private FilterChain filterChain;
 
     public ProbeFilter(
             Settings settings,
-            EventLoop loop,
-            TunnelRegistry book,
+            EventLoop eventLoop,
+            TunnelRegistry registry,
             Dialer dialer,
-            LoadBalancerFilter route) {
-        this.loop = loop;
-        this.book = book;
+            LoadBalancerFilter loadBalancerFilter) {
+        this.eventLoop = eventLoop;
+        this.registry = registry;
         this.dialer = dialer;
-        this.route = route;
+        this.loadBalancerFilter = loadBalancerFilter;
         updateSettings(settings);
     }
 
@@ -79,25 +79,29 @@
      * would be too late as well.
      */
     public void updateSettings(Settings settings) {
-        patience = settings.profiles.stream().mapToDouble(p -> p.setupGoal).min().orElse(0.5);
+        answerTimeout = settings.profiles.stream().mapToDouble(p -> p.setupGoal).min().orElse(0.5);
     }
 
-    public void setFilterChain(FilterChain probes) {
-        chain = probes;
+    public void setFilterChain(FilterChain filterChain) {
+        this.filterChain = filterChain;
     }
 
     /** Starts the watch over unused connections. */
     public void start() {
-        lines.values()
+        probesByServer
+                .values()
                 .removeIf(
-                        line -> {
-                            boolean unused = !line.asked && loop.now() - line.askedAt > UNUSED;
-                            if (unused && line.leg != null) {
-                                drop(line.leg);
+                        probe -> {
+                            boolean unused =
+                                    !probe.awaitingAnswer
+                                            && eventLoop.now() - probe.lastProbeAt
+                                                    > UNUSED_TIMEOUT_SECONDS;
+                            if (unused && probe.connection != null) {
+                                closeConnection(probe.connection);
                             }
                             return unused;
                         });
-        loop.schedule(UNUSED / 4, this::start);
+        eventLoop.schedule(UNUSED_TIMEOUT_SECONDS / 4, this::start);
     }
 
     /**
@@ -105,92 +109,102 @@
      * socket now; ends none and says no where there are fewer. The next question dials anew.
      */
     public boolean closeUnused(int count) {
-        List<Line> unused =
-                lines.values().stream()
-                        .filter(line -> !line.asked && line.leg != null && !line.leg.closed())
-                        .sorted(Comparator.comparingDouble(line -> line.askedAt))
+        List<BackendProbe> unused =
+                probesByServer.values().stream()
+                        .filter(
+                                probe ->
+                                        !probe.awaitingAnswer
+                                                && probe.connection != null
+                                                && !probe.connection.isClosed())
+                        .sorted(Comparator.comparingDouble(probe -> probe.lastProbeAt))
                         .limit(count)
                         .toList();
         if (unused.size() < count) {
             return false;
         }
-        for (Line line : unused) {
-            book.count("probes_gave_way");
-            drop(line.leg);
+        for (BackendProbe probe : unused) {
+            registry.count("probes_gave_way");
+            closeConnection(probe.connection);
         }
         return true;
     }
 
-    public void probe(String host) {
-        Line line = lines.computeIfAbsent(host, Line::new);
-        if (line.asked) {
+    public void probe(String serverName) {
+        BackendProbe probe = probesByServer.computeIfAbsent(serverName, BackendProbe::new);
+        if (probe.awaitingAnswer) {
             return;
         }
-        book.count("probes");
-        line.asked = true;
-        line.askedAt = loop.now();
-        int n = ++line.question;
-        line.patience = loop.schedule(patience, () -> failed(line, n, Termination.Cause.GIVEN_UP));
-        String address = dialer.address(host);
-        if (line.leg != null
-                && !line.leg.closed()
+        registry.count("probes");
+        probe.awaitingAnswer = true;
+        probe.lastProbeAt = eventLoop.now();
+        int number = ++probe.probeNumber;
+        probe.timeoutTimer =
+                eventLoop.schedule(
+                        answerTimeout,
+                        () -> probeFailed(probe, number, Termination.Cause.GIVEN_UP));
+        String address = dialer.addressOf(serverName);
+        if (probe.connection != null
+                && !probe.connection.isClosed()
                 && address != null
-                && !address.equals(line.address)) {
+                && !address.equals(probe.address)) {
             // The backend is reached elsewhere now: what the old connection tells is not of it.
-            drop(line.leg);
+            closeConnection(probe.connection);
         }
-        line.address = address;
-        if (line.leg != null && !line.leg.closed()) {
-            line.fresh = false;
-            say(line);
+        probe.address = address;
+        if (probe.connection != null && !probe.connection.isClosed()) {
+            probe.newConnection = false;
+            sendProbe(probe);
         } else {
-            dial(line);
+            dial(probe);
         }
     }
 
-    private void dial(Line line) {
-        int n = line.question;
-        line.fresh = true;
-        line.reach = Termination.Progress.NOT_CONNECTED;
-        line.leg =
+    private void dial(BackendProbe probe) {
+        int number = probe.probeNumber;
+        probe.newConnection = true;
+        probe.progress = Termination.Progress.NOT_CONNECTED;
+        probe.connection =
                 dialer.dial(
-                        line.host,
-                        chain,
-                        patience,
-                        leg -> connected(line, n, leg),
-                        () -> failed(line, n, Termination.Cause.BROKEN));
+                        probe.serverName,
+                        filterChain,
+                        answerTimeout,
+                        peer -> connected(probe, number, peer),
+                        () -> probeFailed(probe, number, Termination.Cause.BROKEN));
     }
 
-    private void connected(Line line, int n, PeerConnection leg) {
-        if (!line.asked || line.question != n) {
-            leg.close();
+    private void connected(BackendProbe probe, int number, PeerConnection peer) {
+        if (!probe.awaitingAnswer || probe.probeNumber != number) {
+            peer.close();
             return;
         }
-        line.leg = leg;
-        byLeg.put(leg, line);
-        say(line);
+        probe.connection = peer;
+        probesByConnection.put(peer, probe);
+        sendProbe(probe);
     }
 
-    private void say(Line line) {
-        line.reach = Termination.Progress.SENT;
-        line.leg.say(LineCodec.line(LineCodec.STATS));
+    private void sendProbe(BackendProbe probe) {
+        probe.progress = Termination.Progress.SENT;
+        probe.connection.send(LineCodec.encode(LineCodec.STATS));
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        PeerConnection leg = PeerConnection.of(ctx.getConnection());
-        Line line = byLeg.get(leg);
-        if (line == null || !(ctx.getMessage() instanceof Buffer in)) {
-            broken(leg, line);
+        PeerConnection peer = PeerConnection.of(ctx.getConnection());
+        BackendProbe probe = probesByConnection.get(peer);
+        if (probe == null || !(ctx.getMessage() instanceof Buffer in)) {
+            connectionBroken(peer, probe);
             return ctx.getStopAction();
         }
-        for (String answer = LineAssembler.of(leg).next(in);
+        for (String answer = LineAssembler.of(peer).nextLine(in);
                 answer != null;
-                answer = LineAssembler.of(leg).next(in)) {
-            if (line.asked) {
-                settle(line);
-                book.count("probes_answered");
-                route.probed(line.host, LineCodec.probed(answer), LineCodec.report(answer));
+                answer = LineAssembler.of(peer).nextLine(in)) {
+            if (probe.awaitingAnswer) {
+                finishProbe(probe);
+                registry.count("probes_answered");
+                loadBalancerFilter.probeFinished(
+                        probe.serverName,
+                        LineCodec.probeOutcome(answer),
+                        LineCodec.parseReport(answer));
             }
         }
         in.tryDispose();
@@ -199,43 +213,46 @@
 
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
-        PeerConnection leg = PeerConnection.of(ctx.getConnection());
-        broken(leg, byLeg.get(leg));
+        PeerConnection peer = PeerConnection.of(ctx.getConnection());
+        connectionBroken(peer, probesByConnection.get(peer));
         return ctx.getStopAction();
     }
 
-    private void broken(PeerConnection leg, Line line) {
-        drop(leg);
-        if (line != null && line.leg == leg && line.asked) {
-            if (line.fresh) {
-                failed(line, line.question, Termination.Cause.BROKEN);
+    private void connectionBroken(PeerConnection peer, BackendProbe probe) {
+        closeConnection(peer);
+        if (probe != null && probe.connection == peer && probe.awaitingAnswer) {
+            if (probe.newConnection) {
+                probeFailed(probe, probe.probeNumber, Termination.Cause.BROKEN);
             } else {
                 // It was closed as idle just when the question went out: that says nothing of the
                 // backend.
-                dial(line);
+                dial(probe);
             }
         }
     }
 
-    private void failed(Line line, int n, Termination.Cause cause) {
-        if (!line.asked || line.question != n) {
+    private void probeFailed(BackendProbe probe, int number, Termination.Cause cause) {
+        if (!probe.awaitingAnswer || probe.probeNumber != number) {
             return;
         }
-        settle(line);
-        if (line.leg != null) {
-            drop(line.leg);
+        finishProbe(probe);
+        if (probe.connection != null) {
+            closeConnection(probe.connection);
         }
-        book.count("probes_" + cause.name().toLowerCase());
-        route.probed(line.host, new Termination(line.reach, cause).outcome(), new LoadReport());
+        registry.count("probes_" + cause.name().toLowerCase());
+        loadBalancerFilter.probeFinished(
+                probe.serverName,
+                new Termination(probe.progress, cause).outcome(),
+                new LoadReport());
     }
 
-    private void settle(Line line) {
-        line.asked = false;
-        line.patience.cancel();
+    private void finishProbe(BackendProbe probe) {
+        probe.awaitingAnswer = false;
+        probe.timeoutTimer.cancel();
     }
 
-    private void drop(PeerConnection leg) {
-        byLeg.remove(leg);
-        leg.close();
+    private void closeConnection(PeerConnection peer) {
+        probesByConnection.remove(peer);
+        peer.close();
     }
 }
--- a/relay/src/main/java/asterpulley/line/SetupFilter.java
+++ b/relay/src/main/java/asterpulley/line/SetupFilter.java
@@ -23,154 +23,160 @@
      * Tunnels that stood before the relay started are tried for as long as the platform waits for
      * them.
      */
-    private static final double REOPEN_FOR = 35;
+    private static final double REOPEN_DEADLINE_SECONDS = 35;
 
-    private static final double REOPEN_EVERY = 0.5;
-    private static final double REOPEN_PATIENCE = 10;
+    private static final double REOPEN_INTERVAL_SECONDS = 0.5;
+    private static final double REOPEN_TIMEOUT_SECONDS = 10;
 
-    private final EventLoop loop;
-    private final TunnelRegistry book;
+    private final EventLoop eventLoop;
+    private final TunnelRegistry registry;
     private final Dialer dialer;
-    private final LoadBalancerFilter route;
-    private FilterChain chain;
+    private final LoadBalancerFilter loadBalancerFilter;
+    private FilterChain filterChain;
 
     public SetupFilter(
-            EventLoop loop, TunnelRegistry book, Dialer dialer, LoadBalancerFilter route) {
-        this.loop = loop;
-        this.book = book;
+            EventLoop eventLoop,
+            TunnelRegistry registry,
+            Dialer dialer,
+            LoadBalancerFilter loadBalancerFilter) {
+        this.eventLoop = eventLoop;
+        this.registry = registry;
         this.dialer = dialer;
-        this.route = route;
+        this.loadBalancerFilter = loadBalancerFilter;
     }
 
     /** The chain that backends' connections pass; this stage is in it. */
-    public void setFilterChain(FilterChain backends) {
-        chain = backends;
+    public void setFilterChain(FilterChain filterChain) {
+        this.filterChain = filterChain;
     }
 
-    public void setup(TunnelContext passage, String host, double timeout) {
-        int n = ++passage.setupCount;
-        passage.serverName = host;
-        passage.setupPending = true;
-        passage.progress = Termination.Progress.NOT_CONNECTED;
-        passage.setupStartedAt = loop.now();
-        passage.setupTimer =
-                loop.schedule(timeout, () -> failed(passage, n, Termination.Cause.GIVEN_UP));
-        book.count("setups");
-        passage.backend =
+    public void startSetup(TunnelContext tunnel, String serverName, double timeout) {
+        int setupNumber = ++tunnel.setupCount;
+        tunnel.serverName = serverName;
+        tunnel.setupPending = true;
+        tunnel.progress = Termination.Progress.NOT_CONNECTED;
+        tunnel.setupStartedAt = eventLoop.now();
+        tunnel.setupTimer =
+                eventLoop.schedule(
+                        timeout,
+                        () -> setupFailed(tunnel, setupNumber, Termination.Cause.GIVEN_UP));
+        registry.count("setups");
+        tunnel.backend =
                 dialer.dial(
-                        host,
-                        chain,
+                        serverName,
+                        filterChain,
                         timeout,
-                        leg -> connected(passage, n, leg, timeout),
-                        () -> failed(passage, n, Termination.Cause.BROKEN));
+                        peer -> connected(tunnel, setupNumber, peer, timeout),
+                        () -> setupFailed(tunnel, setupNumber, Termination.Cause.BROKEN));
     }
 
     /**
      * A tunnel that stood at this backend before the relay started: it goes there and nowhere else.
      */
-    public void reopen(TunnelContext passage) {
-        if (passage.finished) {
+    public void reopen(TunnelContext tunnel) {
+        if (tunnel.finished) {
             return;
         }
-        if (loop.now() - passage.receivedAt > REOPEN_FOR) {
-            book.closeWithError(passage);
+        if (eventLoop.now() - tunnel.receivedAt > REOPEN_DEADLINE_SECONDS) {
+            registry.closeWithError(tunnel);
             return;
         }
-        book.count("reopenings");
-        setup(passage, passage.request.previousServer(), REOPEN_PATIENCE);
+        registry.count("reopenings");
+        startSetup(tunnel, tunnel.request.previousServer(), REOPEN_TIMEOUT_SECONDS);
     }
 
-    private void connected(TunnelContext passage, int n, PeerConnection leg, double timeout) {
-        if (passage.finished || !passage.setupPending || passage.setupCount != n) {
-            leg.close();
+    private void connected(
+            TunnelContext tunnel, int setupNumber, PeerConnection peer, double timeout) {
+        if (tunnel.finished || !tunnel.setupPending || tunnel.setupCount != setupNumber) {
+            peer.close();
             return;
         }
-        passage.backend = leg;
-        if (!route.maySend(passage)) {
-            failed(passage, n, Termination.Cause.RECALLED);
+        tunnel.backend = peer;
+        if (!loadBalancerFilter.maySend(tunnel)) {
+            setupFailed(tunnel, setupNumber, Termination.Cause.RECALLED);
             return;
         }
-        switch (passage.client.peek()) {
-            case ENDED -> {
+        switch (tunnel.client.peek()) {
+            case END_OF_INPUT -> {
                 // It left in this very turn, or while this process stood still.
-                book.count("left_before_answer");
-                passage.clientEnded = true;
-                route.withdrawn(passage);
-                failed(passage, n, Termination.Cause.CLIENT_LEFT);
+                registry.count("left_before_answer");
+                tunnel.clientEnded = true;
+                loadBalancerFilter.clientWithdrew(tunnel);
+                setupFailed(tunnel, setupNumber, Termination.Cause.CLIENT_LEFT);
                 return;
             }
-            case SPOKE -> {
-                book.count("early_words");
-                route.drop(passage);
+            case DATA -> {
+                registry.count("early_words");
+                loadBalancerFilter.abort(tunnel);
                 return;
             }
             default -> {
                 // It waits, as a client does.
             }
         }
-        leg.passage = passage;
-        passage.progress = Termination.Progress.PARTLY_WRITTEN;
-        leg.say(
-                passage.request.setupMessage(passage.setupStartedAt + timeout - loop.now()),
+        peer.tunnel = tunnel;
+        tunnel.progress = Termination.Progress.PARTLY_WRITTEN;
+        peer.send(
+                tunnel.request.setupMessage(tunnel.setupStartedAt + timeout - eventLoop.now()),
                 () -> {
-                    if (passage.setupCount == n
-                            && passage.progress == Termination.Progress.PARTLY_WRITTEN) {
-                        passage.progress = Termination.Progress.SENT;
-                        book.count("setups_written");
+                    if (tunnel.setupCount == setupNumber
+                            && tunnel.progress == Termination.Progress.PARTLY_WRITTEN) {
+                        tunnel.progress = Termination.Progress.SENT;
+                        registry.count("setups_written");
                     }
                 });
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        PeerConnection leg = PeerConnection.of(ctx.getConnection());
-        TunnelContext passage = leg.passage;
-        if (passage == null || passage.established && passage.backend == leg) {
+        PeerConnection peer = PeerConnection.of(ctx.getConnection());
+        TunnelContext tunnel = peer.tunnel;
+        if (tunnel == null || tunnel.established && tunnel.backend == peer) {
             return ctx.getInvokeAction();
         }
-        if (!passage.setupPending || passage.backend != leg) {
-            leg.close();
+        if (!tunnel.setupPending || tunnel.backend != peer) {
+            peer.close();
             return ctx.getStopAction();
         }
         if (!(ctx.getMessage() instanceof Buffer in)) {
-            failed(passage, passage.setupCount, Termination.Cause.BROKEN);
+            setupFailed(tunnel, tunnel.setupCount, Termination.Cause.BROKEN);
             return ctx.getStopAction();
         }
-        String line = LineAssembler.of(leg).next(in);
-        while (line != null && !Double.isNaN(LineCodec.load(line))) {
-            line = LineAssembler.of(leg).next(in);
+        String line = LineAssembler.of(peer).nextLine(in);
+        while (line != null && !Double.isNaN(LineCodec.parseLoad(line))) {
+            line = LineAssembler.of(peer).nextLine(in);
         }
         if (line == null) {
             in.tryDispose();
-            if (LineAssembler.of(leg).tooLong()) {
-                failed(passage, passage.setupCount, Termination.Cause.ERR);
+            if (LineAssembler.of(peer).isTooLong()) {
+                setupFailed(tunnel, tunnel.setupCount, Termination.Cause.ERR);
             }
             return ctx.getStopAction();
         }
         if (!LineCodec.isOpened(line)) {
             in.tryDispose();
-            Termination.Cause cause = LineCodec.cause(line);
-            failed(
-                    passage,
-                    passage.setupCount,
+            Termination.Cause cause = LineCodec.endCause(line);
+            setupFailed(
+                    tunnel,
+                    tunnel.setupCount,
                     cause == null || cause == Termination.Cause.BYE
                             ? Termination.Cause.ERR
                             : cause);
             return ctx.getStopAction();
         }
-        passage.setupPending = false;
-        passage.setupTimer.cancel();
-        passage.progress = Termination.Progress.OPENED;
-        passage.established = true;
-        passage.answered = true;
-        book.recordOpened(passage);
-        passage.client.say(LineCodec.line(line));
-        if (passage.clientEnded) {
+        tunnel.setupPending = false;
+        tunnel.setupTimer.cancel();
+        tunnel.progress = Termination.Progress.OPENED;
+        tunnel.established = true;
+        tunnel.answered = true;
+        registry.recordOpened(tunnel);
+        tunnel.client.send(LineCodec.encode(line));
+        if (tunnel.clientEnded) {
             // It ended its sending behind its line, and only that: the backend is told so, and it
             // gets its answer.
-            leg.endSending();
+            peer.shutdownOutput();
         }
-        route.tunnelOpened(passage);
+        loadBalancerFilter.tunnelOpened(tunnel);
         if (in.hasRemaining()) {
             ctx.setMessage(in);
             return ctx.getInvokeAction();
@@ -181,20 +187,20 @@
 
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
-        TunnelContext passage = PeerConnection.of(ctx.getConnection()).passage;
-        if (passage != null
-                && passage.setupPending
-                && passage.backend == PeerConnection.of(ctx.getConnection())) {
-            failed(passage, passage.setupCount, Termination.Cause.BROKEN);
+        TunnelContext tunnel = PeerConnection.of(ctx.getConnection()).tunnel;
+        if (tunnel != null
+                && tunnel.setupPending
+                && tunnel.backend == PeerConnection.of(ctx.getConnection())) {
+            setupFailed(tunnel, tunnel.setupCount, Termination.Cause.BROKEN);
             return ctx.getStopAction();
         }
         return ctx.getInvokeAction();
     }
 
     /** The client left while the setup was out. */
-    public void abandon(TunnelContext passage) {
-        if (passage.setupPending) {
-            failed(passage, passage.setupCount, Termination.Cause.CLIENT_LEFT);
+    public void abandonSetup(TunnelContext tunnel) {
+        if (tunnel.setupPending) {
+            setupFailed(tunnel, tunnel.setupCount, Termination.Cause.CLIENT_LEFT);
         }
     }
 
@@ -202,30 +208,30 @@
      * Its server is to get nothing new: what is not written yet is known not to run, and goes
      * elsewhere at once.
      */
-    public void recall(TunnelContext passage) {
-        if (passage.setupPending && passage.progress == Termination.Progress.NOT_CONNECTED) {
-            failed(passage, passage.setupCount, Termination.Cause.RECALLED);
+    public void recallSetup(TunnelContext tunnel) {
+        if (tunnel.setupPending && tunnel.progress == Termination.Progress.NOT_CONNECTED) {
+            setupFailed(tunnel, tunnel.setupCount, Termination.Cause.RECALLED);
         }
     }
 
-    private void failed(TunnelContext passage, int n, Termination.Cause cause) {
-        if (!passage.setupPending || passage.setupCount != n) {
+    private void setupFailed(TunnelContext tunnel, int setupNumber, Termination.Cause cause) {
+        if (!tunnel.setupPending || tunnel.setupCount != setupNumber) {
             return;
         }
-        passage.setupPending = false;
-        passage.setupTimer.cancel();
-        if (passage.backend != null) {
-            passage.backend.close();
+        tunnel.setupPending = false;
+        tunnel.setupTimer.cancel();
+        if (tunnel.backend != null) {
+            tunnel.backend.close();
         }
-        Termination failure = passage.termination(cause);
-        book.count("setup_" + failure.outcome().name().toLowerCase());
-        if (passage.request.previousServer() == null) {
-            route.serverConnectionEnded(passage, failure);
-        } else if (!passage.clientEnded) {
-            loop.schedule(REOPEN_EVERY, () -> reopen(passage));
+        Termination termination = tunnel.termination(cause);
+        registry.count("setup_" + termination.outcome().name().toLowerCase());
+        if (tunnel.request.previousServer() == null) {
+            loadBalancerFilter.serverConnectionEnded(tunnel, termination);
+        } else if (!tunnel.clientEnded) {
+            eventLoop.schedule(REOPEN_INTERVAL_SECONDS, () -> reopen(tunnel));
         }
-        if (passage.clientEnded) {
-            route.giveUp(passage);
+        if (tunnel.clientEnded) {
+            loadBalancerFilter.finishUnopened(tunnel);
         }
     }
 }
--- a/relay/src/main/java/asterpulley/net/AcceptStrategy.java
+++ b/relay/src/main/java/asterpulley/net/AcceptStrategy.java
@@ -13,22 +13,22 @@
 /**
  * Owns when a connection is accepted: as soon as it comes, or in the queue's turn where idle ones
  * hold all descriptors. Where the machine gives none Grizzly says nothing of it, and the next round
- * of the loop would meet the same connection again, without a pause. All else is done on the loop's
- * one thread as usual. It must never give an address up, nor leave the queue for longer than an
- * idle client has for its line.
+ * of the eventLoop would meet the same connection again, without a pause. All else is done enabled
+ * the eventLoop's one thread as usual. It must never give an address up, nor leave the queue for
+ * longer than an idle client has for its line.
  */
 public final class AcceptStrategy implements IOStrategy {
-    private static final SameThreadIOStrategy USUAL = SameThreadIOStrategy.getInstance();
+    private static final SameThreadIOStrategy DEFAULT = SameThreadIOStrategy.getInstance();
 
     /** Long enough for what gave way to be closed, short for who waits in the queue. */
-    private static final double PAUSE = 0.02;
+    private static final double RETRY_DELAY_SECONDS = 0.02;
 
-    private final EventLoop loop;
-    private final AdmissionFilter admit;
+    private final EventLoop eventLoop;
+    private final AdmissionFilter admissionFilter;
 
-    public AcceptStrategy(EventLoop loop, AdmissionFilter admit) {
-        this.loop = loop;
-        this.admit = admit;
+    public AcceptStrategy(EventLoop eventLoop, AdmissionFilter admissionFilter) {
+        this.eventLoop = eventLoop;
+        this.admissionFilter = admissionFilter;
     }
 
     @Override
@@ -40,30 +40,31 @@
     public boolean executeIoEvent(Connection connection, IOEvent event, boolean enabled)
             throws IOException {
         if (event != IOEvent.SERVER_ACCEPT) {
-            return USUAL.executeIoEvent(connection, event, enabled);
+            return DEFAULT.executeIoEvent(connection, event, enabled);
         }
         // The operators' address has sockets of its own.
-        double wait = ClientListener.isClients(connection) ? admit.queue() : 0;
-        if (wait <= 0) {
+        double delay =
+                ClientListener.isClientListener(connection) ? admissionFilter.acceptDelay() : 0;
+        if (delay <= 0) {
             try {
                 ((TCPNIOServerConnection) connection).onAccept();
             } catch (IOException e) {
-                admit.refused(e);
-                wait = PAUSE;
+                admissionFilter.acceptFailed(e);
+                delay = RETRY_DELAY_SECONDS;
             }
         }
-        if (wait > 0) {
-            accepts(connection, false);
-            loop.schedule(wait, () -> accepts(connection, true));
+        if (delay > 0) {
+            setAccepting(connection, false);
+            eventLoop.schedule(delay, () -> setAccepting(connection, true));
         }
         return true;
     }
 
-    private static void accepts(Connection<?> server, boolean on) {
+    private static void setAccepting(Connection<?> server, boolean enabled) {
         try {
-            if (on && server.isOpen()) {
+            if (enabled && server.isOpen()) {
                 server.enableIOEvent(IOEvent.SERVER_ACCEPT);
-            } else if (!on) {
+            } else if (!enabled) {
                 server.disableIOEvent(IOEvent.SERVER_ACCEPT);
             }
         } catch (IOException e) {
@@ -73,11 +74,11 @@
 
     @Override
     public Executor getThreadPoolFor(Connection connection, IOEvent event) {
-        return USUAL.getThreadPoolFor(connection, event);
+        return DEFAULT.getThreadPoolFor(connection, event);
     }
 
     @Override
     public ThreadPoolConfig createDefaultWorkerPoolConfig(Transport transport) {
-        return USUAL.createDefaultWorkerPoolConfig(transport);
+        return DEFAULT.createDefaultWorkerPoolConfig(transport);
     }
 }
--- a/relay/src/main/java/asterpulley/net/AdmissionFilter.java
+++ b/relay/src/main/java/asterpulley/net/AdmissionFilter.java
@@ -15,40 +15,40 @@
  */
 public final class AdmissionFilter extends BaseFilter {
     /** Who else holds the machine's descriptors may have let them go by then. */
-    private static final double SCARCE_FOR = 5;
+    private static final double SHORTAGE_SECONDS = 5;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private Settings settings;
-    private final TunnelProtocol talk;
-    private final TunnelRegistry book;
-    private final IdleConnections lobby;
+    private final TunnelProtocol protocol;
+    private final TunnelRegistry registry;
+    private final IdleConnections idleConnections;
     private final Random random;
 
     /** As told; less where the machine gave fewer of late. */
-    private int told, room;
+    private int configuredLimit, socketLimit;
 
     private int reserve;
-    private EventLoop.Timer scarce;
-    private boolean crowded;
+    private EventLoop.Timer shortageTimer;
+    private boolean declining;
 
     public AdmissionFilter(
-            EventLoop loop,
+            EventLoop eventLoop,
             Settings settings,
-            TunnelProtocol talk,
-            TunnelRegistry book,
-            IdleConnections lobby,
+            TunnelProtocol protocol,
+            TunnelRegistry registry,
+            IdleConnections idleConnections,
             Random random) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.talk = talk;
-        this.book = book;
-        this.lobby = lobby;
+        this.protocol = protocol;
+        this.registry = registry;
+        this.idleConnections = idleConnections;
         this.random = random;
     }
 
     /** These count from now on. */
-    public void updateSettings(Settings anew) {
-        settings = anew;
+    public void updateSettings(Settings updated) {
+        settings = updated;
     }
 
     /**
@@ -56,14 +56,14 @@
      * tunnels stand: what is above a lower one leaves by itself, and nothing new comes meanwhile.
      */
     public void setSocketLimit(int sockets) {
-        told = sockets;
-        bound(told);
+        configuredLimit = sockets;
+        applySocketLimit(configuredLimit);
     }
 
-    private void bound(int sockets) {
-        room = sockets;
-        reserve = Math.max(8, room / 16);
-        lobby.most(room - reserve / 2);
+    private void applySocketLimit(int sockets) {
+        socketLimit = sockets;
+        reserve = Math.max(8, socketLimit / 16);
+        idleConnections.setSocketLimit(socketLimit - reserve / 2);
     }
 
     /**
@@ -71,28 +71,28 @@
      * idle makes room below it. A newcomer waits in the queue meanwhile, and setups still get
      * theirs.
      */
-    void refused(IOException why) {
-        book.count("accepts_refused");
-        if (scarce == null) {
-            book.log(
+    void acceptFailed(IOException cause) {
+        registry.count("accepts_refused");
+        if (shortageTimer == null) {
+            registry.log(
                     "no descriptor for a newcomer ("
-                            + why.getMessage()
+                            + cause.getMessage()
                             + "), in use "
-                            + book.sockets
+                            + registry.sockets
                             + " of "
-                            + room);
+                            + socketLimit);
         } else {
-            scarce.cancel();
+            shortageTimer.cancel();
         }
-        scarce =
-                loop.schedule(
-                        SCARCE_FOR,
+        shortageTimer =
+                eventLoop.schedule(
+                        SHORTAGE_SECONDS,
                         () -> {
-                            scarce = null;
-                            bound(told);
+                            shortageTimer = null;
+                            applySocketLimit(configuredLimit);
                         });
-        bound(Math.min(room, book.sockets));
-        lobby.makeRoom(room - reserve / 2);
+        applySocketLimit(Math.min(socketLimit, registry.sockets));
+        idleConnections.makeRoom(socketLimit - reserve / 2);
     }
 
     /**
@@ -100,8 +100,10 @@
      * idle ones', until one of these has had the time to say its line. Where nobody is idle it is
      * told at once.
      */
-    double queue() {
-        return lobby.makeRoomForNewcomer(room - reserve / 2 - 1) ? 0 : lobby.nextIdle();
+    double acceptDelay() {
+        return idleConnections.makeRoomForNewClient(socketLimit - reserve / 2 - 1)
+                ? 0
+                : idleConnections.secondsUntilReclaimable();
     }
 
     /**
@@ -111,12 +113,12 @@
      */
     @Override
     public NextAction handleAccept(FilterChainContext ctx) {
-        if (!lobby.makeRoomForNewcomer(room - reserve / 2)) {
-            PeerConnection leg = PeerConnection.of(ctx.getConnection());
-            book.count("declined_no_sockets");
-            talk.decline(leg, comeBack());
+        if (!idleConnections.makeRoomForNewClient(socketLimit - reserve / 2)) {
+            PeerConnection peer = PeerConnection.of(ctx.getConnection());
+            registry.count("declined_no_sockets");
+            protocol.decline(peer, retryAfter());
             // Its line may be on its way: closing on that would destroy the answer.
-            leg.linger();
+            peer.linger();
             return ctx.getStopAction();
         }
         return ctx.getInvokeAction();
@@ -124,35 +126,37 @@
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        return ctx.getMessage() instanceof TunnelContext passage && !admit(passage)
+        return ctx.getMessage() instanceof TunnelContext tunnel && !admit(tunnel)
                 ? ctx.getStopAction()
                 : ctx.getInvokeAction();
     }
 
     /** False where there is no room for this tunnel: it is declined then. */
-    public boolean admit(TunnelContext passage) {
-        boolean full = !lobby.makeRoom(room - reserve - 1);
+    public boolean admit(TunnelContext tunnel) {
+        boolean full = !idleConnections.makeRoom(socketLimit - reserve - 1);
         // Near the bound every tunnel crosses it: the mode is over when half the reserve again is
         // free, or idle ones'.
         if (full
-                ? !crowded
-                : crowded && book.sockets - lobby.idle() < room - reserve - reserve / 2) {
-            crowded = full;
-            book.log(
+                ? !declining
+                : declining
+                        && registry.sockets - idleConnections.pendingCount()
+                                < socketLimit - reserve - reserve / 2) {
+            declining = full;
+            registry.log(
                     (full ? "no sockets left: declining" : "sockets again")
                             + ", in use "
-                            + book.sockets
+                            + registry.sockets
                             + " of "
-                            + room);
+                            + socketLimit);
         }
         if (full) {
-            book.count("declined_no_sockets");
-            book.decline(passage, comeBack());
+            registry.count("declined_no_sockets");
+            registry.decline(tunnel, retryAfter());
         }
         return !full;
     }
 
-    private double comeBack() {
+    private double retryAfter() {
         return settings.maxRetryAfter * (0.5 + 0.5 * random.nextDouble());
     }
 }
--- a/relay/src/main/java/asterpulley/net/ClientListener.java
+++ b/relay/src/main/java/asterpulley/net/ClientListener.java
@@ -21,20 +21,20 @@
  * never be closed with the queue.
  */
 public final class ClientListener {
-    private static final Attribute<ClientListener> LISTENER =
+    private static final Attribute<ClientListener> ATTRIBUTE =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("listener");
 
     private final TCPNIOServerConnection listening;
-    private boolean tookOne, closed;
+    private boolean acceptedOne, closed;
 
     private ClientListener(TCPNIOServerConnection listening) {
         this.listening = listening;
-        LISTENER.set(listening, this);
+        ATTRIBUTE.set(listening, this);
     }
 
     /** Whether clients connect there: others may listen as well. */
-    static boolean isClients(Connection<?> listening) {
-        return LISTENER.isSet(listening);
+    static boolean isClientListener(Connection<?> listening) {
+        return ATTRIBUTE.isSet(listening);
     }
 
     /**
@@ -44,14 +44,14 @@
     public static ClientListener open(
             InetSocketAddress address, boolean shared, TCPNIOTransport transport)
             throws IOException {
-        ChannelConfigurator usual = transport.getChannelConfigurator();
+        ChannelConfigurator original = transport.getChannelConfigurator();
         if (shared) {
-            transport.setChannelConfigurator(new Sharing(usual));
+            transport.setChannelConfigurator(new ReusePortConfigurator(original));
         }
         try {
             return new ClientListener(transport.bind(address));
         } finally {
-            transport.setChannelConfigurator(usual);
+            transport.setChannelConfigurator(original);
         }
     }
 
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Takes whoever waits in the queue and gives the address up, on the loop's thread. It is taken
-     * off the selector first, since a registered channel is only closed a round later, and what
-     * comes until then would be reset.
+     * Takes whoever waits in the queue and gives the address up, on the eventLoop's thread. It is
+     * taken off the selector first, since a registered channel is only closed a round later, and
+     * what comes until then would be reset.
      */
     public void close() throws IOException {
         if (closed) {
@@ -75,25 +75,26 @@
                         new ConnectionProbe.Adapter() {
                             @Override
                             public void onAcceptEvent(Connection server, Connection client) {
-                                tookOne = true;
+                                acceptedOne = true;
                             }
                         });
         SelectionKey key = listening.getSelectionKey();
         key.cancel();
         key.selector().selectNow();
         do {
-            tookOne = false;
+            acceptedOne = false;
             listening.onAccept();
-        } while (tookOne);
+        } while (acceptedOne);
         listening.getChannel().close();
         listening.terminateSilently();
     }
 
-    private record Sharing(ChannelConfigurator usual) implements ChannelConfigurator {
+    private record ReusePortConfigurator(ChannelConfigurator delegate)
+            implements ChannelConfigurator {
         @Override
         public void preConfigure(NIOTransport transport, SelectableChannel channel)
                 throws IOException {
-            usual.preConfigure(transport, channel);
+            delegate.preConfigure(transport, channel);
             if (channel instanceof ServerSocketChannel server) {
                 server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             }
@@ -102,7 +103,7 @@
         @Override
         public void postConfigure(NIOTransport transport, SelectableChannel channel)
                 throws IOException {
-            usual.postConfigure(transport, channel);
+            delegate.postConfigure(transport, channel);
         }
     }
 }
--- a/relay/src/main/java/asterpulley/net/Dialer.java
+++ b/relay/src/main/java/asterpulley/net/Dialer.java
@@ -17,26 +17,26 @@
  */
 public final class Dialer {
     private final TCPNIOTransport transport;
-    private final EventLoop loop;
-    private final TunnelRegistry book;
-    private final IdleConnections lobby;
+    private final EventLoop eventLoop;
+    private final TunnelRegistry registry;
+    private final IdleConnections idleConnections;
     private double connectTimeout;
-    private final UnaryOperator<String> addresses;
+    private final UnaryOperator<String> addressLookup;
 
     /** {@code addresses}: where a server is reached now, null when that was never told. */
     public Dialer(
             double connectTimeout,
             TCPNIOTransport transport,
-            EventLoop loop,
-            TunnelRegistry book,
-            IdleConnections lobby,
-            UnaryOperator<String> addresses) {
+            EventLoop eventLoop,
+            TunnelRegistry registry,
+            IdleConnections idleConnections,
+            UnaryOperator<String> addressLookup) {
         this.connectTimeout = connectTimeout;
         this.transport = transport;
-        this.loop = loop;
-        this.book = book;
-        this.lobby = lobby;
-        this.addresses = addresses;
+        this.eventLoop = eventLoop;
+        this.registry = registry;
+        this.idleConnections = idleConnections;
+        this.addressLookup = addressLookup;
     }
 
     /** How long a connection may take to come up, from the next dial on. */
@@ -45,73 +45,76 @@
     }
 
     /** Where this backend is reached now; null when that was never told. */
-    public String address(String host) {
-        return addresses.apply(host);
+    public String addressOf(String serverName) {
+        return addressLookup.apply(serverName);
     }
 
     /** Starts to connect; null when not even a socket could be had. */
     public PeerConnection dial(
-            String host,
+            String serverName,
             FilterChain chain,
             double timeout,
-            Consumer<PeerConnection> connected,
-            Runnable failed) {
+            Consumer<PeerConnection> onConnected,
+            Runnable onFailed) {
         InetSocketAddress address =
-                Optional.ofNullable(address(host)).flatMap(Addresses::parse).orElse(null);
+                Optional.ofNullable(addressOf(serverName)).flatMap(Addresses::parse).orElse(null);
         if (address == null) {
-            loop.schedule(0, failed);
+            eventLoop.schedule(0, onFailed);
             return null;
         }
-        lobby.makeRoom();
-        Dial dial = new Dial(transport, connected, failed);
-        dial.setProcessor(chain);
-        dial.timer = loop.schedule(Math.min(connectTimeout, timeout), dial::giveUp);
-        dial.connect(address, dial.result);
-        return dial.leg;
+        idleConnections.makeRoom();
+        DialAttempt attempt = new DialAttempt(transport, onConnected, onFailed);
+        attempt.setProcessor(chain);
+        attempt.timer = eventLoop.schedule(Math.min(connectTimeout, timeout), attempt::giveUp);
+        attempt.connect(address, attempt.completionHandler);
+        return attempt.connection;
     }
 
-    private final class Dial extends TCPNIOConnectorHandler {
-        private final Consumer<PeerConnection> connected;
-        private final Runnable failed;
+    private final class DialAttempt extends TCPNIOConnectorHandler {
+        private final Consumer<PeerConnection> onConnected;
+        private final Runnable onFailed;
         private EventLoop.Timer timer;
-        private PeerConnection leg;
-        private boolean over;
-        private final EmptyCompletionHandler<Connection> result =
+        private PeerConnection connection;
+        private boolean done;
+        private final EmptyCompletionHandler<Connection> completionHandler =
                 new EmptyCompletionHandler<>() {
                     @Override
-                    public void completed(Connection connection) {
-                        if (!over) {
-                            over = true;
+                    public void completed(Connection established) {
+                        if (!done) {
+                            done = true;
                             timer.cancel();
-                            connected.accept(leg);
+                            onConnected.accept(connection);
                         }
                     }
 
                     @Override
-                    public void failed(Throwable why) {
+                    public void failed(Throwable cause) {
                         giveUp();
                     }
                 };
 
-        private Dial(TCPNIOTransport over, Consumer<PeerConnection> connected, Runnable failed) {
-            super(over);
-            this.connected = connected;
-            this.failed = failed;
+        private DialAttempt(
+                TCPNIOTransport tcpTransport,
+                Consumer<PeerConnection> onConnected,
+                Runnable onFailed) {
+            super(tcpTransport);
+            this.onConnected = onConnected;
+            this.onFailed = onFailed;
         }
 
         @Override
-        protected void preConfigure(Connection connection) {
-            leg = new PeerConnection(connection, loop, book, lobby);
+        protected void preConfigure(Connection created) {
+            connection = new PeerConnection(created, eventLoop, registry, idleConnections);
         }
 
         private void giveUp() {
-            if (!over) {
-                over = true;
+            if (!done) {
+                done = true;
                 timer.cancel();
-                if (leg != null) {
-                    leg.close();
+                if (connection != null) {
+                    connection.close();
                 }
-                loop.schedule(0, failed);
+                eventLoop.schedule(0, onFailed);
             }
         }
     }
--- a/relay/src/main/java/asterpulley/net/EventLoop.java
+++ b/relay/src/main/java/asterpulley/net/EventLoop.java
@@ -23,37 +23,39 @@
 
     /** A timer that was set; a cancelled one is skipped when its time comes. */
     public static final class Timer implements Comparable<Timer> {
-        private final double at;
-        private final long order;
-        private Runnable what;
-
-        private Timer(double at, long order, Runnable what) {
-            this.at = at;
-            this.order = order;
-            this.what = what;
+        private final double dueAt;
+        private final long sequence;
+        private Runnable task;
+
+        private Timer(double dueAt, long sequence, Runnable task) {
+            this.dueAt = dueAt;
+            this.sequence = sequence;
+            this.task = task;
         }
 
         public void cancel() {
-            what = null;
+            task = null;
         }
 
         @Override
         public int compareTo(Timer other) {
-            return at != other.at ? Double.compare(at, other.at) : Long.compare(order, other.order);
+            return dueAt != other.dueAt
+                    ? Double.compare(dueAt, other.dueAt)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final double wallAtStart = System.currentTimeMillis() / 1e3;
     private final long nanosAtStart = System.nanoTime();
-    private final Queue<Runnable> handedIn = new ConcurrentLinkedQueue<>();
+    private final Queue<Runnable> submitted = new ConcurrentLinkedQueue<>();
     private volatile Selector selector;
-    private long order;
+    private long nextSequence;
 
     /** When the sockets were last looked at, and how often so far. */
-    private double looked;
+    private double lastSelectAt;
 
-    private long looks;
+    private long selectCount;
 
     /**
      * Unix seconds as at the start, moved on by the steady clock: start times of backends compare
@@ -64,64 +66,66 @@
     }
 
     /** How often the sockets were looked at. */
-    public long looks() {
-        return looks;
+    public long selectCount() {
+        return selectCount;
     }
 
-    /** Runs this after so many seconds; only from the loop's own thread, or before it starts. */
-    public Timer schedule(double seconds, Runnable what) {
-        Timer due = new Timer(now() + Math.max(0, seconds), order++, what);
-        timers.add(due);
-        return due;
+    /**
+     * Runs this after so many seconds; only from the eventLoop's own thread, or before it starts.
+     */
+    public Timer schedule(double delaySeconds, Runnable task) {
+        Timer timer = new Timer(now() + Math.max(0, delaySeconds), nextSequence++, task);
+        timers.add(timer);
+        return timer;
     }
 
-    /** Runs this on the loop's thread; the one call that other threads may make. */
-    public void submit(Runnable what) {
-        handedIn.add(what);
-        Selector asleep = selector;
-        if (asleep != null) {
-            asleep.wakeup();
+    /** Runs this on the eventLoop's thread; the one call that other threads may make. */
+    public void submit(Runnable task) {
+        submitted.add(task);
+        Selector current = selector;
+        if (current != null) {
+            current.wakeup();
         }
     }
 
     @Override
     public Set<SelectionKey> select(SelectorRunner runner) throws IOException {
         selector = runner.getSelector();
-        while (!timers.isEmpty() && timers.peek().what == null) {
+        while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
         }
-        double wait = timers.isEmpty() ? 30 : timers.peek().at - now();
-        if (wait <= 0 || !handedIn.isEmpty() || !runner.getPostponedTasks().isEmpty()) {
+        double wait = timers.isEmpty() ? 30 : timers.peek().dueAt - now();
+        if (wait <= 0 || !submitted.isEmpty() || !runner.getPostponedTasks().isEmpty()) {
             selector.selectNow();
         } else {
             selector.select((long) Math.ceil(Math.min(30, wait) * 1000));
         }
-        looked = now();
-        looks++;
+        lastSelectAt = now();
+        selectCount++;
         return selector.selectedKeys();
     }
 
     @Override
     public void postSelect(SelectorRunner runner) {
-        for (Runnable what = handedIn.poll(); what != null; what = handedIn.poll()) {
-            run(what);
+        for (Runnable task = submitted.poll(); task != null; task = submitted.poll()) {
+            run(task);
         }
         // What had arrived before a timer was due is read before it runs, however long this process
         // stood still.
-        while (!timers.isEmpty() && timers.peek().at <= looked) {
-            Timer due = timers.poll();
-            if (due.what != null) {
-                run(due.what);
+        while (!timers.isEmpty() && timers.peek().dueAt <= lastSelectAt) {
+            Timer timer = timers.poll();
+            if (timer.task != null) {
+                run(timer.task);
             }
         }
     }
 
-    private static void run(Runnable what) {
+    private static void run(Runnable task) {
         try {
-            what.run();
-        } catch (RuntimeException bug) {
+            task.run();
+        } catch (RuntimeException e) {
             // One broken timer must not take all standing tunnels with it.
-            LOG.log(Level.SEVERE, "a timer failed", bug);
+            LOG.log(Level.SEVERE, "a timer failed", e);
         }
     }
 }
--- a/relay/src/main/java/asterpulley/net/IdleConnections.java
+++ b/relay/src/main/java/asterpulley/net/IdleConnections.java
@@ -10,90 +10,94 @@
  * leavers that have heard their last word. It bounds how long each may stay, and lets the oldest go
  * where a socket is needed. It must never end a connection that a tunnel uses, nor one whose line
  * may have come with it and was not read yet, nor close on a newcomer that still waits for a first
- * answer without one, nor let an idle one go where that makes no room.
+ * answer without one, nor let an reclaimable one go where that makes no room.
  */
 public final class IdleConnections {
     /**
      * A client says its line as it connects, and the front asks anew on a connection of its own:
      * who says nothing for this time, or nothing more, holds a socket that another could use.
      */
-    private static final double WORDLESS = 1.5;
+    private static final double REQUEST_TIMEOUT_SECONDS = 1.5;
 
     /**
      * Who says nothing gives way to a newcomer only after this, and who has begun its line after
-     * that: the rest may be on its way. Where all descriptors are idle ones' the queue moves at so
-     * many in this time.
+     * that: the rest may be on its way. Where all descriptors are reclaimable ones' the queue moves
+     * at so many in this time.
      */
-    private static final double FIRST_WORDS = 0.02, WHOLE_LINE = 0.1;
+    private static final double FIRST_BYTES_GRACE_SECONDS = 0.02, WHOLE_REQUEST_GRACE_SECONDS = 0.1;
 
     /** So many newcomers hold a socket before what this relay keeps for later is kept from them. */
-    private static final int NEWCOMERS = 8;
+    private static final int MAX_PENDING_WHEN_RELEASING_SPARES = 8;
 
     /**
      * A peer that was told the last word is waited for this long, so that a reset does not destroy
      * that word.
      */
-    private static final double LINGER = 1;
+    private static final double LINGER_SECONDS = 1;
 
-    private static final double SWEEP = 0.1;
+    private static final double SWEEP_INTERVAL_SECONDS = 0.1;
 
-    private final EventLoop loop;
-    private final TunnelRegistry book;
-    private final TunnelProtocol talk;
-    private final ArrayDeque<PeerConnection> newcomers = new ArrayDeque<>();
-    private final ArrayDeque<PeerConnection> leavers = new ArrayDeque<>();
+    private final EventLoop eventLoop;
+    private final TunnelRegistry registry;
+    private final TunnelProtocol protocol;
+    private final ArrayDeque<PeerConnection> pending = new ArrayDeque<>();
+    private final ArrayDeque<PeerConnection> lingering = new ArrayDeque<>();
 
     /** So many sockets, and who has no tunnel makes room for what this relay dials. */
-    private int most = Integer.MAX_VALUE;
+    private int socketLimit = Integer.MAX_VALUE;
 
-    private IntPredicate unused = count -> false;
+    private IntPredicate spareReleaser = count -> false;
 
-    public IdleConnections(EventLoop loop, TunnelRegistry book, TunnelProtocol talk) {
-        this.loop = loop;
-        this.book = book;
-        this.talk = talk;
+    public IdleConnections(EventLoop eventLoop, TunnelRegistry registry, TunnelProtocol protocol) {
+        this.eventLoop = eventLoop;
+        this.registry = registry;
+        this.protocol = protocol;
     }
 
     /** Starts the watch over who stays too long. */
     public void start() {
-        double now = loop.now();
-        newcomers.removeIf(
-                leg -> !waits(leg) || now - leg.spokeAt > WORDLESS && turnedAway(leg, "wordless"));
+        double now = eventLoop.now();
+        pending.removeIf(
+                connection ->
+                        !isPending(connection)
+                                || now - connection.lastRequestAt > REQUEST_TIMEOUT_SECONDS
+                                        && declineAndLinger(connection, "wordless"));
         // A slow reader that still reads may yet come to its last word.
-        leavers.removeIf(
-                leg ->
-                        leg.closed()
-                                || now - Math.max(leg.lingeringSince, leg.wroteAt) > LINGER
-                                        && gone(leg, "lingered"));
-        loop.schedule(SWEEP, this::start);
+        lingering.removeIf(
+                connection ->
+                        connection.isClosed()
+                                || now - Math.max(connection.lingeringSince, connection.lastWriteAt)
+                                                > LINGER_SECONDS
+                                        && closeCounted(connection, "lingered"));
+        eventLoop.schedule(SWEEP_INTERVAL_SECONDS, this::start);
     }
 
-    public void comes(PeerConnection leg) {
-        leg.awaited = true;
-        newcomers.add(leg);
+    public void addPending(PeerConnection connection) {
+        connection.awaitingRequest = true;
+        pending.add(connection);
     }
 
-    public void leaves(PeerConnection leg) {
-        leavers.add(leg);
+    public void addLingering(PeerConnection connection) {
+        lingering.add(connection);
     }
 
     /**
      * {@code unused}: ends so many connections that this relay keeps for later, and says yes; where
      * there are fewer, it ends none.
      */
-    public void setSpareReleaser(IntPredicate unused) {
-        this.unused = unused;
+    public void setSpareReleaser(IntPredicate spareReleaser) {
+        this.spareReleaser = spareReleaser;
     }
 
     /** The sockets up to which somebody without a tunnel may hold one. */
-    public void most(int sockets) {
-        most = sockets;
+    public void setSocketLimit(int sockets) {
+        socketLimit = sockets;
     }
 
-    /** One more socket is about to be dialled: who is idle must not be in its way. */
+    /** One more socket is about to be dialled: who is reclaimable must not be in its way. */
     public void makeRoom() {
-        if (!makeRoom(most - 1)) {
-            makeRoom(book.sockets + book.undialled() - 1);
+        if (!makeRoom(socketLimit - 1)) {
+            makeRoom(registry.sockets + registry.awaitingBackendSocket() - 1);
         }
     }
 
@@ -108,117 +112,128 @@
     }
 
     /**
-     * As {@link #makeRoom(int)}, but others that are idle must have had the time for their line.
+     * As {@link #makeRoom(int)}, but others that are reclaimable must have had the time for their
+     * line.
      */
-    public boolean makeRoomForNewcomer(int sockets) {
+    public boolean makeRoomForNewClient(int sockets) {
         return makeRoom(sockets, false);
     }
 
-    private boolean makeRoom(int sockets, boolean atOnce) {
-        if (book.sockets + book.held() <= sockets) {
+    private boolean makeRoom(int sockets, boolean immediately) {
+        if (registry.sockets + registry.held() <= sockets) {
             return true;
         }
-        int over = book.sockets + book.undialled() - sockets;
-        for (; over > 0 && !leavers.isEmpty(); over -= gaveWay(leavers.poll())) {
+        int excess = registry.sockets + registry.awaitingBackendSocket() - sockets;
+        for (; excess > 0 && !lingering.isEmpty(); excess -= reclaim(lingering.poll())) {
             // Its last word is said.
         }
-        if (over <= 0) {
+        if (excess <= 0) {
             return true;
         }
-        List<PeerConnection> idle = idle(over, atOnce);
-        int missing = over - idle.size();
-        if (missing > 0 && !((atOnce || idle() <= NEWCOMERS) && unused.test(missing))) {
+        List<PeerConnection> reclaimable = findReclaimable(excess, immediately);
+        int missing = excess - reclaimable.size();
+        if (missing > 0
+                && !((immediately || pendingCount() <= MAX_PENDING_WHEN_RELEASING_SPARES)
+                        && spareReleaser.test(missing))) {
             return false;
         }
-        for (PeerConnection leg : idle) {
+        for (PeerConnection connection : reclaimable) {
             // Its socket is needed now: the word goes out with the end.
-            say(leg);
-            gaveWay(leg);
+            declineIfAwaiting(connection);
+            reclaim(connection);
         }
         return true;
     }
 
-    /** So many idle ones at the most that can give way, in the order in which they do. */
-    private List<PeerConnection> idle(int count, boolean atOnce) {
-        while (!newcomers.isEmpty() && !waits(newcomers.peek())) {
-            newcomers.poll();
+    /** So many reclaimable ones at the most that can give way, in the order in which they do. */
+    private List<PeerConnection> findReclaimable(int count, boolean immediately) {
+        while (!pending.isEmpty() && !isPending(pending.peek())) {
+            pending.poll();
         }
-        List<PeerConnection> idle = new ArrayList<>();
-        for (boolean inPart = false; ; inPart = true) {
-            for (PeerConnection leg : newcomers) {
-                if (leg.inPart() == inPart
-                        && waits(leg)
-                        && (atOnce ? leg.lookedAt() : timeFor(leg) <= 0)) {
-                    idle.add(leg);
+        List<PeerConnection> reclaimable = new ArrayList<>();
+        for (boolean partial = false; ; partial = true) {
+            for (PeerConnection connection : pending) {
+                if (connection.hasPartialRequest() == partial
+                        && isPending(connection)
+                        && (immediately
+                                ? connection.initialInputChecked()
+                                : remainingGrace(connection) <= 0)) {
+                    reclaimable.add(connection);
                 }
-                if (idle.size() == count) {
-                    return idle;
+                if (reclaimable.size() == count) {
+                    return reclaimable;
                 }
             }
-            if (inPart) {
-                return idle;
+            if (partial) {
+                return reclaimable;
             }
         }
     }
 
     /** How many sockets are held by who has said no line yet, or nothing more. */
-    public long idle() {
-        return newcomers.stream().filter(IdleConnections::waits).count();
+    public long pendingCount() {
+        return pending.stream().filter(IdleConnections::isPending).count();
     }
 
     /**
-     * When somebody who is idle will have had the time for its line, in seconds from now; 0 where
-     * all have, or none is.
+     * When somebody who is reclaimable will have had the time for its line, in seconds from now; 0
+     * where all have, or none is.
      */
-    public double nextIdle() {
-        return newcomers.stream()
-                .filter(IdleConnections::waits)
-                .mapToDouble(this::timeFor)
+    public double secondsUntilReclaimable() {
+        return pending.stream()
+                .filter(IdleConnections::isPending)
+                .mapToDouble(this::remainingGrace)
                 .filter(time -> time > 0)
                 .min()
                 .orElse(0);
     }
 
-    private double timeFor(PeerConnection leg) {
-        return (leg.inPart() ? leg.since + WHOLE_LINE : leg.spokeAt + FIRST_WORDS) - loop.now();
+    private double remainingGrace(PeerConnection connection) {
+        return (connection.hasPartialRequest()
+                        ? connection.createdAt + WHOLE_REQUEST_GRACE_SECONDS
+                        : connection.lastRequestAt + FIRST_BYTES_GRACE_SECONDS)
+                - eventLoop.now();
     }
 
-    private int gaveWay(PeerConnection leg) {
-        return !leg.closed() && gone(leg, "gave_way") ? 1 : 0;
+    private int reclaim(PeerConnection connection) {
+        return !connection.isClosed() && closeCounted(connection, "gave_way") ? 1 : 0;
     }
 
     /** Whether somebody's first line, or the rest of it, may still be on its way. */
     public boolean hasPendingRequests() {
-        return newcomers.stream().anyMatch(leg -> waits(leg) && leg.awaited);
+        return pending.stream()
+                .anyMatch(connection -> isPending(connection) && connection.awaitingRequest);
     }
 
     /** Nobody's line can be waited for any longer. */
     public void declinePending() {
-        newcomers.removeIf(leg -> !waits(leg) || turnedAway(leg, "turned_away"));
+        pending.removeIf(
+                connection ->
+                        !isPending(connection) || declineAndLinger(connection, "turned_away"));
     }
 
-    private static boolean waits(PeerConnection leg) {
-        return !leg.closed() && !leg.lingering() && leg.passage == null;
+    private static boolean isPending(PeerConnection connection) {
+        return !connection.isClosed() && !connection.isLingering() && connection.tunnel == null;
     }
 
-    private boolean turnedAway(PeerConnection leg, String why) {
-        book.count(why);
-        say(leg);
-        leg.linger();
+    private boolean declineAndLinger(PeerConnection connection, String counter) {
+        registry.count(counter);
+        declineIfAwaiting(connection);
+        connection.linger();
         return true;
     }
 
     /** Nothing of it was sent on, so it may as well come again; who had its answer needs none. */
-    private void say(PeerConnection leg) {
-        if (leg.awaited) {
-            leg.awaited = false;
-            talk.decline(leg, 0);
+    private void declineIfAwaiting(PeerConnection connection) {
+        if (connection.awaitingRequest) {
+            connection.awaitingRequest = false;
+            protocol.decline(connection, 0);
         }
     }
 
-    private boolean gone(PeerConnection leg, String why) {
-        book.count(why);
-        leg.close();
+    private boolean closeCounted(PeerConnection connection, String counter) {
+        registry.count(counter);
+        connection.close();
         return true;
     }
 }
--- a/relay/src/main/java/asterpulley/net/LoadBalancerFilter.java
+++ b/relay/src/main/java/asterpulley/net/LoadBalancerFilter.java
@@ -19,57 +19,57 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The third stage, route: owns the decision module and is its front on sockets. Every call into the
- * module goes through {@link #tell}, one after the other: what a decision sets off on a socket may
- * fail at once, and that must never reach the module while it is still deciding. It must decide
- * nothing itself.
+ * The third stage, loadBalancerFilter: owns the decision module and is its front on sockets. Every
+ * call into the module goes through {@link #tell}, one after the other: what a decision sets off on
+ * a socket may fail at once, and that must never reach the module while it is still deciding. It
+ * must decide nothing itself.
  */
 public final class LoadBalancerFilter extends BaseFilter implements Frontend {
     private static final Logger LOG = Logger.getLogger("asterpulley.Balance");
 
-    private static final double SWEEP = 0.25;
+    private static final double POOL_TICK_SECONDS = 0.25;
 
-    private final EventLoop loop;
-    private final TunnelRegistry book;
-    private final ArrayDeque<Runnable> calls = new ArrayDeque<>();
+    private final EventLoop eventLoop;
+    private final TunnelRegistry registry;
+    private final ArrayDeque<Runnable> pendingCalls = new ArrayDeque<>();
     private boolean deciding;
 
     /**
      * Null where nothing narrows the module's choice, as on the platform: its classes are not even
-     * loaded then.
+     * loaded listener.
      */
-    private PoolRouter guide;
+    private PoolRouter poolRouter;
 
-    private LoadBalancer balance;
-    private Consumer<String> probes;
-    private Runnable watch;
-    private Runnable whenListed = () -> {};
+    private LoadBalancer loadBalancer;
+    private Consumer<String> prober;
+    private Runnable listWatcher;
+    private Runnable listUpdateListener = () -> {};
 
-    public LoadBalancerFilter(EventLoop loop, TunnelRegistry book) {
-        this.loop = loop;
-        this.book = book;
+    public LoadBalancerFilter(EventLoop eventLoop, TunnelRegistry registry) {
+        this.eventLoop = eventLoop;
+        this.registry = registry;
     }
 
     /** Narrows the module's choice from now on; before the start, or never. */
     public void setPoolRouter(PoolRouter routes) {
-        guide = routes;
-        book.whenLeft(passage -> guide.tunnelClosed(passage.id));
-        loop.schedule(SWEEP, this::sweep);
+        poolRouter = routes;
+        registry.setRemovalListener(tunnel -> poolRouter.tunnelClosed(tunnel.id));
+        eventLoop.schedule(POOL_TICK_SECONDS, this::tickPools);
     }
 
     /** Time passes for the pools; guests whose home is back are moved there. */
-    private void sweep() {
-        for (long id : guide.tick(loop.now())) {
-            TunnelContext passage = book.find(id);
-            if (passage != null && passage.established && !passage.moving) {
-                passage.protocol.move(passage);
+    private void tickPools() {
+        for (long id : poolRouter.tick(eventLoop.now())) {
+            TunnelContext tunnel = registry.find(id);
+            if (tunnel != null && tunnel.established && !tunnel.moving) {
+                tunnel.protocol.move(tunnel);
             }
         }
-        loop.schedule(SWEEP, this::sweep);
+        eventLoop.schedule(POOL_TICK_SECONDS, this::tickPools);
     }
 
     public PoolRouter poolRouter() {
-        return guide;
+        return poolRouter;
     }
 
     /**
@@ -79,19 +79,19 @@
     public void start(
             Settings settings,
             long seed,
-            List<ServerEntry> known,
-            Consumer<String> probes,
-            Runnable watch) {
-        this.probes = probes;
-        this.watch = watch;
-        tell(
+            List<ServerEntry> initialServers,
+            Consumer<String> prober,
+            Runnable listWatcher) {
+        this.prober = prober;
+        this.listWatcher = listWatcher;
+        callLoadBalancer(
                 () -> {
-                    balance = new LoadBalancer(settings, seed, this);
-                    list(known, true);
+                    loadBalancer = new LoadBalancer(settings, seed, this);
+                    applyServerList(initialServers, true);
                 });
         if (!settings.subscribesToServerList) {
             // The module asks only where it must; on sockets news always has to be asked for.
-            watch.run();
+            listWatcher.run();
         }
     }
 
@@ -99,27 +99,27 @@
      * These count from now on, for the module and, where there are pools, for their rules: none may
      * be half changed.
      */
-    public void updateSettings(Settings anew, RoutingPolicy charter) {
-        if (guide != null) {
-            guide.reload(charter, loop.now());
+    public void updateSettings(Settings updated, RoutingPolicy routingPolicy) {
+        if (poolRouter != null) {
+            poolRouter.reload(routingPolicy, eventLoop.now());
         }
-        tell(() -> balance.updateSettings(anew));
+        callLoadBalancer(() -> loadBalancer.updateSettings(updated));
     }
 
-    private void tell(Runnable call) {
-        calls.add(call);
+    private void callLoadBalancer(Runnable call) {
+        pendingCalls.add(call);
         if (deciding) {
             return;
         }
         deciding = true;
         try {
-            while (!calls.isEmpty()) {
+            while (!pendingCalls.isEmpty()) {
                 try {
-                    calls.poll().run();
-                } catch (RuntimeException bug) {
+                    pendingCalls.poll().run();
+                } catch (RuntimeException e) {
                     // One call that fails must not end the relay and all that stands on it.
-                    book.count("module_failed");
-                    LOG.log(Level.SEVERE, "the module failed", bug);
+                    registry.count("module_failed");
+                    LOG.log(Level.SEVERE, "the module failed", e);
                 }
             }
         } finally {
@@ -131,10 +131,10 @@
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        if (!(ctx.getMessage() instanceof TunnelContext passage)) {
+        if (!(ctx.getMessage() instanceof TunnelContext tunnel)) {
             return ctx.getInvokeAction();
         }
-        placeTunnel(passage);
+        placeTunnel(tunnel);
         return ctx.getStopAction();
     }
 
@@ -142,33 +142,37 @@
      * A tunnel that a front has taken in and that there is room for; what becomes of it, its {@link
      * Talk} is asked.
      */
-    public void placeTunnel(TunnelContext passage) {
-        passage.id = book.enter(passage);
-        if (passage.request.previousServer() != null) {
-            passage.protocol.reopen(passage);
+    public void placeTunnel(TunnelContext tunnel) {
+        tunnel.id = registry.register(tunnel);
+        if (tunnel.request.previousServer() != null) {
+            tunnel.protocol.reopen(tunnel);
         } else {
-            TunnelRequest o = passage.request;
-            if (guide != null) {
-                guide.tunnelAccepted(passage.id, o.profile(), o.key(), loop.now());
+            TunnelRequest request = tunnel.request;
+            if (poolRouter != null) {
+                poolRouter.tunnelAccepted(
+                        tunnel.id, request.profile(), request.key(), eventLoop.now());
             }
-            double budget = Double.isNaN(o.clientTimeout()) ? 0 : Math.max(1e-3, o.clientTimeout());
-            tell(
+            double budget =
+                    Double.isNaN(request.clientTimeout())
+                            ? 0
+                            : Math.max(1e-3, request.clientTimeout());
+            callLoadBalancer(
                     () ->
-                            passage.handle =
-                                    balance.openTunnel(
-                                            passage.id,
-                                            o.profile(),
-                                            o.customer(),
-                                            o.group(),
-                                            o.key(),
+                            tunnel.handle =
+                                    loadBalancer.openTunnel(
+                                            tunnel.id,
+                                            request.profile(),
+                                            request.customer(),
+                                            request.group(),
+                                            request.key(),
                                             budget,
                                             false));
-            if (passage.handle == null) {
+            if (tunnel.handle == null) {
                 // The module failed on it: its client must still get its one answer.
-                book.closeWithError(passage);
+                registry.closeWithError(tunnel);
             }
-            if (budget > 0 && !passage.answered) {
-                passage.clientTimer = loop.schedule(budget, () -> expire(passage));
+            if (budget > 0 && !tunnel.answered) {
+                tunnel.clientTimer = eventLoop.schedule(budget, () -> expire(tunnel));
             }
         }
     }
@@ -177,12 +181,12 @@
      * Guards against a tunnel that nobody answers: at its client's timeout it is given up, at the
      * latest.
      */
-    public void expire(TunnelContext passage) {
-        if (!passage.answered) {
-            book.count("overdue");
-            withdrawn(passage);
-            passage.protocol.abandonSetup(passage);
-            giveUp(passage);
+    public void expire(TunnelContext tunnel) {
+        if (!tunnel.answered) {
+            registry.count("overdue");
+            clientWithdrew(tunnel);
+            tunnel.protocol.abandonSetup(tunnel);
+            finishUnopened(tunnel);
         }
     }
 
@@ -190,68 +194,73 @@
      * No further setup, the one that is out is given up, and the client is told that it is closed
      * with error.
      */
-    public void drop(TunnelContext passage) {
-        withdrawn(passage);
-        passage.protocol.abandonSetup(passage);
-        book.closeWithError(passage);
+    public void abort(TunnelContext tunnel) {
+        clientWithdrew(tunnel);
+        tunnel.protocol.abandonSetup(tunnel);
+        registry.closeWithError(tunnel);
     }
 
     /**
      * The final answer to a tunnel with no setup out that gets no further one: which, the module
      * tells.
      */
-    public void giveUp(TunnelContext passage) {
-        tell(
+    public void finishUnopened(TunnelContext tunnel) {
+        callLoadBalancer(
                 () -> {
-                    if (passage.handle != null) {
-                        passage.handle.giveUp();
+                    if (tunnel.handle != null) {
+                        tunnel.handle.giveUp();
                     }
                     // It never reached the module, or the module failed on it.
-                    book.closeWithError(passage);
+                    registry.closeWithError(tunnel);
                 });
     }
 
-    public void tunnelOpened(TunnelContext passage) {
-        TunnelRequest o = passage.request;
-        if (guide != null && passage.handle == null) {
-            guide.tunnelRestored(passage.id, o.profile(), o.key(), passage.serverName, loop.now());
-        } else if (guide != null) {
-            guide.tunnelOpened(passage.id, loop.now());
+    public void tunnelOpened(TunnelContext tunnel) {
+        TunnelRequest request = tunnel.request;
+        if (poolRouter != null && tunnel.handle == null) {
+            poolRouter.tunnelRestored(
+                    tunnel.id,
+                    request.profile(),
+                    request.key(),
+                    tunnel.serverName,
+                    eventLoop.now());
+        } else if (poolRouter != null) {
+            poolRouter.tunnelOpened(tunnel.id, eventLoop.now());
         }
-        if (passage.handle == null) {
-            tell(
+        if (tunnel.handle == null) {
+            callLoadBalancer(
                     () ->
-                            passage.handle =
-                                    balance.restoreTunnel(
-                                            passage.id,
-                                            o.profile(),
-                                            o.customer(),
-                                            o.group(),
-                                            o.key(),
-                                            passage.serverName));
+                            tunnel.handle =
+                                    loadBalancer.restoreTunnel(
+                                            tunnel.id,
+                                            request.profile(),
+                                            request.customer(),
+                                            request.group(),
+                                            request.key(),
+                                            tunnel.serverName));
         } else {
-            int setup = passage.setupCount - 1;
-            double lag = loop.now() - passage.setupStartedAt;
-            tell(() -> passage.handle.onOpened(setup, lag));
+            int setup = tunnel.setupCount - 1;
+            double duration = eventLoop.now() - tunnel.setupStartedAt;
+            callLoadBalancer(() -> tunnel.handle.onOpened(setup, duration));
         }
     }
 
     /** A setup, or what it opened, has ended. */
-    public void serverConnectionEnded(TunnelContext passage, Termination failure) {
-        if (guide != null) {
-            guide.serverConnectionEnded(
-                    passage.id,
-                    failure.outcome(),
-                    failure.cause() != Termination.Cause.CLIENT_LEFT,
-                    loop.now());
+    public void serverConnectionEnded(TunnelContext tunnel, Termination termination) {
+        if (poolRouter != null) {
+            poolRouter.serverConnectionEnded(
+                    tunnel.id,
+                    termination.outcome(),
+                    termination.cause() != Termination.Cause.CLIENT_LEFT,
+                    eventLoop.now());
         }
-        int setup = passage.setupCount - 1;
-        double lag = loop.now() - passage.setupStartedAt;
-        boolean last = passage.answered;
-        tell(
+        int setup = tunnel.setupCount - 1;
+        double duration = eventLoop.now() - tunnel.setupStartedAt;
+        boolean last = tunnel.answered;
+        callLoadBalancer(
                 () -> {
-                    if (passage.handle != null) {
-                        passage.handle.onEnded(setup, failure.outcome(), lag, last);
+                    if (tunnel.handle != null) {
+                        tunnel.handle.onEnded(setup, termination.outcome(), duration, last);
                     }
                 });
     }
@@ -260,165 +269,166 @@
      * Its connection is up: false where what would be written now came too late for its server or
      * its window.
      */
-    public boolean maySend(TunnelContext passage) {
-        return passage.handle == null || passage.handle.maySend();
+    public boolean maySend(TunnelContext tunnel) {
+        return tunnel.handle == null || tunnel.handle.maySend();
     }
 
-    public void withdrawn(TunnelContext passage) {
-        tell(
+    public void clientWithdrew(TunnelContext tunnel) {
+        callLoadBalancer(
                 () -> {
-                    if (passage.handle != null) {
-                        passage.handle.cancel();
+                    if (tunnel.handle != null) {
+                        tunnel.handle.cancel();
                     }
                 });
     }
 
-    public void load(TunnelContext passage, double cores) {
-        if (guide != null) {
-            guide.tunnelLoadReported(passage.id, cores);
+    public void loadReported(TunnelContext tunnel, double cores) {
+        if (poolRouter != null) {
+            poolRouter.tunnelLoadReported(tunnel.id, cores);
         }
-        if (passage.handle != null) {
-            tell(() -> passage.handle.onLoad(cores));
+        if (tunnel.handle != null) {
+            callLoadBalancer(() -> tunnel.handle.onLoad(cores));
         }
     }
 
-    public void delay(TunnelContext passage, double message) {
-        if (passage.handle != null) {
-            tell(() -> passage.handle.onMessageDelay(message));
+    public void messageDelayed(TunnelContext tunnel, double seconds) {
+        if (tunnel.handle != null) {
+            callLoadBalancer(() -> tunnel.handle.onMessageDelay(seconds));
         }
     }
 
-    public void probed(String host, Outcome outcome, LoadReport report) {
-        if (guide != null) {
-            guide.probeFinished(host, outcome, report, loop.now());
+    public void probeFinished(String serverName, Outcome outcome, LoadReport report) {
+        if (poolRouter != null) {
+            poolRouter.probeFinished(serverName, outcome, report, eventLoop.now());
         }
-        tell(() -> balance.onProbeResult(host, outcome, report));
+        callLoadBalancer(() -> loadBalancer.onProbeResult(serverName, outcome, report));
     }
 
     public void updateServerList(List<ServerEntry> servers, boolean whole) {
-        tell(
+        callLoadBalancer(
                 () -> {
-                    list(servers, whole);
-                    whenListed.run();
+                    applyServerList(servers, whole);
+                    listUpdateListener.run();
                 });
     }
 
     /** Is told whenever news of the list is in force here. */
-    public void onServerListUpdated(Runnable then) {
-        whenListed = then;
+    public void onServerListUpdated(Runnable listener) {
+        listUpdateListener = listener;
     }
 
-    private void list(List<ServerEntry> servers, boolean whole) {
-        if (guide != null) {
-            guide.updateServerList(servers, whole, loop.now());
+    private void applyServerList(List<ServerEntry> servers, boolean whole) {
+        if (poolRouter != null) {
+            poolRouter.updateServerList(servers, whole, eventLoop.now());
         }
-        balance.onServerList(servers, whole);
-        loop.schedule(0, this::recall);
+        loadBalancer.onServerList(servers, whole);
+        eventLoop.schedule(0, this::recallUnsentSetups);
     }
 
     /** The servers that operators leave out from now on, all of them; true by when this returns. */
     public void setCordonedServers(Set<String> servers) {
-        tell(() -> balance.setCordonedServers(servers));
-        recall();
+        callLoadBalancer(() -> loadBalancer.setCordonedServers(servers));
+        recallUnsentSetups();
     }
 
     /** Setups still on their way to a server that is to get nothing new are placed elsewhere. */
-    private void recall() {
-        for (TunnelContext passage : book.all()) {
-            if (passage.setupPending
-                    && passage.request.previousServer() == null
-                    && !balance.isInRotation(passage.serverName)) {
-                passage.protocol.recallSetup(passage);
+    private void recallUnsentSetups() {
+        for (TunnelContext tunnel : registry.all()) {
+            if (tunnel.setupPending
+                    && tunnel.request.previousServer() == null
+                    && !loadBalancer.isInRotation(tunnel.serverName)) {
+                tunnel.protocol.recallSetup(tunnel);
             }
         }
     }
 
     /** What the module has learned, for another process of this relay; see {@link #learn}. */
     public double[] exportLearnedState() {
-        return balance.exportLearnedState();
+        return loadBalancer.exportLearnedState();
     }
 
     /** Takes on what another process had learned; false where it cannot be used. */
     public boolean importLearnedState(double[] learned) {
-        return balance.importLearnedState(learned);
+        return loadBalancer.importLearnedState(learned);
     }
 
     /** The module's own view of its servers, to be read and not called on. */
     public Set<String> cordonedServers() {
-        return balance.cordonedServers();
+        return loadBalancer.cordonedServers();
     }
 
     public boolean isKnown(String server) {
-        return balance.isKnown(server);
+        return loadBalancer.isKnown(server);
     }
 
     public int listedServerCount(boolean onlyAvoided) {
-        return balance.listedServerCount(onlyAvoided);
+        return loadBalancer.listedServerCount(onlyAvoided);
     }
 
-    public void serverListFailed(boolean silent) {
-        tell(() -> balance.onServerListFailed(silent));
+    public void serverListFailed(boolean timedOut) {
+        callLoadBalancer(() -> loadBalancer.onServerListFailed(timedOut));
     }
 
     // ---- From the module
 
     @Override
     public double now() {
-        return loop.now();
+        return eventLoop.now();
     }
 
     @Override
-    public void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout) {
-        TunnelContext passage = book.find(tun.id);
-        if (passage != null) {
-            if (guide != null) {
-                guide.setupStarted(tun.id, ep, loop.now());
+    public void sendSetup(LoadBalancer.Tunnel handle, String serverName, double timeout) {
+        TunnelContext tunnel = registry.find(handle.id);
+        if (tunnel != null) {
+            if (poolRouter != null) {
+                poolRouter.setupStarted(handle.id, serverName, eventLoop.now());
             }
-            passage.protocol.startSetup(passage, ep, timeout);
+            tunnel.protocol.startSetup(tunnel, serverName, timeout);
         }
     }
 
     @Override
-    public boolean isEligible(LoadBalancer.Tunnel tun, int server, String ep) {
-        return guide == null || guide.mayUse(tun.id, server, ep, loop.now());
+    public boolean isEligible(LoadBalancer.Tunnel handle, int server, String serverName) {
+        return poolRouter == null
+                || poolRouter.mayUse(handle.id, server, serverName, eventLoop.now());
     }
 
     @Override
-    public boolean widenSelection(LoadBalancer.Tunnel tun) {
-        return guide != null && guide.advanceTier(tun.id, loop.now());
+    public boolean widenSelection(LoadBalancer.Tunnel handle) {
+        return poolRouter != null && poolRouter.advanceTier(handle.id, eventLoop.now());
     }
 
     @Override
-    public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
-        book.decline(book.find(tun.id), retryAfter);
+    public void decline(LoadBalancer.Tunnel handle, double retryAfter) {
+        registry.decline(registry.find(handle.id), retryAfter);
     }
 
     @Override
-    public void closeWithError(LoadBalancer.Tunnel tun) {
-        book.closeWithError(book.find(tun.id));
+    public void closeWithError(LoadBalancer.Tunnel handle) {
+        registry.closeWithError(registry.find(handle.id));
     }
 
     @Override
-    public void move(LoadBalancer.Tunnel tun) {
-        TunnelContext passage = book.find(tun.id);
-        if (passage != null) {
-            passage.protocol.move(passage);
+    public void move(LoadBalancer.Tunnel handle) {
+        TunnelContext tunnel = registry.find(handle.id);
+        if (tunnel != null) {
+            tunnel.protocol.move(tunnel);
         }
     }
 
     @Override
-    public void probe(String ep) {
-        probes.accept(ep);
+    public void probe(String serverName) {
+        prober.accept(serverName);
     }
 
     @Override
     public void watchServerList() {
-        watch.run();
+        listWatcher.run();
     }
 
     @Override
     public void scheduleTimer(double after, long token) {
-        loop.schedule(after, () -> tell(() -> balance.onTimer(token)));
+        eventLoop.schedule(after, () -> callLoadBalancer(() -> loadBalancer.onTimer(token)));
     }
 
     @Override
--- a/relay/src/main/java/asterpulley/net/LongPollClient.java
+++ b/relay/src/main/java/asterpulley/net/LongPollClient.java
@@ -22,11 +22,11 @@
  * connection kept from call to call. It must never have two calls out, never call by itself, never
  * read what an answer says, and never block.
  *
- * <p>Use: one object a path and address, on the loop's thread alone. {@link #call} sends {@code GET
- * PATH}, or {@code GET PATH?index=V&wait=MS} from a version on. Each call ends in exactly one of
- * {@link Caller#answered} and {@link Caller#failed}, never before {@link #call} has returned,
- * unless {@link #hangUp} or {@link #moveTo} ended it first: then in neither. Whoever calls decides
- * when the next one goes out, also at once from within either of the two.
+ * <p>Use: one object a path and address, on the eventLoop's thread alone. {@link #call} sends
+ * {@code GET PATH}, or {@code GET PATH?index=V&wait=MS} from a version on. Each call ends in
+ * exactly one of {@link Caller#answered} and {@link Caller#failed}, never before {@link #call} has
+ * returned, unless {@link #hangUp} or {@link #moveTo} ended it first: then in neither. Whoever
+ * calls decides when the next one goes out, also at once from within either of the two.
  */
 public final class LongPollClient extends BaseFilter {
     /** Who calls and is told how each call ended. */
@@ -41,47 +41,47 @@
          * No such answer came, and the connection is closed. {@code silent}: no whole answer within
          * the patience.
          */
-        void requestFailed(String why, boolean silent);
+        void requestFailed(String reason, boolean timedOut);
     }
 
     /** The version of who has none yet: the whole is asked for, and nothing is waited for. */
     public static final long NO_VERSION = -1;
 
     /** A connection that is not up by now has none coming. */
-    private static final double CONNECT = 1.5;
+    private static final double CONNECT_TIMEOUT_SECONDS = 1.5;
 
     /**
      * A kept connection that ends so soon behind a call was closed as idle: that says nothing of
      * the other side.
      */
-    private static final double CROSSED = 0.2;
+    private static final double IDLE_CLOSE_RACE_SECONDS = 0.2;
 
     private final String path;
-    private final Callback caller;
-    private final EventLoop loop;
-    private final TunnelRegistry book;
+    private final Callback callback;
+    private final EventLoop eventLoop;
+    private final TunnelRegistry registry;
     private final TCPNIOTransport transport;
     private final FilterChain chain;
     private InetSocketAddress address;
     private Connection<?> connection;
-    private boolean up, kept, waiting;
-    private double askedAt;
-    private String query, with = "";
-    private int call, status;
-    private EventLoop.Timer patience;
+    private boolean connected, reused, awaitingResponse;
+    private double sentAt;
+    private String query, extraQuery = "";
+    private int currentRequest, status;
+    private EventLoop.Timer timeoutTimer;
 
     public LongPollClient(
             String path,
             InetSocketAddress address,
-            Callback caller,
-            EventLoop loop,
-            TunnelRegistry book,
+            Callback callback,
+            EventLoop eventLoop,
+            TunnelRegistry registry,
             TCPNIOTransport transport) {
         this.path = path;
         this.address = address;
-        this.caller = caller;
-        this.loop = loop;
-        this.book = book;
+        this.callback = callback;
+        this.eventLoop = eventLoop;
+        this.registry = registry;
         this.transport = transport;
         chain =
                 FilterChainBuilder.stateless()
@@ -96,14 +96,14 @@
     }
 
     /** Calls go there from now on; the one that is out is given up and ends in nothing. */
-    public void setAddress(InetSocketAddress to) {
+    public void setAddress(InetSocketAddress newAddress) {
         disconnect();
-        address = to;
+        address = newAddress;
     }
 
     /** Goes behind the version in the query of each call from now on, as {@code &name=value}. */
-    public void setExtraQuery(String more) {
-        with = more;
+    public void setExtraQuery(String parameters) {
+        extraQuery = parameters;
     }
 
     /**
@@ -111,63 +111,63 @@
      * #NONE} for the whole, at once. It fails as silent when there is no whole answer {@code
      * patience} seconds from now.
      */
-    public void request(long version, double wait, double patience) {
-        int n = ++call;
-        waiting = true;
+    public void request(long version, double wait, double timeout) {
+        int number = ++currentRequest;
+        awaitingResponse = true;
         status = 0;
-        if (this.patience != null) {
-            this.patience.cancel();
+        if (this.timeoutTimer != null) {
+            this.timeoutTimer.cancel();
         }
-        this.patience = loop.schedule(patience, () -> failed(n, "no answer", true));
+        this.timeoutTimer = eventLoop.schedule(timeout, () -> fail(number, "no answer", true));
         query =
                 version == NO_VERSION
                         ? null
-                        : "index=" + version + "&wait=" + Math.round(wait * 1000) + with;
+                        : "index=" + version + "&wait=" + Math.round(wait * 1000) + extraQuery;
         if (connection != null && connection.isOpen()) {
-            kept = true;
-            ask();
+            reused = true;
+            sendRequest();
             return;
         }
         disconnect();
-        waiting = true;
-        dial(n);
+        awaitingResponse = true;
+        connect(number);
     }
 
-    private void dial(int n) {
-        kept = false;
-        loop.schedule(
-                CONNECT,
+    private void connect(int number) {
+        reused = false;
+        eventLoop.schedule(
+                CONNECT_TIMEOUT_SECONDS,
                 () -> {
-                    if (!up && !kept) {
-                        failed(n, "no connection", false);
+                    if (!connected && !reused) {
+                        fail(number, "no connection", false);
                     }
                 });
-        TCPNIOConnectorHandler dial =
+        TCPNIOConnectorHandler connector =
                 new TCPNIOConnectorHandler(transport) {
                     @Override
                     protected void preConfigure(Connection dialled) {
                         // Held from its first moment on: one that never comes up must not be left
                         // behind.
                         connection = dialled;
-                        book.sockets++;
+                        registry.sockets++;
                     }
                 };
-        dial.setProcessor(chain);
-        dial.connect(
+        connector.setProcessor(chain);
+        connector.connect(
                 address,
                 new EmptyCompletionHandler<Connection>() {
                     @Override
                     public void completed(Connection opened) {
                         if (opened == connection) {
-                            up = true;
-                            ask();
+                            connected = true;
+                            sendRequest();
                         }
                     }
 
                     @Override
-                    public void failed(Throwable why) {
-                        loop.schedule(
-                                0, () -> LongPollClient.this.failed(n, "no connection", false));
+                    public void failed(Throwable cause) {
+                        eventLoop.schedule(
+                                0, () -> LongPollClient.this.fail(number, "no connection", false));
                     }
                 });
     }
@@ -177,8 +177,8 @@
         return status != 0 && status != 200;
     }
 
-    private void ask() {
-        askedAt = loop.now();
+    private void sendRequest() {
+        sentAt = eventLoop.now();
         HttpRequestPacket.Builder request =
                 HttpRequestPacket.builder()
                         .method("GET")
@@ -197,18 +197,18 @@
         if (!content.isLast()) {
             return ctx.getStopAction(content);
         }
-        int answer = ((HttpResponsePacket) content.getHttpHeader()).getStatus();
+        int responseStatus = ((HttpResponsePacket) content.getHttpHeader()).getStatus();
         String body = content.getContent().toStringContent(StandardCharsets.UTF_8);
         content.recycle();
-        if (ctx.getConnection() != connection || !waiting) {
+        if (ctx.getConnection() != connection || !awaitingResponse) {
             return ctx.getStopAction();
         }
-        status = answer;
+        status = responseStatus;
         if (wasRejected()) {
-            failed(call, "status " + status, false);
+            fail(currentRequest, "status " + status, false);
         } else {
-            waiting = false;
-            caller.responseReceived(body);
+            awaitingResponse = false;
+            callback.responseReceived(body);
         }
         return ctx.getStopAction();
     }
@@ -216,35 +216,35 @@
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
         if (ctx.getConnection() == connection) {
-            boolean wasUp = up;
-            up = false;
+            boolean wasConnected = connected;
+            connected = false;
             connection = null;
-            book.sockets--;
-            if (waiting && kept && loop.now() - askedAt < CROSSED) {
-                dial(call);
+            registry.sockets--;
+            if (awaitingResponse && reused && eventLoop.now() - sentAt < IDLE_CLOSE_RACE_SECONDS) {
+                connect(currentRequest);
             } else {
-                failed(call, wasUp ? "connection broken" : "no connection", false);
+                fail(currentRequest, wasConnected ? "connection broken" : "no connection", false);
             }
         }
         return ctx.getInvokeAction();
     }
 
-    private void failed(int n, String why, boolean silent) {
-        if (call == n && waiting) {
+    private void fail(int number, String reason, boolean timedOut) {
+        if (currentRequest == number && awaitingResponse) {
             disconnect();
-            caller.requestFailed(why, silent);
+            callback.requestFailed(reason, timedOut);
         }
     }
 
     /** Closes the connection; a call that is out ends in nothing. */
     public void disconnect() {
-        waiting = false;
-        up = false;
+        awaitingResponse = false;
+        connected = false;
         if (connection != null) {
-            Connection<?> dead = connection;
+            Connection<?> closing = connection;
             connection = null;
-            book.sockets--;
-            dead.terminateSilently();
+            registry.sockets--;
+            closing.terminateSilently();
         }
     }
 }
--- a/relay/src/main/java/asterpulley/net/PeerConnection.java
+++ b/relay/src/main/java/asterpulley/net/PeerConnection.java
@@ -27,169 +27,176 @@
      * Buffers that wait for a slow reader before its sender is no longer read from, however little
      * each holds.
      */
-    private static final int MOST_WAITING = 16;
+    private static final int MAX_PENDING_WRITES = 16;
 
     /**
      * What a peer still sends after its last word is read so far and no further: it may be without
      * end.
      */
-    private static final int HEEDLESS = 4 * SocketFilter.BUFFER_BYTES;
+    private static final int MAX_DISCARDED_BYTES = 4 * SocketFilter.BUFFER_BYTES;
 
-    private static final Attribute<PeerConnection> LEG =
+    private static final Attribute<PeerConnection> ATTRIBUTE =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("leg");
 
     public final Connection<SocketAddress> connection;
 
     /** What the front keeps of words that have come in part. */
-    public Object partly;
+    public Object decoderState;
 
-    public final double since;
+    public final double createdAt;
 
     /** The look at the sockets in which it came; what came with it is found in the next one. */
-    private final long cameIn;
+    private final long createdAtSelect;
 
-    private final EventLoop loop;
-    private final TunnelRegistry book;
-    private final IdleConnections lobby;
+    private final EventLoop eventLoop;
+    private final TunnelRegistry registry;
+    private final IdleConnections idleConnections;
 
     /** When it came, or last asked as the front does. */
-    public double spokeAt;
+    public double lastRequestAt;
 
     /** Its line, or the rest of one, is still to come, and is owed an answer. */
-    public boolean awaited;
+    public boolean awaitingRequest;
 
     /** The tunnel that it belongs to, once there is one. */
-    public TunnelContext passage;
+    public TunnelContext tunnel;
 
-    private int waiting, heedless;
-    private boolean endWhenWritten, ended, closed, lingering, deaf;
+    private int pendingWrites, discardedBytes;
+    private boolean shutdownWhenWritten, outputShutDown, closed, lingering, inputClosed;
     private boolean closeWhenWritten;
 
     /** When something last went out: a slow reader that still reads is not a dead one. */
-    public double wroteAt;
+    public double lastWriteAt;
 
     public double lingeringSince;
-    private PeerConnection feeder;
-    private Runnable whenWritten;
+    private PeerConnection pausedSender;
+    private Runnable onWritten;
 
     @SuppressWarnings("unchecked")
     public PeerConnection(
-            Connection<?> connection, EventLoop loop, TunnelRegistry book, IdleConnections lobby) {
+            Connection<?> connection,
+            EventLoop eventLoop,
+            TunnelRegistry registry,
+            IdleConnections idleConnections) {
         this.connection = (Connection<SocketAddress>) connection;
-        this.loop = loop;
-        this.book = book;
-        this.lobby = lobby;
-        cameIn = loop.looks();
-        since = loop.now();
-        spokeAt = since;
-        book.sockets++;
-        LEG.set(connection, this);
+        this.eventLoop = eventLoop;
+        this.registry = registry;
+        this.idleConnections = idleConnections;
+        createdAtSelect = eventLoop.selectCount();
+        createdAt = eventLoop.now();
+        lastRequestAt = createdAt;
+        registry.sockets++;
+        ATTRIBUTE.set(connection, this);
     }
 
     public static PeerConnection of(Connection<?> connection) {
-        return LEG.get(connection);
+        return ATTRIBUTE.get(connection);
     }
 
     /** Whether all that came with it was read: a whole look at the sockets has passed since. */
-    public boolean lookedAt() {
-        return loop.looks() > cameIn + 1;
+    public boolean initialInputChecked() {
+        return eventLoop.selectCount() > createdAtSelect + 1;
     }
 
     /** Part of a line has come, and the rest is awaited. */
-    public boolean inPart() {
-        return awaited && spokeAt > since;
+    public boolean hasPartialRequest() {
+        return awaitingRequest && lastRequestAt > createdAt;
     }
 
-    public boolean closed() {
+    public boolean isClosed() {
         return closed;
     }
 
-    public boolean lingering() {
+    public boolean isLingering() {
         return lingering;
     }
 
-    public void say(byte[] words) {
+    public void send(byte[] bytes) {
         MemoryManager<?> memory = connection.getMemoryManager();
-        write(Buffers.wrap(memory, words), null);
+        write(Buffers.wrap(memory, bytes), null);
     }
 
     /** Writes these words and tells when their last byte is written. */
-    public void say(byte[] words, Runnable written) {
-        whenWritten = written;
-        say(words);
+    public void send(byte[] bytes, Runnable callback) {
+        onWritten = callback;
+        send(bytes);
     }
 
     /**
      * Writes these bytes; when too many wait, their sender is not read from until they are gone.
      */
-    public void write(Buffer bytes, PeerConnection from) {
-        if (closed || ended || endWhenWritten) {
+    public void write(Buffer bytes, PeerConnection sender) {
+        if (closed || outputShutDown || shutdownWhenWritten) {
             bytes.tryDispose();
             return;
         }
-        waiting++;
-        book.pendingWrites++;
+        pendingWrites++;
+        registry.pendingWrites++;
         bytes.allowBufferDispose(true);
         connection.write(
                 bytes,
                 new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
                     @Override
                     public void completed(WriteResult<Buffer, SocketAddress> result) {
-                        written();
+                        writeCompleted();
                     }
 
                     @Override
-                    public void failed(Throwable why) {
-                        waiting--;
-                        book.pendingWrites--;
-                        hold(null);
+                    public void failed(Throwable cause) {
+                        pendingWrites--;
+                        registry.pendingWrites--;
+                        pauseSender(null);
                     }
                 });
-        boolean much = waiting > (book.pendingWrites > book.maxPendingWrites ? 1 : MOST_WAITING);
-        if (much && from != null && feeder == null && !closed) {
-            book.count("slow_readers");
-            hold(from);
+        boolean tooMany =
+                pendingWrites
+                        > (registry.pendingWrites > registry.maxPendingWrites
+                                ? 1
+                                : MAX_PENDING_WRITES);
+        if (tooMany && sender != null && pausedSender == null && !closed) {
+            registry.count("slow_readers");
+            pauseSender(sender);
         }
     }
 
     /** Holds this sender back, or lets whom it holds back go on. */
-    private void hold(PeerConnection from) {
-        if (feeder != null) {
-            feeder.reading(true);
+    private void pauseSender(PeerConnection sender) {
+        if (pausedSender != null) {
+            pausedSender.setReading(true);
         }
-        feeder = from;
-        if (feeder != null) {
-            feeder.reading(false);
+        pausedSender = sender;
+        if (pausedSender != null) {
+            pausedSender.setReading(false);
         }
     }
 
-    private void written() {
-        book.pendingWrites--;
-        wroteAt = loop.now();
-        if (--waiting > 0) {
+    private void writeCompleted() {
+        registry.pendingWrites--;
+        lastWriteAt = eventLoop.now();
+        if (--pendingWrites > 0) {
             return;
         }
-        hold(null);
-        if (endWhenWritten) {
-            endSending();
+        pauseSender(null);
+        if (shutdownWhenWritten) {
+            shutdownOutput();
         }
         if (closeWhenWritten) {
             close();
         }
-        if (whenWritten != null) {
-            Runnable what = whenWritten;
-            whenWritten = null;
-            what.run();
+        if (onWritten != null) {
+            Runnable callback = onWritten;
+            onWritten = null;
+            callback.run();
         }
     }
 
     /** Reads on, or leaves what comes to the kernel until it is read on. */
-    public void reading(boolean on) {
-        if (closed || deaf && on) {
+    public void setReading(boolean enabled) {
+        if (closed || inputClosed && enabled) {
             return;
         }
         try {
-            if (on) {
+            if (enabled) {
                 connection.enableIOEvent(IOEvent.READ);
             } else {
                 connection.disableIOEvent(IOEvent.READ);
@@ -200,41 +207,43 @@
     }
 
     /** What a peer that should only wait has done meanwhile. */
-    public enum Meanwhile {
-        WAITED,
-        SPOKE,
-        ENDED
+    public enum PeekResult {
+        NO_DATA,
+        DATA,
+        END_OF_INPUT
     }
 
     /**
-     * Looks before the loop comes to it; a word that is found is taken, since nobody may say one
-     * now.
+     * Looks before the eventLoop comes to it; a word that is found is taken, since nobody may say
+     * one now.
      */
-    public Meanwhile peek() {
+    public PeekResult peek() {
         try {
-            int got = closed || deaf ? -1 : channel().read(ByteBuffer.allocate(1));
-            return got < 0 ? Meanwhile.ENDED : got > 0 ? Meanwhile.SPOKE : Meanwhile.WAITED;
+            int bytesRead = closed || inputClosed ? -1 : channel().read(ByteBuffer.allocate(1));
+            return bytesRead < 0
+                    ? PeekResult.END_OF_INPUT
+                    : bytesRead > 0 ? PeekResult.DATA : PeekResult.NO_DATA;
         } catch (IOException e) {
-            return Meanwhile.ENDED;
+            return PeekResult.END_OF_INPUT;
         }
     }
 
     /** Its incoming direction has ended: nothing more will be read. */
-    public void deaf() {
-        deaf = true;
-        reading(false);
+    public void stopReading() {
+        inputClosed = true;
+        setReading(false);
     }
 
     /** Ends the outgoing direction once all is written; the other direction goes on. */
-    public void endSending() {
-        if (closed || ended) {
+    public void shutdownOutput() {
+        if (closed || outputShutDown) {
             return;
         }
-        if (waiting > 0) {
-            endWhenWritten = true;
+        if (pendingWrites > 0) {
+            shutdownWhenWritten = true;
             return;
         }
-        ended = true;
+        outputShutDown = true;
         try {
             channel().shutdownOutput();
         } catch (IOException e) {
@@ -251,27 +260,27 @@
             return;
         }
         lingering = true;
-        lingeringSince = loop.now();
-        book.lingering++;
-        lobby.leaves(this);
-        reading(true);
-        endSending();
+        lingeringSince = eventLoop.now();
+        registry.lingering++;
+        idleConnections.addLingering(this);
+        setReading(true);
+        shutdownOutput();
     }
 
     /**
      * So much came after the last word. Who sends without end fills its own buffers from here on,
      * not our time.
      */
-    public void heedless(int bytes) {
-        heedless += bytes;
-        if (heedless > HEEDLESS) {
-            reading(false);
+    public void countDiscarded(int bytes) {
+        discardedBytes += bytes;
+        if (discardedBytes > MAX_DISCARDED_BYTES) {
+            setReading(false);
         }
     }
 
     /** Closes as soon as all is written: what a slow reader has not read yet is still its own. */
-    public void closeInOrder() {
-        if (waiting > 0) {
+    public void closeAfterWrites() {
+        if (pendingWrites > 0) {
             closeWhenWritten = true;
         } else {
             close();
@@ -281,14 +290,14 @@
     public void close() {
         if (!closed) {
             closed = true;
-            book.sockets--;
-            book.lingering -= lingering ? 1 : 0;
+            registry.sockets--;
+            registry.lingering -= lingering ? 1 : 0;
             connection.terminateSilently();
         }
     }
 
     /** The connection is gone without our doing; true the first time this is told. */
-    public boolean lost() {
+    public boolean markLost() {
         boolean first = !closed;
         close();
         return first;
--- a/relay/src/main/java/asterpulley/net/PollThrottle.java
+++ b/relay/src/main/java/asterpulley/net/PollThrottle.java
@@ -8,39 +8,40 @@
  */
 public final class PollThrottle {
     /** A watch goes on as long as the next call comes within 0.2 s of the last answer. */
-    private static final double KEPT_UP = 0.1;
+    private static final double POLL_DELAY_SECONDS = 0.1;
 
     /** An answer that came sooner did not wait for news. */
-    private static final double AT_ONCE = 0.5;
+    private static final double IMMEDIATE_ANSWER_SECONDS = 0.5;
 
     /** So many of them on end with nothing new, and nothing is waited for there. */
-    private static final int ON_END = 20;
+    private static final int MAX_EMPTY_ANSWERS = 20;
 
     /**
      * News that came at once are no reason to pause, so many in a row, and so many more a second.
      */
-    private static final double ROW = 20, A_SECOND = 10;
+    private static final double MAX_NEWS_BURST = 20, NEWS_PER_SECOND = 10;
 
-    private int idle;
-    private double row = ROW, lastAt;
+    private int emptyAnswers;
+    private double newsAllowance = MAX_NEWS_BURST, lastAnswerAt;
 
     /**
      * Told of each answer to a call that may wait, which came {@code took} seconds after it; how
      * long to wait before the next call.
      */
     public double delayAfterAnswer(boolean news, double took, double now) {
-        row = Math.min(ROW, row + A_SECOND * (now - lastAt));
-        lastAt = now;
-        if (took >= AT_ONCE) {
-            idle = 0;
+        newsAllowance =
+                Math.min(MAX_NEWS_BURST, newsAllowance + NEWS_PER_SECOND * (now - lastAnswerAt));
+        lastAnswerAt = now;
+        if (took >= IMMEDIATE_ANSWER_SECONDS) {
+            emptyAnswers = 0;
             return 0;
         }
-        if (news && row >= 1) {
-            row--;
+        if (news && newsAllowance >= 1) {
+            newsAllowance--;
             return 0;
         }
-        idle += news ? 0 : 1;
-        return KEPT_UP;
+        emptyAnswers += news ? 0 : 1;
+        return POLL_DELAY_SECONDS;
     }
 
     /**
@@ -48,6 +49,6 @@
      * is kept up any more.
      */
     public boolean isIneffective() {
-        return idle >= ON_END;
+        return emptyAnswers >= MAX_EMPTY_ANSWERS;
     }
 }
--- a/relay/src/main/java/asterpulley/net/SocketFilter.java
+++ b/relay/src/main/java/asterpulley/net/SocketFilter.java
@@ -32,62 +32,65 @@
     }
 
     private final TCPNIOTransport transport;
-    private final EventLoop loop;
-    private final TunnelRegistry book;
-    private final IdleConnections lobby;
+    private final EventLoop eventLoop;
+    private final TunnelRegistry registry;
+    private final IdleConnections idleConnections;
 
     public SocketFilter(
-            TCPNIOTransport transport, EventLoop loop, TunnelRegistry book, IdleConnections lobby) {
+            TCPNIOTransport transport,
+            EventLoop eventLoop,
+            TunnelRegistry registry,
+            IdleConnections idleConnections) {
         this.transport = transport;
-        this.loop = loop;
-        this.book = book;
-        this.lobby = lobby;
+        this.eventLoop = eventLoop;
+        this.registry = registry;
+        this.idleConnections = idleConnections;
     }
 
     @Override
     public NextAction handleAccept(FilterChainContext ctx) {
-        new PeerConnection(ctx.getConnection(), loop, book, lobby);
+        new PeerConnection(ctx.getConnection(), eventLoop, registry, idleConnections);
         return ctx.getInvokeAction();
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
         Connection<?> connection = ctx.getConnection();
-        PeerConnection leg = PeerConnection.of(connection);
-        if (leg == null || leg.closed()) {
+        PeerConnection peer = PeerConnection.of(connection);
+        if (peer == null || peer.isClosed()) {
             return ctx.getStopAction();
         }
         Buffer buffer = (Buffer) connection.getMemoryManager().allocate(BUFFER_BYTES);
-        ByteBuffer into = buffer.toByteBuffer();
-        int got;
-        InputEnd end = InputEnd.FIN;
+        ByteBuffer target = buffer.toByteBuffer();
+        int bytesRead;
+        InputEnd inputEnd = InputEnd.FIN;
         try {
-            got = ((SocketChannel) ((NIOConnection) connection).getChannel()).read(into);
+            bytesRead = ((SocketChannel) ((NIOConnection) connection).getChannel()).read(target);
         } catch (IOException e) {
-            got = -1;
-            end = InputEnd.RESET;
+            bytesRead = -1;
+            inputEnd = InputEnd.RESET;
         }
-        if (got <= 0 || leg.lingering()) {
+        if (bytesRead <= 0 || peer.isLingering()) {
             buffer.allowBufferDispose(true);
             buffer.tryDispose();
         }
-        if (leg.lingering()) {
-            if (got < 0) {
-                leg.close();
+        if (peer.isLingering()) {
+            if (bytesRead < 0) {
+                peer.close();
             } else {
-                leg.heedless(got);
+                peer.countDiscarded(bytesRead);
             }
             return ctx.getStopAction();
         }
-        if (got == 0) {
+        if (bytesRead == 0) {
             return ctx.getStopAction();
         }
-        if (got < 0) {
-            leg.deaf();
-            ctx.setMessage(end);
+        if (bytesRead < 0) {
+            peer.stopReading();
+            ctx.setMessage(inputEnd);
         } else {
             buffer.position(0);
-            buffer.limit(got);
+            buffer.limit(bytesRead);
             buffer.allowBufferDispose(true);
             ctx.setMessage(buffer);
         }
@@ -102,8 +105,8 @@
     /** A connection that broke while it was written to; one that this relay closed tells nobody. */
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
-        PeerConnection leg = PeerConnection.of(ctx.getConnection());
-        return leg != null && leg.lost() ? ctx.getInvokeAction() : ctx.getStopAction();
+        PeerConnection peer = PeerConnection.of(ctx.getConnection());
+        return peer != null && peer.markLost() ? ctx.getInvokeAction() : ctx.getStopAction();
     }
 
     /**
--- a/relay/src/main/java/asterpulley/net/TunnelContext.java
+++ b/relay/src/main/java/asterpulley/net/TunnelContext.java
@@ -3,7 +3,7 @@
 import asterpulley.LoadBalancer;
 
 /**
- * Owns what the stages know of one tunnel while it passes them: what its client asked and the
+ * Owns what the stages know of one tunnel while it passes them: what its client request and the
  * client's connection, the setup that is out, the backend's connection, and whether the client has
  * its final answer. It must hold no rules of its own: the stages act, this only remembers.
  */
@@ -49,13 +49,16 @@
     public int slowReports;
 
     public TunnelContext(
-            PeerConnection client, TunnelRequest asked, TunnelProtocol talk, double takenAt) {
-        this.protocol = talk;
+            PeerConnection client,
+            TunnelRequest request,
+            TunnelProtocol protocol,
+            double receivedAt) {
+        this.protocol = protocol;
         this.client = client;
-        this.request = asked;
-        this.receivedAt = takenAt;
+        this.request = request;
+        this.receivedAt = receivedAt;
         if (client != null) {
-            client.passage = this;
+            client.tunnel = this;
         }
     }
 
--- a/relay/src/main/java/asterpulley/net/TunnelRegistry.java
+++ b/relay/src/main/java/asterpulley/net/TunnelRegistry.java
@@ -13,24 +13,24 @@
 import java.util.logging.Logger;
 
 /**
- * The last stage, book: owns the relay's counters and the record of every tunnel that it holds.
+ * The last stage, registry: owns the relay's counters and the record of every tunnel that it holds.
  * What the other stages take in, send and answer is counted here, and a tunnel is let go here,
- * once. It must never change what happens to a tunnel.
+ * once. It must never change counter happens to a tunnel.
  */
 public final class TunnelRegistry {
     private static final Logger LOG = Logger.getLogger("asterpulley.net.Book");
 
     /** Ids of ended tunnels that are remembered: some seconds' worth, in under a megabyte. */
-    private static final int ENDED_IDS = 4096;
+    private static final int MAX_ENDED_IDS = 4096;
 
     private final Map<String, Long> counters = new TreeMap<>();
-    private final Map<Long, TunnelContext> passages = new HashMap<>();
+    private final Map<Long, TunnelContext> tunnels = new HashMap<>();
     private final Set<String> openIds = new HashSet<>();
     private final Map<String, Boolean> endedIds =
             new LinkedHashMap<>() {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-                    return size() > ENDED_IDS;
+                    return size() > MAX_ENDED_IDS;
                 }
             };
 
@@ -42,11 +42,11 @@
     }
 
     /** Answers by profile: the one count of them, whoever shows it. */
-    private final Map<Answer, long[]> answers = new EnumMap<>(Answer.class);
+    private final Map<Answer, long[]> answerCounts = new EnumMap<>(Answer.class);
 
     private List<String> profiles = List.of();
     private long lastId;
-    private Consumer<TunnelContext> left = passage -> {};
+    private Consumer<TunnelContext> removalListener = tunnel -> {};
     public double lastAcceptedAt;
 
     /**
@@ -68,14 +68,15 @@
     }
 
     /**
-     * Their names from now on, by their place in the settings: new ones come behind, and what was
-     * counted stays.
+     * Their names from now on, by their place in the settings: new ones come behind, and counter
+     * was counted stays.
      */
     public void profiles(List<String> names) {
         profiles = names;
         for (Answer answer : Answer.values()) {
-            answers.put(
-                    answer, Arrays.copyOf(answers.getOrDefault(answer, new long[0]), names.size()));
+            answerCounts.put(
+                    answer,
+                    Arrays.copyOf(answerCounts.getOrDefault(answer, new long[0]), names.size()));
         }
     }
 
@@ -85,34 +86,34 @@
 
     /** How many tunnels of this profile were answered so. */
     public long answerCount(Answer answer, int profile) {
-        return answers.get(answer)[profile];
+        return answerCounts.get(answer)[profile];
     }
 
     private long answerCount(Answer answer) {
-        return Arrays.stream(answers.get(answer)).sum();
+        return Arrays.stream(answerCounts.get(answer)).sum();
     }
 
     /** Final answer: opened; the client is told by whoever owns the tunnel from here on. */
-    public void recordOpened(TunnelContext passage) {
-        answers.get(Answer.OPENED)[passage.request.profile()]++;
+    public void recordOpened(TunnelContext tunnel) {
+        answerCounts.get(Answer.OPENED)[tunnel.request.profile()]++;
     }
 
-    public void count(String what) {
-        counters.merge(what, 1L, Long::sum);
+    public void count(String counter) {
+        counters.merge(counter, 1L, Long::sum);
     }
 
-    public void add(String what, long amount) {
-        counters.merge(what, amount, Long::sum);
+    public void add(String counter, long amount) {
+        counters.merge(counter, amount, Long::sum);
     }
 
     /** What was counted under this name; an answer's name stands for all profiles. */
-    public long counterValue(String what) {
+    public long counterValue(String counter) {
         for (Answer answer : Answer.values()) {
-            if (answer.name().toLowerCase().equals(what)) {
+            if (answer.name().toLowerCase().equals(counter)) {
                 return answerCount(answer);
             }
         }
-        return counters.getOrDefault(what, 0L);
+        return counters.getOrDefault(counter, 0L);
     }
 
     /**
@@ -125,81 +126,81 @@
     }
 
     /** Opens the record of a tunnel; its number is this relay's own, never a client's. */
-    public long enter(TunnelContext passage) {
-        passages.put(++lastId, passage);
+    public long register(TunnelContext tunnel) {
+        tunnels.put(++lastId, tunnel);
         return lastId;
     }
 
     public TunnelContext find(long id) {
-        return passages.get(id);
+        return tunnels.get(id);
     }
 
     public List<TunnelContext> all() {
-        return List.copyOf(passages.values());
+        return List.copyOf(tunnels.values());
     }
 
     public int held() {
-        return passages.size();
+        return tunnels.size();
     }
 
     /** How many tunnels have no socket at a backend yet, or none any more, and will need one. */
-    public int undialled() {
+    public int awaitingBackendSocket() {
         int count = 0;
-        for (TunnelContext passage : passages.values()) {
-            count += passage.answered || passage.setupPending ? 0 : 1;
+        for (TunnelContext tunnel : tunnels.values()) {
+            count += tunnel.answered || tunnel.setupPending ? 0 : 1;
         }
         return count;
     }
 
     /** Is told of every tunnel as it is let go. */
-    public void whenLeft(Consumer<TunnelContext> then) {
-        left = then;
+    public void setRemovalListener(Consumer<TunnelContext> listener) {
+        removalListener = listener;
     }
 
-    public void remove(TunnelContext passage) {
-        passages.remove(passage.id);
-        left.accept(passage);
-        openIds.remove(passage.request.id());
-        endedIds.put(passage.request.id(), true);
-        if (passage.clientTimer != null) {
-            passage.clientTimer.cancel();
+    public void remove(TunnelContext tunnel) {
+        tunnels.remove(tunnel.id);
+        removalListener.accept(tunnel);
+        openIds.remove(tunnel.request.id());
+        endedIds.put(tunnel.request.id(), true);
+        if (tunnel.clientTimer != null) {
+            tunnel.clientTimer.cancel();
         }
     }
 
     /** Final answer: declined, come back after so many seconds (0: no advice). */
-    public void decline(TunnelContext passage, double retryAfter) {
-        if (answerCount(passage, Answer.DECLINED)) {
-            passage.protocol.decline(passage.client, retryAfter);
-            answered(passage);
+    public void decline(TunnelContext tunnel, double retryAfter) {
+        if (recordFinalAnswer(tunnel, Answer.DECLINED)) {
+            tunnel.protocol.decline(tunnel.client, retryAfter);
+            lingerAndRemove(tunnel);
         }
     }
 
     /** Final answer: closed with error. */
-    public void closeWithError(TunnelContext passage) {
-        if (answerCount(passage, Answer.CLOSED_WITH_ERROR)) {
-            passage.protocol.closeWithError(passage.client);
-            answered(passage);
+    public void closeWithError(TunnelContext tunnel) {
+        if (recordFinalAnswer(tunnel, Answer.CLOSED_WITH_ERROR)) {
+            tunnel.protocol.closeWithError(tunnel.client);
+            lingerAndRemove(tunnel);
         }
     }
 
     /**
      * There is one final answer, so a second is dropped, and so is one to a tunnel that is gone.
      */
-    private boolean answerCount(TunnelContext passage, Answer answer) {
-        if (passage == null || passage.answered) {
+    private boolean recordFinalAnswer(TunnelContext tunnel, Answer answer) {
+        if (tunnel == null || tunnel.answered) {
             return false;
         }
-        answers.get(answer)[passage.request.profile()]++;
-        passage.answered = true;
-        passage.finished = true;
+        answerCounts.get(answer)[tunnel.request.profile()]++;
+        tunnel.answered = true;
+        tunnel.finished = true;
         return true;
     }
 
-    private void answered(TunnelContext passage) {
-        if (passage.client != null) {
-            passage.client.linger();
+    private void lingerAndRemove(TunnelContext tunnel) {
+        if (tunnel.client != null) {
+            tunnel.client.linger();
         }
-        remove(passage);
+        remove(tunnel);
     }
 
     public void log(String line) {
@@ -209,7 +210,7 @@
     @Override
     public String toString() {
         StringBuilder line = new StringBuilder("held=" + held() + " sockets=" + sockets);
-        answers.forEach(
+        answerCounts.forEach(
                 (answer, by) -> {
                     line.append(' ')
                             .append(answer.name().toLowerCase())
