--- a/relay/src/main/java/asterpulley/line/ClientRequestFilter.java
+++ b/relay/src/main/java/asterpulley/line/ClientRequestFilter.java
@@ -13,10 +13,10 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The first stage, take in: owns a client's connection until its first line is whole. It answers
- * the front's checks, turns an opening into a tunnel and hands that on; whatever else comes is
- * answered and ended at once. It must never pass on what is not an opening to the letter, and never
- * wait for a client that does not speak.
+ * First filter of the client chain: owns a client's connection until its first line is complete. It
+ * answers the front-end balancer's health checks, turns an {@code OPEN} line into a tunnel and
+ * passes that on; anything else is answered and closed at once. It must never pass on a line that
+ * is not a valid {@code OPEN}, and never wait for a client that sends nothing.
  */
 public final class ClientRequestFilter extends BaseFilter {
     private final EventLoop eventLoop;
@@ -26,7 +26,7 @@
     private final IdleConnections idleConnections;
     private final BooleanSupplier acceptsClients;
 
-    /** {@code wanted}: whether the front shall send more clients here. */
+    /** {@code acceptsClients}: whether the front-end balancer should send more clients here. */
     public ClientRequestFilter(
             EventLoop eventLoop,
             LineCodec codec,
@@ -43,8 +43,8 @@
     }
 
     /**
-     * The names that lines may use from now on; a line in part is read by those of when it is
-     * whole.
+     * Sets the codec, and so the names that lines may use, from now on. A line received in part is
+     * read with the codec in force when it is complete.
      */
     public void setCodec(LineCodec updated) {
         codec = updated;
@@ -69,8 +69,8 @@
             return ctx.getStopAction();
         }
         String line = LineAssembler.of(peer).nextLine(in);
-        // A client waits for the answer to its line: what has more behind it is none, and nothing
-        // of it is heeded.
+        // // A client waits for the answer to its line: one that sends more behind it is no
+        // client, and nothing of it is used.
         boolean malformed =
                 LineAssembler.of(peer).isTooLong()
                         || line != null
--- a/relay/src/main/java/asterpulley/line/ForwardingFilter.java
+++ b/relay/src/main/java/asterpulley/line/ForwardingFilter.java
@@ -13,33 +13,36 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The fifth stage, relay: owns a tunnel that stands. It passes bytes both ways unchanged and as
- * they come, reads along for what the backend tells of the tunnel, ends each side as the otherPeer
- * ended, and moves clients away. It must never change a byte, never speak to a client in the middle
- * of a line, and never hold a line back.
+ * Last filter of both chains: owns established tunnels. It forwards bytes both ways unchanged and
+ * as they arrive, reads along to see what the backend reports of the tunnel, ends each side as the
+ * other ended, and moves clients away. It must never change a byte, never send to a client in the
+ * middle of a line, and never hold a line back.
  */
 public final class ForwardingFilter extends BaseFilter {
-    /** One side has ended and the otherPeer says nothing this long: it holds sockets for nobody. */
+    /**
+     * If one side has ended and nothing is transferred for this long, the tunnel holds sockets for
+     * nobody.
+     */
     private static final double HALF_CLOSED_TIMEOUT_SECONDS = 10;
 
     /**
-     * A client must not wait for ever on what fell silent. The platform bounds that at 7 s from
-     * where it stopped, which may be 2 s, the time between two lines of a client, before the first
-     * line that nothing answers.
+     * A client is moved if its lines are unanswered for this long. The platform allows 7 s from the
+     * moment the backend stops, and up to 2 s of those, the time between two lines of a client, may
+     * pass before the first unanswered line.
      */
     private static final double SILENT_BACKEND_SECONDS = 3.5;
 
     /**
-     * A sound backend brings a line back at once: from here on the module is told, as often as
-     * this.
+     * A healthy backend returns a line at once: a delay is reported to the load balancer from here
+     * on, and again at this interval.
      */
     private static final double SLOW_REPORT_INTERVAL_SECONDS = 1.1;
 
     private static final double SWEEP_INTERVAL_SECONDS = 0.25;
 
     /**
-     * A line that the backend does not finish can not be waited for any longer than it may be held
-     * back.
+     * How long to wait, before a move, for a backend to complete a line. It may not hold the client
+     * back for longer.
      */
     private static final double PARTIAL_LINE_TIMEOUT_SECONDS = 0.8;
 
@@ -60,8 +63,8 @@
     }
 
     /**
-     * Starts the watch over silent backends: what passes here tells of one sooner than its load
-     * reports do.
+     * Watches for backends that stopped answering, now and at each interval from now on: the lines
+     * forwarded here show that sooner than load reports do.
      */
     public void start() {
         for (TunnelContext tunnel : registry.all()) {
@@ -91,8 +94,8 @@
         } else if (!tunnel.established && (tunnel.finished || !fromClient)) {
             ((Buffer) message).tryDispose();
         } else if (!tunnel.established) {
-            // A client waited for its answer: words before it are no client's, and no backend shall
-            // have to read them.
+            // // A client waits for its answer: one that sends before it is no client, and no
+            // backend should have to read that.
             ((Buffer) message).tryDispose();
             registry.count("early_words");
             loadBalancerFilter.abort(tunnel);
@@ -157,7 +160,7 @@
         }
     }
 
-    /** One side ended: so does the otherPeer, in the same way. */
+    /** One side ended, so the other is ended in the same way. */
     private void connectionEnded(
             TunnelContext tunnel, PeerConnection peer, SocketFilter.InputEnd end) {
         boolean fromClient = tunnel.client == peer;
@@ -179,8 +182,8 @@
         tunnel.clientEnded |= fromClient;
         tunnel.backendEnded |= !fromClient;
         if (!fromClient && tunnel.backendEndCause != null) {
-            // A reset on a client's last line must not destroy the backend's last word to that
-            // client.
+            // // A reset caused by a client's last line must not destroy the backend's final
+            // message to that client.
             finish(tunnel, cause);
             peer.close();
             otherPeer.linger();
@@ -203,7 +206,7 @@
     }
 
     /**
-     * Guards against a side that never ends: a client's machine, or a backend's, that fell silent.
+     * Guards against a side that never ends because its machine, client or backend, fell silent.
      */
     private void checkHalfClosed(TunnelContext tunnel) {
         if (tunnel.client.isClosed() && tunnel.backend.isClosed()) {
@@ -225,9 +228,9 @@
     }
 
     /**
-     * The client left before its answer, or only ended its own sending: nobody can tell. What was
-     * sent whole may still open and is waited for; nothing is sent on from here, and in any case
-     * there is an answer.
+     * The client left before its answer, or only ended its output: the two look the same. A setup
+     * that was sent in full may still open and is waited for; nothing further is sent, and the
+     * client gets an answer in any case.
      */
     private void clientEndedBeforeAnswer(TunnelContext tunnel, SocketFilter.InputEnd end) {
         if (tunnel.finished) {
@@ -255,7 +258,7 @@
         }
     }
 
-    /** Sends the client elsewhere, as soon as no line is under way to it. */
+    /** Tells the client to connect elsewhere as soon as no line is in transit to it. */
     public void move(TunnelContext tunnel) {
         if (!tunnel.established || tunnel.finished || tunnel.moving) {
             return;
--- a/relay/src/main/java/asterpulley/line/LineAssembler.java
+++ b/relay/src/main/java/asterpulley/line/LineAssembler.java
@@ -5,16 +5,15 @@
 import org.glassfish.grizzly.Buffer;
 
 /**
- * Owns a line that has come only in part. Bytes go in as they were read, whole lines come out,
- * however they were split or joined on their way. It must never keep more than the longest line,
- * and never lose a byte behind one.
+ * Assembles lines from bytes as they are read, however the network split or joined them. It must
+ * never keep more than the longest line, and never lose a byte behind a line.
  */
 public final class LineAssembler {
     private byte[] bytes = new byte[128];
     private int size;
     private boolean tooLong, bareLineFeed;
 
-    /** What has come in part on this connection. */
+    /** The assembler of this connection, created on first use. */
     public static LineAssembler of(PeerConnection peer) {
         if (peer.decoderState == null) {
             peer.decoderState = new LineAssembler();
@@ -23,8 +22,8 @@
     }
 
     /**
-     * The next whole line, without its end; null when it is still to come. What follows it stays in
-     * the buffer.
+     * The next complete line, without its line end; null if it is still incomplete. What follows
+     * the line stays in the buffer.
      */
     public String nextLine(Buffer in) {
         while (in.hasRemaining()) {
@@ -48,17 +47,17 @@
         return null;
     }
 
-    /** True once a line came that is longer than any may be. */
+    /** True once a line was longer than allowed. */
     public boolean isTooLong() {
         return tooLong;
     }
 
-    /** True when the last line ended without its carriage return. */
+    /** True if the last line ended without a carriage return. */
     public boolean endedWithBareLineFeed() {
         return bareLineFeed;
     }
 
-    /** True between two lines. */
+    /** True if no line has been received in part. */
     public boolean isBetweenLines() {
         return size == 0;
     }
--- a/relay/src/main/java/asterpulley/line/LineCodec.java
+++ b/relay/src/main/java/asterpulley/line/LineCodec.java
@@ -12,14 +12,17 @@
 import java.util.regex.Pattern;
 
 /**
- * Owns the words of the platform's line protocol: lines are read into the relay's terms here and
- * written here, and nowhere else. It must never decide anything, nor touch a socket.
+ * Reads and writes the lines of the platform's line protocol; no other class knows their words. It
+ * must never decide anything, nor use a socket.
  */
 public final class LineCodec {
-    /** The longest line that is taken. */
+    /** The longest line accepted. */
     public static final int MAX_LINE_BYTES = 4096;
 
-    /** Lines go on byte for byte, whatever a client wrote in them. */
+    /**
+     * One byte for each character, so that lines are passed on byte for byte, whatever a client
+     * wrote in them.
+     */
     public static final Charset CHARSET = StandardCharsets.ISO_8859_1;
 
     public static final String PONG = "PONG";
@@ -31,14 +34,14 @@
 
     private static final Pattern HEX_ID = Pattern.compile("[0-9a-fA-F]{1,32}");
 
-    /** No blank, no control character. */
+    /** No blanks and no control characters. */
     private static final Pattern PRINTABLE = Pattern.compile("[!-~\\x80-\\xff]+");
 
     private static final Pattern MILLISECONDS = Pattern.compile("[1-9][0-9]{0,9}");
 
     /**
-     * A client's first line; {@code patience} is NaN where it names none, as only a standing
-     * tunnel's may.
+     * A client's first line; {@code clientTimeout} is NaN if the line names none, which only the
+     * line of an established tunnel may.
      */
     public record OpenRequest(
             String id,
@@ -51,7 +54,7 @@
             String beforeTimeout,
             String afterTimeout)
             implements TunnelRequest {
-        /** The line for a backend: unchanged but for how long this relay will wait. */
+        /** The line for a backend: unchanged except for how long this relay will wait. */
         @Override
         public byte[] setupMessage(double wait) {
             return encode(
@@ -61,7 +64,7 @@
         }
     }
 
-    /** A line as it goes out. */
+    /** The bytes of a line with its line end. */
     public static byte[] encode(String text) {
         return (text + "\r\n").getBytes(CHARSET);
     }
@@ -69,13 +72,13 @@
     private final Map<String, Integer> profiles;
     private final Map<String, Integer> customers;
 
-    /** The names that lines may use, by their place in the settings. */
+    /** Takes the names that lines may use, with their indexes, from the settings. */
     public LineCodec(Map<String, Object> settings) {
         profiles = indexByName(settings, "profiles");
         customers = indexByName(settings, "tenants");
     }
 
-    /** Names as the bytes of a line have them. */
+    /** Indexes by name, each name decoded as it is in a line. */
     private static Map<String, Integer> indexByName(Map<String, Object> settings, String section) {
         Map<String, Integer> indexes = new HashMap<>();
         SettingsDecoder.activeIndexes(settings, section)
@@ -88,8 +91,8 @@
     }
 
     /**
-     * Null where the line is not an opening to the letter: backends close on what they cannot read,
-     * and what one client sent must never cost another its tunnel.
+     * Null if the line is not exactly a valid {@code OPEN}: backends close a connection on what
+     * they cannot read, and what one client sent must never cost another its tunnel.
      */
     public OpenRequest parseOpen(String line) {
         String[] words = line.split(" ", -1);
@@ -152,7 +155,7 @@
         return line.startsWith("UP ");
     }
 
-    /** What a backend's line says of the tunnel's end; null where it says nothing of that. */
+    /** How a backend's line says that the tunnel ends; null if it does not. */
     public static Termination.Cause endCause(String line) {
         int space = line.indexOf(' ');
         return switch (space < 0 ? line : line.substring(0, space)) {
@@ -164,7 +167,7 @@
         };
     }
 
-    /** A tunnel's load in cores, where this line tells it; else NaN. */
+    /** The tunnel's load in cores if this line reports it, else NaN. */
     public static double parseLoad(String line) {
         if (!line.startsWith("LOAD ")) {
             return Double.NaN;
@@ -182,7 +185,7 @@
                 : Termination.Cause.BUSY == endCause(line) ? Outcome.FULL : Outcome.FAILED;
     }
 
-    /** The load report behind an answer's first word, where there is one. */
+    /** The load report behind the first word of a probe's answer; empty if there is none. */
     public static LoadReport parseReport(String line) {
         Map<String, Object> figures = new HashMap<>();
         int space = line.indexOf(' ');
@@ -194,14 +197,14 @@
                         reportKey(pair.substring(0, Math.max(0, equals))),
                         Double.valueOf(pair.substring(equals + 1)));
             } catch (NumberFormatException e) {
-                // A figure that is no number is left out, the others count.
+                // // A value that is no number is left out; the others count.
                 continue;
             }
         }
         return SettingsDecoder.decodeReport(figures);
     }
 
-    /** Lines may name figures otherwise than the settings do. */
+    /** Translates the names that lines have for some values into those of the settings. */
     private static String reportKey(String figure) {
         return switch (figure) {
             case "util" -> "busy";
--- a/relay/src/main/java/asterpulley/line/LineProtocol.java
+++ b/relay/src/main/java/asterpulley/line/LineProtocol.java
@@ -5,14 +5,14 @@
 import asterpulley.net.TunnelProtocol;
 
 /**
- * The line protocol's side of the shared stages: says its words to clients, and hands setups and
- * moves to the stages that own them. It must hold nothing itself.
+ * The line protocol as the shared filters use it: sends its answers to clients and passes setups
+ * and moves to the filters that carry them out. It holds no state of its own.
  */
 public final class LineProtocol implements TunnelProtocol {
     private SetupFilter setupFilter;
     private ForwardingFilter forwardingFilter;
 
-    /** The stages that it stands for, once they are there. */
+    /** Sets the filters to which calls are passed, once they exist. */
     public void setFilters(SetupFilter setupFilter, ForwardingFilter forwardingFilter) {
         this.setupFilter = setupFilter;
         this.forwardingFilter = forwardingFilter;
--- a/relay/src/main/java/asterpulley/line/ProbeFilter.java
+++ b/relay/src/main/java/asterpulley/line/ProbeFilter.java
@@ -19,26 +19,26 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Owns the connections on which backends are asked for their load: one a backend, kept between
- * questions because a new one costs the backend work and room. It must answer every question
- * exactly once, and never judge by itself.
+ * The connections on which backends are asked for their load: one for each backend, kept between
+ * probes because a new connection costs the backend processor time and a socket. Each probe must
+ * end in exactly one result, which is reported and never interpreted here.
  */
 public final class ProbeFilter extends BaseFilter {
     /**
-     * A connection unused this long is of a backend that nobody asks any more, or of a machine that
-     * fell silent.
+     * A connection unused for this long belongs to a backend that nobody probes any more, or to a
+     * machine that fell silent.
      */
     private static final double UNUSED_TIMEOUT_SECONDS = 60;
 
-    /** One backend's connection and the question that is out on it. */
+    /** One backend's connection and the probe in progress on it. */
     private static final class BackendProbe {
         private final String serverName;
         private String address;
         private PeerConnection connection;
 
         /**
-         * The number of the question that is out, or was: who dialled for an earlier one is not
-         * heard any more.
+         * The number of the current or last probe; callbacks of a connection attempt for an earlier
+         * one are ignored.
          */
         private int probeNumber;
 
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Counts from the next question on: an answer later than any tunnel's goal says that a tunnel
-     * would be too late as well.
+     * Applies from the next probe on. The timeout is the shortest setup goal of all profiles: a
+     * backend that answers later would be too late for a tunnel as well.
      */
     public void updateSettings(Settings settings) {
         answerTimeout = settings.profiles.stream().mapToDouble(p -> p.setupGoal).min().orElse(0.5);
@@ -86,7 +86,7 @@
         this.filterChain = filterChain;
     }
 
-    /** Starts the watch over unused connections. */
+    /** Closes connections that are unused for too long, now and at intervals from now on. */
     public void start() {
         probesByServer
                 .values()
@@ -105,8 +105,9 @@
     }
 
     /**
-     * Ends so many connections on which nothing is asked, the longest unused first, for who needs a
-     * socket now; ends none and says no where there are fewer. The next question dials anew.
+     * Closes this many connections with no probe in progress, those unused for longest first, to
+     * free their sockets. If there are fewer, closes none and returns false. The next probe
+     * connects again.
      */
     public boolean closeUnused(int count) {
         List<BackendProbe> unused =
@@ -147,7 +148,8 @@
                 && !probe.connection.isClosed()
                 && address != null
                 && !address.equals(probe.address)) {
-            // The backend is reached elsewhere now: what the old connection tells is not of it.
+            // // The backend's address has changed: an answer on the old connection is not from
+            // it.
             closeConnection(probe.connection);
         }
         probe.address = address;
@@ -224,8 +226,8 @@
             if (probe.newConnection) {
                 probeFailed(probe, probe.probeNumber, Termination.Cause.BROKEN);
             } else {
-                // It was closed as idle just when the question went out: that says nothing of the
-                // backend.
+                // // The backend closed the idle connection just as the probe was sent, which says
+                // nothing of the backend's state.
                 dial(probe);
             }
         }
--- a/relay/src/main/java/asterpulley/line/SetupFilter.java
+++ b/relay/src/main/java/asterpulley/line/SetupFilter.java
@@ -14,14 +14,14 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The fourth stage, send: owns a setup from its connect to the backend's first word. It knows at
- * every moment how far the setup has come, so that its end tells truly whether it may have run. It
- * must never have two setups of a tunnel out, and never send one again by itself.
+ * First filter of the backend chain: owns a setup from its connection attempt to the backend's
+ * first answer. It tracks how far the setup has come, so that its end tells correctly whether it
+ * may have run. It must never have two setups of a tunnel in progress, and never retry by itself.
  */
 public final class SetupFilter extends BaseFilter {
     /**
-     * Tunnels that stood before the relay started are tried for as long as the platform waits for
-     * them.
+     * Tunnels that were established before the relay started are retried for as long as the
+     * platform waits for them.
      */
     private static final double REOPEN_DEADLINE_SECONDS = 35;
 
@@ -45,7 +45,7 @@
         this.loadBalancerFilter = loadBalancerFilter;
     }
 
-    /** The chain that backends' connections pass; this stage is in it. */
+    /** Sets the filter chain of backend connections, of which this filter is a part. */
     public void setFilterChain(FilterChain filterChain) {
         this.filterChain = filterChain;
     }
@@ -71,7 +71,8 @@
     }
 
     /**
-     * A tunnel that stood at this backend before the relay started: it goes there and nowhere else.
+     * Reopens a tunnel that was established at this backend before the relay started; it goes there
+     * and nowhere else.
      */
     public void reopen(TunnelContext tunnel) {
         if (tunnel.finished) {
@@ -98,7 +99,8 @@
         }
         switch (tunnel.client.peek()) {
             case END_OF_INPUT -> {
-                // It left in this very turn, or while this process stood still.
+                // // It left in this very pass over the sockets, or while this process was
+                // suspended.
                 registry.count("left_before_answer");
                 tunnel.clientEnded = true;
                 loadBalancerFilter.clientWithdrew(tunnel);
@@ -111,7 +113,7 @@
                 return;
             }
             default -> {
-                // It waits, as a client does.
+                // // It waits, as a client does.
             }
         }
         peer.tunnel = tunnel;
@@ -172,8 +174,8 @@
         registry.recordOpened(tunnel);
         tunnel.client.send(LineCodec.encode(line));
         if (tunnel.clientEnded) {
-            // It ended its sending behind its line, and only that: the backend is told so, and it
-            // gets its answer.
+            // // The client ended its output behind its line and nothing more: pass that on to the
+            // backend; the client still gets its answer.
             peer.shutdownOutput();
         }
         loadBalancerFilter.tunnelOpened(tunnel);
@@ -197,7 +199,7 @@
         return ctx.getInvokeAction();
     }
 
-    /** The client left while the setup was out. */
+    /** Gives up the setup in progress, since its client left. */
     public void abandonSetup(TunnelContext tunnel) {
         if (tunnel.setupPending) {
             setupFailed(tunnel, tunnel.setupCount, Termination.Cause.CLIENT_LEFT);
@@ -205,8 +207,8 @@
     }
 
     /**
-     * Its server is to get nothing new: what is not written yet is known not to run, and goes
-     * elsewhere at once.
+     * Gives up the setup in progress if nothing of it is written, since its server is to get
+     * nothing new. It is then known not to have run and is placed elsewhere at once.
      */
     public void recallSetup(TunnelContext tunnel) {
         if (tunnel.setupPending && tunnel.progress == Termination.Progress.NOT_CONNECTED) {
--- a/relay/src/main/java/asterpulley/net/AcceptStrategy.java
+++ b/relay/src/main/java/asterpulley/net/AcceptStrategy.java
@@ -11,16 +11,19 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Owns when a connection is accepted: as soon as it comes, or in the queue's turn where idle ones
- * hold all descriptors. Where the machine gives none Grizzly says nothing of it, and the next round
- * of the eventLoop would meet the same connection again, without a pause. All else is done enabled
- * the eventLoop's one thread as usual. It must never give an address up, nor leave the queue for
- * longer than an idle client has for its line.
+ * Decides when a connection is accepted: at once or, while idle connections hold all descriptors,
+ * only when one of them can be reclaimed. If the machine has no descriptor left, Grizzly reports
+ * nothing and the next round of the event loop would try the same connection again without a pause.
+ * All other events run on the event loop's single thread as usual. This class must never give up a
+ * listening address, nor leave a connection in the queue for longer than an idle client has to send
+ * its line.
  */
 public final class AcceptStrategy implements IOStrategy {
     private static final SameThreadIOStrategy DEFAULT = SameThreadIOStrategy.getInstance();
 
-    /** Long enough for what gave way to be closed, short for who waits in the queue. */
+    /**
+     * Long enough for reclaimed connections to be closed, short for clients that wait in the queue.
+     */
     private static final double RETRY_DELAY_SECONDS = 0.02;
 
     private final EventLoop eventLoop;
@@ -42,7 +45,7 @@
         if (event != IOEvent.SERVER_ACCEPT) {
             return DEFAULT.executeIoEvent(connection, event, enabled);
         }
-        // The operators' address has sockets of its own.
+        // // The operators' address has sockets of its own.
         double delay =
                 ClientListener.isClientListener(connection) ? admissionFilter.acceptDelay() : 0;
         if (delay <= 0) {
@@ -68,7 +71,8 @@
                 server.disableIOEvent(IOEvent.SERVER_ACCEPT);
             }
         } catch (IOException e) {
-            throw new IllegalStateException("the clients' address", e);
+            throw new IllegalStateException(
+                    "cannot change whether the clients' address accepts", e);
         }
     }
 
--- a/relay/src/main/java/asterpulley/net/Addresses.java
+++ b/relay/src/main/java/asterpulley/net/Addresses.java
@@ -3,14 +3,11 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 
-/**
- * Owns how addresses are read: as numbers and a port, since there are no names to look up. It must
- * never look one up.
- */
+/** Parses and formats addresses: a numeric IP address and a port. It must never look up a name. */
 public final class Addresses {
     private Addresses() {}
 
-    /** Empty where the text is no address and port. */
+    /** Empty if the text is not a numeric address with a port. */
     public static Optional<InetSocketAddress> parse(String text) {
         int colon = text.lastIndexOf(':');
         try {
@@ -19,7 +16,8 @@
                 return Optional.of(new InetSocketAddress(text.substring(0, colon), port));
             }
         } catch (IllegalArgumentException e) {
-            // Told below like every other wrong address.
+            // // The port is not a number or out of range: no address, like any other malformed
+            // text.
             return Optional.empty();
         }
         return Optional.empty();
--- a/relay/src/main/java/asterpulley/net/AdmissionFilter.java
+++ b/relay/src/main/java/asterpulley/net/AdmissionFilter.java
@@ -8,13 +8,13 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The second stage, admit: owns the relay's own room, which is sockets. A tunnel needs two, and
- * some stay in reserve so that newcomers can always be accepted and told to come back. It must
- * never judge backends: that is the module's; and never decline a client with a whole line while
- * enough idle ones can make room for it.
+ * Second filter of the client chain: owns the relay's own capacity, which is its sockets. A tunnel
+ * needs two, and some stay in reserve so that new clients can always be accepted and told when to
+ * come back. It must never judge backends, which is up to the load balancer, and never decline a
+ * complete request while enough idle connections can make room for it.
  */
 public final class AdmissionFilter extends BaseFilter {
-    /** Who else holds the machine's descriptors may have let them go by then. */
+    /** Whatever else uses up the machine's descriptors may have released them by then. */
     private static final double SHORTAGE_SECONDS = 5;
 
     private final EventLoop eventLoop;
@@ -24,7 +24,10 @@
     private final IdleConnections idleConnections;
     private final Random random;
 
-    /** As told; less where the machine gave fewer of late. */
+    /**
+     * The limit as configured, and the one in force, which is lower after the machine lately had no
+     * descriptor left.
+     */
     private int configuredLimit, socketLimit;
 
     private int reserve;
@@ -46,14 +49,14 @@
         this.random = random;
     }
 
-    /** These count from now on. */
+    /** Applies new settings from now on. */
     public void updateSettings(Settings updated) {
         settings = updated;
     }
 
     /**
-     * The sockets that tunnels, probes and newcomers may take together. The bound may change while
-     * tunnels stand: what is above a lower one leaves by itself, and nothing new comes meanwhile.
+     * The sockets that tunnels, probes and new clients may use together. The limit may change while
+     * tunnels are open: those above a lower one leave by themselves, and none are added meanwhile.
      */
     public void setSocketLimit(int sockets) {
         configuredLimit = sockets;
@@ -67,15 +70,15 @@
     }
 
     /**
-     * The machine refused a descriptor: what is in use now is the bound, for a while, and who is
-     * idle makes room below it. A newcomer waits in the queue meanwhile, and setups still get
-     * theirs.
+     * The machine refused a descriptor: for a while, the number in use now is the limit and idle
+     * connections are closed to get below it. New clients wait in the queue meanwhile; setups still
+     * get their sockets.
      */
     void acceptFailed(IOException cause) {
         registry.count("accepts_refused");
         if (shortageTimer == null) {
             registry.log(
-                    "no descriptor for a newcomer ("
+                    "no file descriptor for a new connection ("
                             + cause.getMessage()
                             + "), in use "
                             + registry.sockets
@@ -96,9 +99,9 @@
     }
 
     /**
-     * How many seconds the next newcomer waits in the queue: where all sockets for newcomers are
-     * idle ones', until one of these has had the time to say its line. Where nobody is idle it is
-     * told at once.
+     * How many seconds the next client waits in the queue. If idle connections hold all sockets for
+     * new clients, it waits until one of these has had time to send its request. If none is idle,
+     * it is accepted and declined at once.
      */
     double acceptDelay() {
         return idleConnections.makeRoomForNewClient(socketLimit - reserve / 2 - 1)
@@ -107,9 +110,9 @@
     }
 
     /**
-     * Guards against crowds that connect and say nothing: the longest silent give way to whoever
-     * comes. Where nobody can, the newcomer is told at once, before a word is read, and its socket
-     * is free again.
+     * Guards against crowds that connect and send nothing: the connections silent for longest make
+     * room for new ones. If none can, the new client is declined at once, before anything is read,
+     * and its socket is free again.
      */
     @Override
     public NextAction handleAccept(FilterChainContext ctx) {
@@ -117,7 +120,8 @@
             PeerConnection peer = PeerConnection.of(ctx.getConnection());
             registry.count("declined_no_sockets");
             protocol.decline(peer, retryAfter());
-            // Its line may be on its way: closing on that would destroy the answer.
+            // // Its request may be on its way: closing while it arrives would reset the
+            // connection and destroy the answer.
             peer.linger();
             return ctx.getStopAction();
         }
@@ -131,11 +135,11 @@
                 : ctx.getInvokeAction();
     }
 
-    /** False where there is no room for this tunnel: it is declined then. */
+    /** Returns whether there is room for this tunnel; if not, the tunnel is declined. */
     public boolean admit(TunnelContext tunnel) {
         boolean full = !idleConnections.makeRoom(socketLimit - reserve - 1);
-        // Near the bound every tunnel crosses it: the mode is over when half the reserve again is
-        // free, or idle ones'.
+        // // Near the limit every tunnel crosses it, so declining counts as over only when half
+        // the reserve again is free or held by idle connections.
         if (full
                 ? !declining
                 : declining
@@ -143,7 +147,7 @@
                                 < socketLimit - reserve - reserve / 2) {
             declining = full;
             registry.log(
-                    (full ? "no sockets left: declining" : "sockets again")
+                    (full ? "no sockets left: declining" : "sockets free again")
                             + ", in use "
                             + registry.sockets
                             + " of "
--- a/relay/src/main/java/asterpulley/net/ClientListener.java
+++ b/relay/src/main/java/asterpulley/net/ClientListener.java
@@ -16,9 +16,9 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Owns the address where clients connect. It may be shared with another process of the same relay,
- * and be given up while that one goes on: a connection that waits in the queue then must be taken,
- * never be closed with the queue.
+ * The address on which clients connect. It may be shared with another process of the same relay and
+ * be closed while that one goes on: a connection that then waits in the queue must be accepted,
+ * never closed with the queue.
  */
 public final class ClientListener {
     private static final Attribute<ClientListener> ATTRIBUTE =
@@ -32,14 +32,14 @@
         ATTRIBUTE.set(listening, this);
     }
 
-    /** Whether clients connect there: others may listen as well. */
+    /** Whether this is the clients' address; others may be listened on as well. */
     static boolean isClientListener(Connection<?> listening) {
         return ATTRIBUTE.isSet(listening);
     }
 
     /**
-     * Listens from now on; {@code shared}: beside other processes of the same user that share it as
-     * well.
+     * Starts to listen. {@code shared}: together with other processes of the same user that share
+     * the address as well.
      */
     public static ClientListener open(
             InetSocketAddress address, boolean shared, TCPNIOTransport transport)
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Takes whoever waits in the queue and gives the address up, on the eventLoop's thread. It is
-     * taken off the selector first, since a registered channel is only closed a round later, and
-     * what comes until then would be reset.
+     * Accepts every connection that waits in the queue and closes the address, on the event loop's
+     * thread. The channel is taken off the selector first: a registered channel is closed only one
+     * select later, and connections that arrive until then would be reset.
      */
     public void close() throws IOException {
         if (closed) {
--- a/relay/src/main/java/asterpulley/net/Dialer.java
+++ b/relay/src/main/java/asterpulley/net/Dialer.java
@@ -11,9 +11,9 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Owns connecting: to backends for setups and probes. A connection that does not come up in time is
- * given up, and whoever dialled hears exactly one of connected and failed, the latter never before
- * {@link #dial} has returned. It must never dial twice by itself.
+ * Opens connections to backends for setups and probes. An attempt that takes too long is given up,
+ * and its caller gets exactly one of the two callbacks, {@code onFailed} never before {@link #dial}
+ * has returned. It must never retry by itself.
  */
 public final class Dialer {
     private final TCPNIOTransport transport;
@@ -23,7 +23,9 @@
     private double connectTimeout;
     private final UnaryOperator<String> addressLookup;
 
-    /** {@code addresses}: where a server is reached now, null when that was never told. */
+    /**
+     * {@code addressLookup} returns a server's present address, or null if none was ever listed.
+     */
     public Dialer(
             double connectTimeout,
             TCPNIOTransport transport,
@@ -39,17 +41,17 @@
         this.addressLookup = addressLookup;
     }
 
-    /** How long a connection may take to come up, from the next dial on. */
+    /** Sets how long an attempt to connect may take, from the next one on. */
     public void setConnectTimeout(double seconds) {
         connectTimeout = seconds;
     }
 
-    /** Where this backend is reached now; null when that was never told. */
+    /** The present address of this server; null if none was ever listed. */
     public String addressOf(String serverName) {
         return addressLookup.apply(serverName);
     }
 
-    /** Starts to connect; null when not even a socket could be had. */
+    /** Starts to connect; null if not even a socket could be opened. */
     public PeerConnection dial(
             String serverName,
             FilterChain chain,
--- a/relay/src/main/java/asterpulley/net/EventLoop.java
+++ b/relay/src/main/java/asterpulley/net/EventLoop.java
@@ -13,15 +13,15 @@
 import org.glassfish.grizzly.nio.SelectorRunner;
 
 /**
- * Owns time: the relay's clock and the timers of its one selector thread. It selects no longer than
- * until the next timer is due and runs what is due between two rounds of sockets, so that sockets,
- * timers and decisions never meet on two threads. It must never block, and a timer that throws must
- * never end the thread.
+ * The relay's clock and the timers of its single selector thread. A select waits no longer than
+ * until the next timer is due, and due timers run between two passes over the sockets, so that
+ * sockets, timers and decisions never run on two threads. It must never block, and a task that
+ * throws must never end the thread.
  */
 public final class EventLoop extends DefaultSelectorHandler {
     private static final Logger LOG = Logger.getLogger("asterpulley.net.Loop");
 
-    /** A timer that was set; a cancelled one is skipped when its time comes. */
+    /** A scheduled task; a cancelled one is skipped when it is due. */
     public static final class Timer implements Comparable<Timer> {
         private final double dueAt;
         private final long sequence;
@@ -52,26 +52,27 @@
     private volatile Selector selector;
     private long nextSequence;
 
-    /** When the sockets were last looked at, and how often so far. */
+    /** When the last select returned, and the number of selects so far. */
     private double lastSelectAt;
 
     private long selectCount;
 
     /**
-     * Unix seconds as at the start, moved on by the steady clock: start times of backends compare
-     * with it.
+     * Unix time in seconds as read at the start and advanced by the monotonic clock, so that it
+     * compares with the start times of backends.
      */
     public double now() {
         return wallAtStart + (System.nanoTime() - nanosAtStart) / 1e9;
     }
 
-    /** How often the sockets were looked at. */
+    /** The number of passes over the sockets so far. */
     public long selectCount() {
         return selectCount;
     }
 
     /**
-     * Runs this after so many seconds; only from the eventLoop's own thread, or before it starts.
+     * Runs a task after a delay. To be called on the loop's own thread only, or before the loop
+     * starts.
      */
     public Timer schedule(double delaySeconds, Runnable task) {
         Timer timer = new Timer(now() + Math.max(0, delaySeconds), nextSequence++, task);
@@ -79,7 +80,7 @@
         return timer;
     }
 
-    /** Runs this on the eventLoop's thread; the one call that other threads may make. */
+    /** Runs a task on the loop's thread; the only method that other threads may call. */
     public void submit(Runnable task) {
         submitted.add(task);
         Selector current = selector;
@@ -110,8 +111,8 @@
         for (Runnable task = submitted.poll(); task != null; task = submitted.poll()) {
             run(task);
         }
-        // What had arrived before a timer was due is read before it runs, however long this process
-        // stood still.
+        // // Input that arrived before a timer was due is read before the timer runs, however long
+        // this process was suspended.
         while (!timers.isEmpty() && timers.peek().dueAt <= lastSelectAt) {
             Timer timer = timers.poll();
             if (timer.task != null) {
@@ -124,7 +125,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            // One broken timer must not take all standing tunnels with it.
+            // // A failing timer must not end all established tunnels with it.
             LOG.log(Level.SEVERE, "a timer failed", e);
         }
     }
--- a/relay/src/main/java/asterpulley/net/IdleConnections.java
+++ b/relay/src/main/java/asterpulley/net/IdleConnections.java
@@ -6,32 +6,37 @@
 import java.util.function.IntPredicate;
 
 /**
- * Owns the connections that hold a socket but no tunnel: newcomers whose line is still to come, and
- * leavers that have heard their last word. It bounds how long each may stay, and lets the oldest go
- * where a socket is needed. It must never end a connection that a tunnel uses, nor one whose line
- * may have come with it and was not read yet, nor close on a newcomer that still waits for a first
- * answer without one, nor let an reclaimable one go where that makes no room.
+ * The connections that hold a socket but no tunnel: pending ones, whose request is still to come,
+ * and lingering ones, which have their final answer. It limits how long each may stay and closes
+ * the oldest when a socket is needed. It must never close a connection that a tunnel uses, nor one
+ * whose request may have arrived with it and was not read yet, nor close a pending one that is owed
+ * a first answer without sending it, nor close an idle one if that does not make enough room.
  */
 public final class IdleConnections {
     /**
-     * A client says its line as it connects, and the front asks anew on a connection of its own:
-     * who says nothing for this time, or nothing more, holds a socket that another could use.
+     * A client sends its request as it connects, and the front-end balancer opens a new connection
+     * for each health check: a connection that sends nothing, or nothing more, for this time holds
+     * a socket that another could use.
      */
     private static final double REQUEST_TIMEOUT_SECONDS = 1.5;
 
     /**
-     * Who says nothing gives way to a newcomer only after this, and who has begun its line after
-     * that: the rest may be on its way. Where all descriptors are reclaimable ones' the queue moves
-     * at so many in this time.
+     * How long a pending connection has before it can be reclaimed for a new client: the first time
+     * if it has sent nothing, the second if it has sent part of its request, since the rest may be
+     * on its way. While idle connections hold all descriptors, the accept queue advances by that
+     * many connections in this time.
      */
     private static final double FIRST_BYTES_GRACE_SECONDS = 0.02, WHOLE_REQUEST_GRACE_SECONDS = 0.1;
 
-    /** So many newcomers hold a socket before what this relay keeps for later is kept from them. */
+    /**
+     * Spare connections, such as unused probe connections, are released for new clients only while
+     * at most this many pending connections hold a socket.
+     */
     private static final int MAX_PENDING_WHEN_RELEASING_SPARES = 8;
 
     /**
-     * A peer that was told the last word is waited for this long, so that a reset does not destroy
-     * that word.
+     * How long to wait for a peer to read its final answer and close; closing at once could reset
+     * the connection and destroy that answer.
      */
     private static final double LINGER_SECONDS = 1;
 
@@ -43,7 +48,9 @@
     private final ArrayDeque<PeerConnection> pending = new ArrayDeque<>();
     private final ArrayDeque<PeerConnection> lingering = new ArrayDeque<>();
 
-    /** So many sockets, and who has no tunnel makes room for what this relay dials. */
+    /**
+     * Beyond this many sockets idle connections are closed to make room for outgoing connections.
+     */
     private int socketLimit = Integer.MAX_VALUE;
 
     private IntPredicate spareReleaser = count -> false;
@@ -54,7 +61,7 @@
         this.protocol = protocol;
     }
 
-    /** Starts the watch over who stays too long. */
+    /** Closes connections that stay too long, now and at each interval from now on. */
     public void start() {
         double now = eventLoop.now();
         pending.removeIf(
@@ -62,7 +69,7 @@
                         !isPending(connection)
                                 || now - connection.lastRequestAt > REQUEST_TIMEOUT_SECONDS
                                         && declineAndLinger(connection, "wordless"));
-        // A slow reader that still reads may yet come to its last word.
+        // // A slow reader that still reads may yet come to its final answer.
         lingering.removeIf(
                 connection ->
                         connection.isClosed()
@@ -82,19 +89,19 @@
     }
 
     /**
-     * {@code unused}: ends so many connections that this relay keeps for later, and says yes; where
-     * there are fewer, it ends none.
+     * {@code spareReleaser} closes the given number of connections that the relay keeps for reuse
+     * and returns true; if there are fewer, it closes none and returns false.
      */
     public void setSpareReleaser(IntPredicate spareReleaser) {
         this.spareReleaser = spareReleaser;
     }
 
-    /** The sockets up to which somebody without a tunnel may hold one. */
+    /** The number of sockets in use up to which connections without a tunnel may hold one. */
     public void setSocketLimit(int sockets) {
         socketLimit = sockets;
     }
 
-    /** One more socket is about to be dialled: who is reclaimable must not be in its way. */
+    /** Makes room for one outgoing connection, so that idle connections are not in its way. */
     public void makeRoom() {
         if (!makeRoom(socketLimit - 1)) {
             makeRoom(registry.sockets + registry.awaitingBackendSocket() - 1);
@@ -102,18 +109,19 @@
     }
 
     /**
-     * True where no more sockets than that are in use, or needed by tunnels that are taken in and
-     * have none at a backend yet. Where there are more, who was answered already gives way, then
-     * who has been silent the longest, then who has said part of its line, then what this relay
-     * only keeps for later; but for the first only where there are enough.
+     * True if at most this many sockets are in use, counting those that accepted tunnels without a
+     * backend socket still need. If there are more, idle connections are closed in this order:
+     * lingering ones, pending ones that have been silent the longest, those that have sent part of
+     * a request, and last spare connections. All but the lingering ones are closed only if that
+     * makes enough room.
      */
     public boolean makeRoom(int sockets) {
         return makeRoom(sockets, true);
     }
 
     /**
-     * As {@link #makeRoom(int)}, but others that are reclaimable must have had the time for their
-     * line.
+     * As {@link #makeRoom(int)}, but pending connections are closed only after they had time to
+     * send their request.
      */
     public boolean makeRoomForNewClient(int sockets) {
         return makeRoom(sockets, false);
@@ -125,7 +133,7 @@
         }
         int excess = registry.sockets + registry.awaitingBackendSocket() - sockets;
         for (; excess > 0 && !lingering.isEmpty(); excess -= reclaim(lingering.poll())) {
-            // Its last word is said.
+            // // A lingering connection has its final answer already.
         }
         if (excess <= 0) {
             return true;
@@ -138,14 +146,18 @@
             return false;
         }
         for (PeerConnection connection : reclaimable) {
-            // Its socket is needed now: the word goes out with the end.
+            // // The socket is needed now: the answer is sent and the connection closed right
+            // behind it.
             declineIfAwaiting(connection);
             reclaim(connection);
         }
         return true;
     }
 
-    /** So many reclaimable ones at the most that can give way, in the order in which they do. */
+    /**
+     * At most this many pending connections that can be closed, in the order in which they are
+     * closed.
+     */
     private List<PeerConnection> findReclaimable(int count, boolean immediately) {
         while (!pending.isEmpty() && !isPending(pending.peek())) {
             pending.poll();
@@ -170,14 +182,17 @@
         }
     }
 
-    /** How many sockets are held by who has said no line yet, or nothing more. */
+    /**
+     * The number of sockets held by connections that have sent no request yet, or none since their
+     * last.
+     */
     public long pendingCount() {
         return pending.stream().filter(IdleConnections::isPending).count();
     }
 
     /**
-     * When somebody who is reclaimable will have had the time for its line, in seconds from now; 0
-     * where all have, or none is.
+     * Seconds until the next pending connection has had its time to send a request; 0 if all have,
+     * or there is none.
      */
     public double secondsUntilReclaimable() {
         return pending.stream()
@@ -199,13 +214,13 @@
         return !connection.isClosed() && closeCounted(connection, "gave_way") ? 1 : 0;
     }
 
-    /** Whether somebody's first line, or the rest of it, may still be on its way. */
+    /** Whether a request, or the rest of one, may still arrive on a pending connection. */
     public boolean hasPendingRequests() {
         return pending.stream()
                 .anyMatch(connection -> isPending(connection) && connection.awaitingRequest);
     }
 
-    /** Nobody's line can be waited for any longer. */
+    /** Declines all pending connections, when there is no time left to wait for their requests. */
     public void declinePending() {
         pending.removeIf(
                 connection ->
@@ -223,7 +238,10 @@
         return true;
     }
 
-    /** Nothing of it was sent on, so it may as well come again; who had its answer needs none. */
+    /**
+     * Nothing of its request was sent on, so the client may as well come again; a peer that has its
+     * answer needs none.
+     */
     private void declineIfAwaiting(PeerConnection connection) {
         if (connection.awaitingRequest) {
             connection.awaitingRequest = false;
--- a/relay/src/main/java/asterpulley/net/LoadBalancerFilter.java
+++ b/relay/src/main/java/asterpulley/net/LoadBalancerFilter.java
@@ -19,10 +19,10 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The third stage, loadBalancerFilter: owns the decision module and is its front on sockets. Every
- * call into the module goes through {@link #tell}, one after the other: what a decision sets off on
- * a socket may fail at once, and that must never reach the module while it is still deciding. It
- * must decide nothing itself.
+ * Third filter of the client chain: owns the {@link LoadBalancer} and is its {@link Frontend} on
+ * sockets. Every call into the load balancer goes through {@link #callLoadBalancer}, one after the
+ * other: an action that a decision starts on a socket may fail at once, and that failure must never
+ * reach the load balancer while it is still deciding. This class makes no decisions of its own.
  */
 public final class LoadBalancerFilter extends BaseFilter implements Frontend {
     private static final Logger LOG = Logger.getLogger("asterpulley.Balance");
@@ -35,8 +35,8 @@
     private boolean deciding;
 
     /**
-     * Null where nothing narrows the module's choice, as on the platform: its classes are not even
-     * loaded listener.
+     * Null if no routing policy restricts the choice of servers, as on the platform; the pool
+     * classes are then not even loaded.
      */
     private PoolRouter poolRouter;
 
@@ -50,14 +50,17 @@
         this.registry = registry;
     }
 
-    /** Narrows the module's choice from now on; before the start, or never. */
+    /**
+     * Restricts the load balancer's choice of servers from now on. To be called before {@link
+     * #start}, or never.
+     */
     public void setPoolRouter(PoolRouter routes) {
         poolRouter = routes;
         registry.setRemovalListener(tunnel -> poolRouter.tunnelClosed(tunnel.id));
         eventLoop.schedule(POOL_TICK_SECONDS, this::tickPools);
     }
 
-    /** Time passes for the pools; guests whose home is back are moved there. */
+    /** Advances the pools' clock and moves spilled tunnels whose home pool is available again. */
     private void tickPools() {
         for (long id : poolRouter.tick(eventLoop.now())) {
             TunnelContext tunnel = registry.find(id);
@@ -73,8 +76,8 @@
     }
 
     /**
-     * Starts the module once all that it may call stands: who asks servers for their load, and who
-     * watches the list.
+     * Creates the load balancer. Everything that it may call must be ready: {@code prober} asks a
+     * server for its load, {@code listWatcher} subscribes to the server list.
      */
     public void start(
             Settings settings,
@@ -90,14 +93,15 @@
                     applyServerList(initialServers, true);
                 });
         if (!settings.subscribesToServerList) {
-            // The module asks only where it must; on sockets news always has to be asked for.
+            // // The load balancer subscribes only if its settings say so; over sockets the list
+            // always has to be requested.
             listWatcher.run();
         }
     }
 
     /**
-     * These count from now on, for the module and, where there are pools, for their rules: none may
-     * be half changed.
+     * Applies new settings to the load balancer and, if there are pools, the new policy to the pool
+     * router. Both change in one call, so that no event sees only half of the change.
      */
     public void updateSettings(Settings updated, RoutingPolicy routingPolicy) {
         if (poolRouter != null) {
@@ -117,9 +121,10 @@
                 try {
                     pendingCalls.poll().run();
                 } catch (RuntimeException e) {
-                    // One call that fails must not end the relay and all that stands on it.
+                    // // A failing call must not end the relay and all established tunnels with
+                    // it.
                     registry.count("module_failed");
-                    LOG.log(Level.SEVERE, "the module failed", e);
+                    LOG.log(Level.SEVERE, "the load balancer failed", e);
                 }
             }
         } finally {
@@ -127,7 +132,7 @@
         }
     }
 
-    // ---- Towards the module
+    // // ---- Calls into the load balancer
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
@@ -139,8 +144,8 @@
     }
 
     /**
-     * A tunnel that a front has taken in and that there is room for; what becomes of it, its {@link
-     * Talk} is asked.
+     * Starts a tunnel that a frontend has read and for which there is room. What happens to it next
+     * is requested from its {@link TunnelProtocol}.
      */
     public void placeTunnel(TunnelContext tunnel) {
         tunnel.id = registry.register(tunnel);
@@ -168,7 +173,8 @@
                                             budget,
                                             false));
             if (tunnel.handle == null) {
-                // The module failed on it: its client must still get its one answer.
+                // // The load balancer failed on this tunnel; its client must still get its one
+                // answer.
                 registry.closeWithError(tunnel);
             }
             if (budget > 0 && !tunnel.answered) {
@@ -177,10 +183,7 @@
         }
     }
 
-    /**
-     * Guards against a tunnel that nobody answers: at its client's timeout it is given up, at the
-     * latest.
-     */
+    /** Gives a tunnel up at its client's timeout at the latest, so that none stays unanswered. */
     public void expire(TunnelContext tunnel) {
         if (!tunnel.answered) {
             registry.count("overdue");
@@ -191,8 +194,8 @@
     }
 
     /**
-     * No further setup, the one that is out is given up, and the client is told that it is closed
-     * with error.
+     * Abandons the setup in progress, allows no retry and tells the client that the tunnel is
+     * closed with error.
      */
     public void abort(TunnelContext tunnel) {
         clientWithdrew(tunnel);
@@ -201,8 +204,8 @@
     }
 
     /**
-     * The final answer to a tunnel with no setup out that gets no further one: which, the module
-     * tells.
+     * Gives the final answer to a tunnel that has no setup in progress and gets no retry. The load
+     * balancer chooses the answer.
      */
     public void finishUnopened(TunnelContext tunnel) {
         callLoadBalancer(
@@ -210,7 +213,8 @@
                     if (tunnel.handle != null) {
                         tunnel.handle.giveUp();
                     }
-                    // It never reached the module, or the module failed on it.
+                    // // Reached if the tunnel never got to the load balancer, or the load
+                    // balancer failed on it.
                     registry.closeWithError(tunnel);
                 });
     }
@@ -245,7 +249,7 @@
         }
     }
 
-    /** A setup, or what it opened, has ended. */
+    /** A setup, or the connection that it opened, has ended. */
     public void serverConnectionEnded(TunnelContext tunnel, Termination termination) {
         if (poolRouter != null) {
             poolRouter.serverConnectionEnded(
@@ -266,8 +270,8 @@
     }
 
     /**
-     * Its connection is up: false where what would be written now came too late for its server or
-     * its window.
+     * Asked once a setup's connection is up: false if what would be written now is too late for its
+     * server or for its idempotency window.
      */
     public boolean maySend(TunnelContext tunnel) {
         return tunnel.handle == null || tunnel.handle.maySend();
@@ -312,7 +316,7 @@
                 });
     }
 
-    /** Is told whenever news of the list is in force here. */
+    /** Sets the listener that runs after each update of the server list is applied. */
     public void onServerListUpdated(Runnable listener) {
         listUpdateListener = listener;
     }
@@ -325,13 +329,19 @@
         eventLoop.schedule(0, this::recallUnsentSetups);
     }
 
-    /** The servers that operators leave out from now on, all of them; true by when this returns. */
+    /**
+     * Sets the complete set of servers that operators take out of rotation; in force when this
+     * returns.
+     */
     public void setCordonedServers(Set<String> servers) {
         callLoadBalancer(() -> loadBalancer.setCordonedServers(servers));
         recallUnsentSetups();
     }
 
-    /** Setups still on their way to a server that is to get nothing new are placed elsewhere. */
+    /**
+     * Cancels setups that are not written yet and whose server is no longer in rotation, so that
+     * they are placed elsewhere.
+     */
     private void recallUnsentSetups() {
         for (TunnelContext tunnel : registry.all()) {
             if (tunnel.setupPending
@@ -342,17 +352,20 @@
         }
     }
 
-    /** What the module has learned, for another process of this relay; see {@link #learn}. */
+    /**
+     * What the load balancer has learned, for another process of this relay; see {@link
+     * #importLearnedState}.
+     */
     public double[] exportLearnedState() {
         return loadBalancer.exportLearnedState();
     }
 
-    /** Takes on what another process had learned; false where it cannot be used. */
+    /** Takes over what another process had learned; false if it cannot be used. */
     public boolean importLearnedState(double[] learned) {
         return loadBalancer.importLearnedState(learned);
     }
 
-    /** The module's own view of its servers, to be read and not called on. */
+    /** The load balancer's own set, for reading only: it must not be modified. */
     public Set<String> cordonedServers() {
         return loadBalancer.cordonedServers();
     }
@@ -369,7 +382,7 @@
         callLoadBalancer(() -> loadBalancer.onServerListFailed(timedOut));
     }
 
-    // ---- From the module
+    // // ---- Calls from the load balancer
 
     @Override
     public double now() {
--- a/relay/src/main/java/asterpulley/net/LongPollClient.java
+++ b/relay/src/main/java/asterpulley/net/LongPollClient.java
@@ -18,41 +18,42 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Owns one long poll over HTTP/1.1: a call that may wait at the other side for news, on a
- * connection kept from call to call. It must never have two calls out, never call by itself, never
- * read what an answer says, and never block.
+ * One long poll over HTTP/1.1: a request for which the server may wait until there is news, on a
+ * connection that is kept between requests. It must never have two requests in progress, never send
+ * one by itself, never interpret a response, and never block.
  *
- * <p>Use: one object a path and address, on the eventLoop's thread alone. {@link #call} sends
- * {@code GET PATH}, or {@code GET PATH?index=V&wait=MS} from a version on. Each call ends in
- * exactly one of {@link Caller#answered} and {@link Caller#failed}, never before {@link #call} has
- * returned, unless {@link #hangUp} or {@link #moveTo} ended it first: then in neither. Whoever
- * calls decides when the next one goes out, also at once from within either of the two.
+ * <p>Use one object for each path and address, on the event loop's thread only. {@link #request}
+ * sends {@code GET PATH}, or {@code GET PATH?index=V&wait=MS} from a version on. Each request ends
+ * in exactly one of {@link Callback#responseReceived} and {@link Callback#requestFailed}, never
+ * before {@link #request} has returned, unless {@link #disconnect} or {@link #setAddress} ended it
+ * first: then in neither. The caller decides when to send the next one, which may be from within
+ * either callback.
  */
 public final class LongPollClient extends BaseFilter {
-    /** Who calls and is told how each call ended. */
+    /** Told how each request ended. */
     public interface Callback {
         /**
-         * The whole body of an answer with status 200. The connection stays; the next call goes out
-         * on it.
+         * The whole body of a response with status 200. The connection stays open for the next
+         * request.
          */
         void responseReceived(String body);
 
         /**
-         * No such answer came, and the connection is closed. {@code silent}: no whole answer within
-         * the patience.
+         * There was no such response, and the connection is closed. {@code timedOut}: no complete
+         * response came within the timeout.
          */
         void requestFailed(String reason, boolean timedOut);
     }
 
-    /** The version of who has none yet: the whole is asked for, and nothing is waited for. */
+    /** Stands for no version known yet: everything is requested, without waiting. */
     public static final long NO_VERSION = -1;
 
-    /** A connection that is not up by now has none coming. */
+    /** An attempt to connect that takes longer is given up. */
     private static final double CONNECT_TIMEOUT_SECONDS = 1.5;
 
     /**
-     * A kept connection that ends so soon behind a call was closed as idle: that says nothing of
-     * the other side.
+     * A kept connection that ends this soon after a request was closed as idle, which says nothing
+     * of the server.
      */
     private static final double IDLE_CLOSE_RACE_SECONDS = 0.2;
 
@@ -95,21 +96,27 @@
         return address;
     }
 
-    /** Calls go there from now on; the one that is out is given up and ends in nothing. */
+    /**
+     * Sends requests to this address from now on; the one in progress is dropped without a
+     * callback.
+     */
     public void setAddress(InetSocketAddress newAddress) {
         disconnect();
         address = newAddress;
     }
 
-    /** Goes behind the version in the query of each call from now on, as {@code &name=value}. */
+    /**
+     * Appends these parameters, as {@code &name=value}, to the query of each request from now on,
+     * behind the version.
+     */
     public void setExtraQuery(String parameters) {
         extraQuery = parameters;
     }
 
     /**
-     * Asks for what is newer than a version, and lets the call wait so long for it; with {@link
-     * #NONE} for the whole, at once. It fails as silent when there is no whole answer {@code
-     * patience} seconds from now.
+     * Asks for what is newer than a version and lets the server wait so long for it; with {@link
+     * #NO_VERSION}, asks for everything at once. Fails as timed out if there is no complete
+     * response within {@code timeout} seconds from now.
      */
     public void request(long version, double wait, double timeout) {
         int number = ++currentRequest;
@@ -146,8 +153,8 @@
                 new TCPNIOConnectorHandler(transport) {
                     @Override
                     protected void preConfigure(Connection dialled) {
-                        // Held from its first moment on: one that never comes up must not be left
-                        // behind.
+                        // // Held from the start, so that a connection that never comes up is not
+                        // left behind.
                         connection = dialled;
                         registry.sockets++;
                     }
@@ -172,7 +179,7 @@
                 });
     }
 
-    /** The last call was answered, and not with 200. */
+    /** Whether the last request was answered with another status than 200. */
     public boolean wasRejected() {
         return status != 0 && status != 200;
     }
@@ -236,7 +243,7 @@
         }
     }
 
-    /** Closes the connection; a call that is out ends in nothing. */
+    /** Closes the connection; a request in progress is dropped without a callback. */
     public void disconnect() {
         awaitingResponse = false;
         connected = false;
--- a/relay/src/main/java/asterpulley/net/PeerConnection.java
+++ b/relay/src/main/java/asterpulley/net/PeerConnection.java
@@ -17,21 +17,21 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * Owns one connection, a client's or a backend's: what is still to be written to it, which of its
- * directions have ended, and how it is ended (in order, by a reset, or with a last word that the
- * other side must still be able to read). It must never block, never keep more than a bounded
- * amount for a slow reader, and be closed only once.
+ * One connection to a client or a backend: what is still to be written, which directions have
+ * ended, and how it is ended (in order, by a reset, or lingering after a final message that the
+ * peer must be able to read). It must never block, never hold more than a bounded amount for a slow
+ * reader, and be closed only once.
  */
 public final class PeerConnection {
     /**
-     * Buffers that wait for a slow reader before its sender is no longer read from, however little
-     * each holds.
+     * Buffers that may wait for a slow reader before its sender is paused, however little each
+     * holds.
      */
     private static final int MAX_PENDING_WRITES = 16;
 
     /**
-     * What a peer still sends after its last word is read so far and no further: it may be without
-     * end.
+     * How much of what a peer sends after its final answer is read and discarded; the peer may send
+     * without end.
      */
     private static final int MAX_DISCARDED_BYTES = 4 * SocketFilter.BUFFER_BYTES;
 
@@ -40,32 +40,38 @@
 
     public final Connection<SocketAddress> connection;
 
-    /** What the front keeps of words that have come in part. */
+    /** State that the protocol's decoder keeps for a message received in part. */
     public Object decoderState;
 
     public final double createdAt;
 
-    /** The look at the sockets in which it came; what came with it is found in the next one. */
+    /**
+     * The loop's select count at creation. Bytes that arrived together with the connection are read
+     * in the next pass.
+     */
     private final long createdAtSelect;
 
     private final EventLoop eventLoop;
     private final TunnelRegistry registry;
     private final IdleConnections idleConnections;
 
-    /** When it came, or last asked as the front does. */
+    /**
+     * When the connection was created, or when the last message arrived, such as a health check of
+     * the front-end balancer.
+     */
     public double lastRequestAt;
 
-    /** Its line, or the rest of one, is still to come, and is owed an answer. */
+    /** Whether a request, or the rest of one, is still to come and has to be answered. */
     public boolean awaitingRequest;
 
-    /** The tunnel that it belongs to, once there is one. */
+    /** The tunnel to which this connection belongs; null until there is one. */
     public TunnelContext tunnel;
 
     private int pendingWrites, discardedBytes;
     private boolean shutdownWhenWritten, outputShutDown, closed, lingering, inputClosed;
     private boolean closeWhenWritten;
 
-    /** When something last went out: a slow reader that still reads is not a dead one. */
+    /** When a write last completed: a slow reader that still reads is not a dead one. */
     public double lastWriteAt;
 
     public double lingeringSince;
@@ -93,12 +99,15 @@
         return ATTRIBUTE.get(connection);
     }
 
-    /** Whether all that came with it was read: a whole look at the sockets has passed since. */
+    /**
+     * Whether everything that arrived together with the connection was read: true after one full
+     * pass over the sockets.
+     */
     public boolean initialInputChecked() {
         return eventLoop.selectCount() > createdAtSelect + 1;
     }
 
-    /** Part of a line has come, and the rest is awaited. */
+    /** Whether part of a request has come and the rest is awaited. */
     public boolean hasPartialRequest() {
         return awaitingRequest && lastRequestAt > createdAt;
     }
@@ -116,15 +125,13 @@
         write(Buffers.wrap(memory, bytes), null);
     }
 
-    /** Writes these words and tells when their last byte is written. */
+    /** Writes these bytes and runs the callback when the last one is written. */
     public void send(byte[] bytes, Runnable callback) {
         onWritten = callback;
         send(bytes);
     }
 
-    /**
-     * Writes these bytes; when too many wait, their sender is not read from until they are gone.
-     */
+    /** Writes these bytes; {@code sender} is paused while too many writes are pending. */
     public void write(Buffer bytes, PeerConnection sender) {
         if (closed || outputShutDown || shutdownWhenWritten) {
             bytes.tryDispose();
@@ -159,7 +166,7 @@
         }
     }
 
-    /** Holds this sender back, or lets whom it holds back go on. */
+    /** Pauses this sender and resumes the one paused so far; null only resumes. */
     private void pauseSender(PeerConnection sender) {
         if (pausedSender != null) {
             pausedSender.setReading(true);
@@ -190,7 +197,7 @@
         }
     }
 
-    /** Reads on, or leaves what comes to the kernel until it is read on. */
+    /** Resumes or pauses reading; meanwhile received bytes stay in the kernel's buffers. */
     public void setReading(boolean enabled) {
         if (closed || inputClosed && enabled) {
             return;
@@ -206,7 +213,7 @@
         }
     }
 
-    /** What a peer that should only wait has done meanwhile. */
+    /** What {@link #peek} found on a connection whose peer should only wait. */
     public enum PeekResult {
         NO_DATA,
         DATA,
@@ -214,8 +221,8 @@
     }
 
     /**
-     * Looks before the eventLoop comes to it; a word that is found is taken, since nobody may say
-     * one now.
+     * Checks for input ahead of the event loop. A byte that is found is consumed, since the peer
+     * may not send any at this point.
      */
     public PeekResult peek() {
         try {
@@ -228,13 +235,13 @@
         }
     }
 
-    /** Its incoming direction has ended: nothing more will be read. */
+    /** The input direction has ended: nothing more will be read. */
     public void stopReading() {
         inputClosed = true;
         setReading(false);
     }
 
-    /** Ends the outgoing direction once all is written; the other direction goes on. */
+    /** Ends the output direction once all is written; the input direction goes on. */
     public void shutdownOutput() {
         if (closed || outputShutDown) {
             return;
@@ -252,8 +259,8 @@
     }
 
     /**
-     * The last word is said: ends sending, reads on without heeding, and closes when the peer has,
-     * or soon.
+     * To be called after the final message: ends the output, discards further input and closes when
+     * the peer closes, or soon after.
      */
     public void linger() {
         if (closed || lingering) {
@@ -268,8 +275,8 @@
     }
 
     /**
-     * So much came after the last word. Who sends without end fills its own buffers from here on,
-     * not our time.
+     * Counts input that is discarded while lingering. Beyond the limit reading stops, so that a
+     * peer that sends without end fills its own buffers and costs no processor time here.
      */
     public void countDiscarded(int bytes) {
         discardedBytes += bytes;
@@ -278,7 +285,9 @@
         }
     }
 
-    /** Closes as soon as all is written: what a slow reader has not read yet is still its own. */
+    /**
+     * Closes as soon as all is written, so that a slow reader still gets what is pending for it.
+     */
     public void closeAfterWrites() {
         if (pendingWrites > 0) {
             closeWhenWritten = true;
@@ -296,14 +305,14 @@
         }
     }
 
-    /** The connection is gone without our doing; true the first time this is told. */
+    /** Closes after the connection was lost without our doing; true the first time. */
     public boolean markLost() {
         boolean first = !closed;
         close();
         return first;
     }
 
-    /** Ends both directions at once so that the peer sees a broken connection. */
+    /** Ends both directions at once, so that the peer sees a broken connection. */
     public void reset() {
         if (closed) {
             return;
@@ -311,7 +320,7 @@
         try {
             channel().setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException e) {
-            // Already gone: closing is all that is left to do.
+            // // Already lost: closing is all that is left to do.
             close();
             return;
         }
--- a/relay/src/main/java/asterpulley/net/PollThrottle.java
+++ b/relay/src/main/java/asterpulley/net/PollThrottle.java
@@ -1,23 +1,30 @@
 package asterpulley.net;
 
 /**
- * Owns how soon a long poll calls again where its answers come at once and bring nothing new. Such
- * a watch is kept up for a while, at a pace, and then given up as one: the other side waits for
- * nothing. It must never hold back the call behind some news, never judge what is news, and know
- * nothing of what is watched.
+ * Paces a long poll whose answers come at once and bring nothing new. Such a poll goes on for a
+ * while with a delay, and is then reported as ineffective: the server does not wait for news. It
+ * must never delay the request that follows some news, never judge what counts as news, and know
+ * nothing of what is polled.
  */
 public final class PollThrottle {
-    /** A watch goes on as long as the next call comes within 0.2 s of the last answer. */
+    /**
+     * The delay between polls. A subscription stays alive as long as the next request comes within
+     * 0.2 s of the last answer.
+     */
     private static final double POLL_DELAY_SECONDS = 0.1;
 
     /** An answer that came sooner did not wait for news. */
     private static final double IMMEDIATE_ANSWER_SECONDS = 0.5;
 
-    /** So many of them on end with nothing new, and nothing is waited for there. */
+    /**
+     * After this many immediate answers in a row without news, the server counts as not waiting for
+     * any.
+     */
     private static final int MAX_EMPTY_ANSWERS = 20;
 
     /**
-     * News that came at once are no reason to pause, so many in a row, and so many more a second.
+     * Immediate answers with news are followed up without delay, up to this many in a row and this
+     * many more each second.
      */
     private static final double MAX_NEWS_BURST = 20, NEWS_PER_SECOND = 10;
 
@@ -25,8 +32,9 @@
     private double newsAllowance = MAX_NEWS_BURST, lastAnswerAt;
 
     /**
-     * Told of each answer to a call that may wait, which came {@code took} seconds after it; how
-     * long to wait before the next call.
+     * To be called with each answer to a request that may wait; {@code took} is the number of
+     * seconds from that request to its answer. Returns how many seconds to wait before the next
+     * request.
      */
     public double delayAfterAnswer(boolean news, double took, double now) {
         newsAllowance =
@@ -45,8 +53,8 @@
     }
 
     /**
-     * It came at once and brought nothing new: the last answer, and so many before it that no watch
-     * is kept up any more.
+     * True if the last answer came at once without news, and so did enough before it that long
+     * polling does not work at this server.
      */
     public boolean isIneffective() {
         return emptyAnswers >= MAX_EMPTY_ANSWERS;
--- a/relay/src/main/java/asterpulley/net/SocketFilter.java
+++ b/relay/src/main/java/asterpulley/net/SocketFilter.java
@@ -14,18 +14,17 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Owns reading from sockets, at the bottom of every chain of tunnels and probes. It stands where
- * Grizzly's own transport filter would, because that one closes a connection at the end of its
- * incoming direction and cannot tell it from a reset; here both go up the chain as messages of
- * their own. It must never interpret a byte.
+ * Reads from sockets, at the bottom of every chain for tunnels and probes. It replaces Grizzly's
+ * own transport filter, which closes a connection at the end of its input and cannot tell that from
+ * a reset; here both are passed up the chain as messages. It must never interpret a byte.
  */
 public final class SocketFilter extends BaseFilter {
     private static final Logger LOG = Logger.getLogger(SocketFilter.class.getName());
 
-    /** The one size of all buffers. */
+    /** The size of all buffers. */
     public static final int BUFFER_BYTES = 4096;
 
-    /** How the incoming direction ended: in order, or by a reset. */
+    /** How the input ended: in order, or by a reset. */
     public enum InputEnd {
         FIN,
         RESET
@@ -102,20 +101,20 @@
         return transport.getTransportFilter().handleWrite(ctx);
     }
 
-    /** A connection that broke while it was written to; one that this relay closed tells nobody. */
+    /**
+     * Passes on that a connection broke during a write; closing by this relay itself is not
+     * reported.
+     */
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
         PeerConnection peer = PeerConnection.of(ctx.getConnection());
         return peer != null && peer.markLost() ? ctx.getInvokeAction() : ctx.getStopAction();
     }
 
-    /**
-     * Whatever a stage throws ends this connection, and its tunnel hears of it as of any broken
-     * one.
-     */
+    /** A filter that throws ends its connection; the tunnel is told as of any broken one. */
     @Override
     public void exceptionOccurred(FilterChainContext ctx, Throwable error) {
-        LOG.log(Level.SEVERE, "a stage failed", error);
+        LOG.log(Level.SEVERE, "a filter failed", error);
         ctx.getConnection().terminateSilently();
     }
 }
--- a/relay/src/main/java/asterpulley/net/Termination.java
+++ b/relay/src/main/java/asterpulley/net/Termination.java
@@ -3,13 +3,13 @@
 import asterpulley.Outcome;
 
 /**
- * Owns how a setup or a probe ended on sockets: how far it had come and what ended it, as a value.
- * It maps that once to the module's outcome, by the table in the platform's protocol. It must never
- * call "known not to have run" what may have run: only a setup whose last byte was not written, or
- * that was turned away, did not run.
+ * How a setup or a probe ended: how far it had come and what ended it. It maps that to the load
+ * balancer's {@link Outcome}, by the table in the platform's protocol. It must never report as not
+ * run what may have run: a setup is known not to have run only if its last byte was not written, or
+ * if the backend turned it away.
  */
 public record Termination(Progress progress, Cause cause) {
-    /** How far a setup had come, in the order in which it goes. */
+    /** How far a setup had come, in order. */
     public enum Progress {
         NOT_CONNECTED,
         PARTLY_WRITTEN,
@@ -17,7 +17,7 @@
         OPENED
     }
 
-    /** What ended it: the backend's word, the connection, or this relay's own patience. */
+    /** What ended it: the backend's message, the connection, or this relay. */
     public enum Cause {
         BYE,
         MOVE,
--- a/relay/src/main/java/asterpulley/net/TunnelContext.java
+++ b/relay/src/main/java/asterpulley/net/TunnelContext.java
@@ -3,14 +3,14 @@
 import asterpulley.LoadBalancer;
 
 /**
- * Owns what the stages know of one tunnel while it passes them: what its client request and the
- * client's connection, the setup that is out, the backend's connection, and whether the client has
- * its final answer. It must hold no rules of its own: the stages act, this only remembers.
+ * What the filters know of one tunnel: its client's request and connection, the setup in progress,
+ * the backend's connection and whether the client has its final answer. It holds state only; the
+ * filters act on it.
  */
 public final class TunnelContext {
     /**
-     * Null where the front has no connection for it, as one that puts tunnels to the module by
-     * itself.
+     * Null if the frontend has no connection for the tunnel, as one that hands tunnels directly to
+     * the load balancer.
      */
     public final PeerConnection client;
 
@@ -20,7 +20,7 @@
     public long id;
     public LoadBalancer.Tunnel handle;
 
-    /** The setup that is out, or the backend that it opened at. */
+    /** The server of the setup in progress, or the one at which the tunnel opened. */
     public String serverName;
 
     public PeerConnection backend;
@@ -30,22 +30,28 @@
     public double setupStartedAt;
     public EventLoop.Timer setupTimer, clientTimer;
 
-    /** The client has its final answer; it stands; nothing more can happen to it. */
+    /**
+     * Whether the client has its final answer, whether the tunnel is open at a backend, and whether
+     * nothing more can happen to it.
+     */
     public boolean answered, established, finished;
 
-    /** The backend's last word, where it said one. */
+    /** What the backend sent as the reason for the end; null if it sent none. */
     public Termination.Cause backendEndCause;
 
     public boolean moving;
     public boolean clientEnded, backendEnded;
 
-    /** When bytes last came from either side. */
+    /** When bytes last arrived from either side. */
     public double lastActivityAt;
 
-    /** Since when a client's line has been without any line back; 0: it is not. */
+    /**
+     * When the client sent the first line that no backend line has followed yet; 0 if there is
+     * none.
+     */
     public double unansweredSince;
 
-    /** How often the module was told of that. */
+    /** How often that delay was reported to the load balancer. */
     public int slowReports;
 
     public TunnelContext(
--- a/relay/src/main/java/asterpulley/net/TunnelProtocol.java
+++ b/relay/src/main/java/asterpulley/net/TunnelProtocol.java
@@ -1,32 +1,37 @@
 package asterpulley.net;
 
 /**
- * What the shared stages ask of a protocol front: its words towards clients, and its side towards
- * servers. A front hands one of these in with every tunnel. It must never decide anything, and
- * never have two setups of a tunnel out.
+ * What the shared filters need of a protocol: its answers to clients, and its connections to
+ * servers. A frontend passes one of these with every tunnel. It must never decide anything, and
+ * never have two setups of a tunnel in progress.
  */
 public interface TunnelProtocol {
-    /** Sends one setup; its end is told to {@link Route}. */
+    /** Sends one setup; its end is reported to {@link LoadBalancerFilter}. */
     void startSetup(TunnelContext tunnel, String serverName, double timeout);
 
-    /** Sends a tunnel that stood before the relay started to where it stood. */
+    /** Reopens a tunnel that was established before the relay started, at the same server. */
     void reopen(TunnelContext tunnel);
 
-    /** Gives up the setup that is out, if any. */
+    /** Gives up the setup in progress, if any. */
     void abandonSetup(TunnelContext tunnel);
 
     /**
-     * Gives up the setup that is out where nothing of it is written yet: its server is to get
-     * nothing new.
+     * Gives up the setup in progress if nothing of it is written yet: its server is to get nothing
+     * new.
      */
     void recallSetup(TunnelContext tunnel);
 
-    /** Sends a standing client elsewhere, as soon as nothing is under way to it in part. */
+    /**
+     * Tells an established tunnel's client to connect elsewhere, as soon as no message to it is
+     * incomplete.
+     */
     void move(TunnelContext tunnel);
 
-    /** Says that the tunnel is declined; come back after so many seconds (0: no advice). */
+    /**
+     * Answers that the tunnel is declined, to be tried again after so many seconds (0: no advice).
+     */
     void decline(PeerConnection client, double retryAfter);
 
-    /** Says that the tunnel is closed with error. */
+    /** Answers that the tunnel is closed with error. */
     void closeWithError(PeerConnection client);
 }
--- a/relay/src/main/java/asterpulley/net/TunnelRegistry.java
+++ b/relay/src/main/java/asterpulley/net/TunnelRegistry.java
@@ -13,14 +13,14 @@
 import java.util.logging.Logger;
 
 /**
- * The last stage, registry: owns the relay's counters and the record of every tunnel that it holds.
- * What the other stages take in, send and answer is counted here, and a tunnel is let go here,
- * once. It must never change counter happens to a tunnel.
+ * The relay's counters and the record of every tunnel that it holds. What the filters accept, send
+ * and answer is counted here, and each tunnel is removed here, once. It must never change what
+ * happens to a tunnel.
  */
 public final class TunnelRegistry {
     private static final Logger LOG = Logger.getLogger("asterpulley.net.Book");
 
-    /** Ids of ended tunnels that are remembered: some seconds' worth, in under a megabyte. */
+    /** Ids of ended tunnels to remember: those of some seconds, in under a megabyte. */
     private static final int MAX_ENDED_IDS = 4096;
 
     private final Map<String, Long> counters = new TreeMap<>();
@@ -34,14 +34,14 @@
                 }
             };
 
-    /** How a tunnel was answered, in the order of the answers' names. */
+    /** The final answers to a tunnel; their names and order are those of the counters. */
     public enum Answer {
         OPENED,
         DECLINED,
         CLOSED_WITH_ERROR
     }
 
-    /** Answers by profile: the one count of them, whoever shows it. */
+    /** Answers by profile: the only count of them, for all outputs. */
     private final Map<Answer, long[]> answerCounts = new EnumMap<>(Answer.class);
 
     private List<String> profiles = List.of();
@@ -49,17 +49,15 @@
     private Consumer<TunnelContext> removalListener = tunnel -> {};
     public double lastAcceptedAt;
 
-    /**
-     * Connections that are open, and those of them that only wait for a peer to read the last word.
-     */
+    /** Open connections, and those of them that only wait for a peer to read its final answer. */
     public int sockets, lingering;
 
-    /** Buffers that wait for slow readers, on all connections together. */
+    /** Buffers that wait for slow readers, over all connections. */
     public int pendingWrites;
 
     /**
-     * So many of them, and every sender is held back at once: slow readers must not fill the
-     * memory.
+     * Beyond this many pending buffers every sender is paused after one write, so that slow readers
+     * do not fill the memory.
      */
     public int maxPendingWrites = Integer.MAX_VALUE;
 
@@ -68,8 +66,8 @@
     }
 
     /**
-     * Their names from now on, by their place in the settings: new ones come behind, and counter
-     * was counted stays.
+     * Sets the profiles' names in the order of the settings. New ones are appended, and counts of
+     * the others stay.
      */
     public void profiles(List<String> names) {
         profiles = names;
@@ -84,7 +82,7 @@
         return profiles;
     }
 
-    /** How many tunnels of this profile were answered so. */
+    /** How many tunnels of this profile got this answer. */
     public long answerCount(Answer answer, int profile) {
         return answerCounts.get(answer)[profile];
     }
@@ -93,7 +91,7 @@
         return Arrays.stream(answerCounts.get(answer)).sum();
     }
 
-    /** Final answer: opened; the client is told by whoever owns the tunnel from here on. */
+    /** Final answer: opened. The tunnel's owner tells the client. */
     public void recordOpened(TunnelContext tunnel) {
         answerCounts.get(Answer.OPENED)[tunnel.request.profile()]++;
     }
@@ -106,7 +104,7 @@
         counters.merge(counter, amount, Long::sum);
     }
 
-    /** What was counted under this name; an answer's name stands for all profiles. */
+    /** The value of this counter; the name of an answer stands for its sum over all profiles. */
     public long counterValue(String counter) {
         for (Answer answer : Answer.values()) {
             if (answer.name().toLowerCase().equals(counter)) {
@@ -117,15 +115,14 @@
     }
 
     /**
-     * Remembers a client's id; false where it was seen before. Guards against clients that bring
-     * another's: ids are new with every connection, and two tunnels under one id would be one to
-     * the backends.
+     * Records a client's id; false if it was seen before. Ids are new with every connection: a
+     * client that reuses another's would make two tunnels look like one to the backends.
      */
     public boolean registerId(String id) {
         return !endedIds.containsKey(id) && openIds.add(id);
     }
 
-    /** Opens the record of a tunnel; its number is this relay's own, never a client's. */
+    /** Adds a tunnel. The number returned is the relay's own, never the client's. */
     public long register(TunnelContext tunnel) {
         tunnels.put(++lastId, tunnel);
         return lastId;
@@ -143,7 +140,7 @@
         return tunnels.size();
     }
 
-    /** How many tunnels have no socket at a backend yet, or none any more, and will need one. */
+    /** How many tunnels have no socket at a backend yet, or no longer, and will need one. */
     public int awaitingBackendSocket() {
         int count = 0;
         for (TunnelContext tunnel : tunnels.values()) {
@@ -152,7 +149,7 @@
         return count;
     }
 
-    /** Is told of every tunnel as it is let go. */
+    /** Sets the listener that is called with every tunnel that is removed. */
     public void setRemovalListener(Consumer<TunnelContext> listener) {
         removalListener = listener;
     }
@@ -167,7 +164,7 @@
         }
     }
 
-    /** Final answer: declined, come back after so many seconds (0: no advice). */
+    /** Final answer: declined, to be tried again after so many seconds (0: no advice). */
     public void decline(TunnelContext tunnel, double retryAfter) {
         if (recordFinalAnswer(tunnel, Answer.DECLINED)) {
             tunnel.protocol.decline(tunnel.client, retryAfter);
@@ -184,7 +181,7 @@
     }
 
     /**
-     * There is one final answer, so a second is dropped, and so is one to a tunnel that is gone.
+     * Counts the final answer. False, and to be dropped, if the tunnel has one already or is gone.
      */
     private boolean recordFinalAnswer(TunnelContext tunnel, Answer answer) {
         if (tunnel == null || tunnel.answered) {
--- a/relay/src/main/java/asterpulley/net/TunnelRequest.java
+++ b/relay/src/main/java/asterpulley/net/TunnelRequest.java
@@ -1,33 +1,40 @@
 package asterpulley.net;
 
 /**
- * What a client asks of a relay with its first words, in terms that every protocol has. A front
- * reads it off its own protocol and never changes it; nothing here may name a protocol's words.
+ * What a client asks of a relay, in terms that every protocol has. A frontend reads it from its own
+ * protocol, and it never changes; nothing here may name a word of one protocol.
  */
 public interface TunnelRequest {
-    /** The client's own id of this tunnel, new with every one. */
+    /** The client's own id of this tunnel, new with every tunnel. */
     String id();
 
-    /** The flow's key. */
+    /** The key of the flow to which the tunnel belongs. */
     String key();
 
-    /** Its profile and customer, by their place in the settings; -1 where it names no customer. */
+    /** The index of its profile in the settings. */
     int profile();
 
+    /** The index of its customer in the settings; -1 if the request names none. */
     int customer();
 
-    /** The client, or the group that it belongs to; null where it names none. */
+    /** The client, or the group to which it belongs; null if the request names none. */
     String group();
 
     /**
-     * Seconds that the client waits for its answer; NaN where it names none, as only a standing
-     * tunnel's may.
+     * How many seconds the client waits for its answer; NaN if the request names none, which only
+     * that of an established tunnel may.
      */
     double clientTimeout();
 
-    /** The server that it stood at before the relay started; null for a new tunnel. */
+    /**
+     * The server at which the tunnel was established before the relay started; null for a new
+     * tunnel.
+     */
     String previousServer();
 
-    /** The first bytes for a server, which says so that this relay waits for so many seconds. */
+    /**
+     * The first bytes to send to a server; they say that this relay waits for an answer for {@code
+     * wait} seconds.
+     */
     byte[] setupMessage(double wait);
 }
