--- a/relay/src/main/java/asterpulley/line/ClientRequestFilter.java
+++ b/relay/src/main/java/asterpulley/line/ClientRequestFilter.java
@@ -69,7 +69,7 @@
             return ctx.getStopAction();
         }
         String line = LineAssembler.of(peer).nextLine(in);
-        // // A client waits for the answer to its line: one that sends more behind it is no
+        // A client waits for the answer to its line: one that sends more behind it is no
         // client, and nothing of it is used.
         boolean malformed =
                 LineAssembler.of(peer).isTooLong()
--- a/relay/src/main/java/asterpulley/line/ForwardingFilter.java
+++ b/relay/src/main/java/asterpulley/line/ForwardingFilter.java
@@ -40,6 +40,9 @@
 
     private static final double SWEEP_INTERVAL_SECONDS = 0.25;
 
+    /** An answer later than this counts as slow. */
+    private static final double SLOW_LINE_SECONDS = 0.1;
+
     /**
      * How long to wait, before a move, for a backend to complete a line. It may not hold the client
      * back for longer.
@@ -94,7 +97,7 @@
         } else if (!tunnel.established && (tunnel.finished || !fromClient)) {
             ((Buffer) message).tryDispose();
         } else if (!tunnel.established) {
-            // // A client waits for its answer: one that sends before it is no client, and no
+            // A client waits for its answer: one that sends before it is no client, and no
             // backend should have to read that.
             ((Buffer) message).tryDispose();
             registry.count("early_words");
@@ -156,7 +159,7 @@
         if (tunnel.unansweredSince > 0) {
             double delay = eventLoop.now() - tunnel.unansweredSince;
             tunnel.unansweredSince = 0;
-            registry.count(delay > 0.1 ? "lines_slow" : "lines_answered");
+            registry.count(delay > SLOW_LINE_SECONDS ? "lines_slow" : "lines_answered");
         }
     }
 
@@ -182,7 +185,7 @@
         tunnel.clientEnded |= fromClient;
         tunnel.backendEnded |= !fromClient;
         if (!fromClient && tunnel.backendEndCause != null) {
-            // // A reset caused by a client's last line must not destroy the backend's final
+            // A reset caused by a client's last line must not destroy the backend's final
             // message to that client.
             finish(tunnel, cause);
             peer.close();
--- a/relay/src/main/java/asterpulley/line/LineAssembler.java
+++ b/relay/src/main/java/asterpulley/line/LineAssembler.java
@@ -9,7 +9,9 @@
  * never keep more than the longest line, and never lose a byte behind a line.
  */
 public final class LineAssembler {
-    private byte[] bytes = new byte[128];
+    private static final int INITIAL_BYTES = 128;
+
+    private byte[] bytes = new byte[INITIAL_BYTES];
     private int size;
     private boolean tooLong, bareLineFeed;
 
--- a/relay/src/main/java/asterpulley/line/LineCodec.java
+++ b/relay/src/main/java/asterpulley/line/LineCodec.java
@@ -32,6 +32,8 @@
     public static final String STATS = "STATS";
     public static final String NO = "NO";
 
+    private static final double MICROCORES_PER_CORE = 1e6;
+
     private static final Pattern HEX_ID = Pattern.compile("[0-9a-fA-F]{1,32}");
 
     /** No blanks and no control characters. */
@@ -173,7 +175,7 @@
             return Double.NaN;
         }
         try {
-            return Double.parseDouble(line.substring(5).trim()) / 1e6;
+            return Double.parseDouble(line.substring(5).trim()) / MICROCORES_PER_CORE;
         } catch (NumberFormatException e) {
             return Double.NaN;
         }
@@ -197,7 +199,7 @@
                         reportKey(pair.substring(0, Math.max(0, equals))),
                         Double.valueOf(pair.substring(equals + 1)));
             } catch (NumberFormatException e) {
-                // // A value that is no number is left out; the others count.
+                // A value that is no number is left out; the others count.
                 continue;
             }
         }
--- a/relay/src/main/java/asterpulley/line/ProbeFilter.java
+++ b/relay/src/main/java/asterpulley/line/ProbeFilter.java
@@ -30,6 +30,9 @@
      */
     private static final double UNUSED_TIMEOUT_SECONDS = 60;
 
+    /** Applies if there are no profiles. */
+    private static final double DEFAULT_ANSWER_TIMEOUT_SECONDS = 0.5;
+
     /** One backend's connection and the probe in progress on it. */
     private static final class BackendProbe {
         private final String serverName;
@@ -79,7 +82,11 @@
      * backend that answers later would be too late for a tunnel as well.
      */
     public void updateSettings(Settings settings) {
-        answerTimeout = settings.profiles.stream().mapToDouble(p -> p.setupGoal).min().orElse(0.5);
+        answerTimeout =
+                settings.profiles.stream()
+                        .mapToDouble(p -> p.setupGoal)
+                        .min()
+                        .orElse(DEFAULT_ANSWER_TIMEOUT_SECONDS);
     }
 
     public void setFilterChain(FilterChain filterChain) {
@@ -148,7 +155,7 @@
                 && !probe.connection.isClosed()
                 && address != null
                 && !address.equals(probe.address)) {
-            // // The backend's address has changed: an answer on the old connection is not from
+            // The backend's address has changed: an answer on the old connection is not from
             // it.
             closeConnection(probe.connection);
         }
@@ -226,7 +233,7 @@
             if (probe.newConnection) {
                 probeFailed(probe, probe.probeNumber, Termination.Cause.BROKEN);
             } else {
-                // // The backend closed the idle connection just as the probe was sent, which says
+                // The backend closed the idle connection just as the probe was sent, which says
                 // nothing of the backend's state.
                 dial(probe);
             }
--- a/relay/src/main/java/asterpulley/net/AcceptStrategy.java
+++ b/relay/src/main/java/asterpulley/net/AcceptStrategy.java
@@ -45,7 +45,7 @@
         if (event != IOEvent.SERVER_ACCEPT) {
             return DEFAULT.executeIoEvent(connection, event, enabled);
         }
-        // // The operators' address has sockets of its own.
+        // The operators' address has sockets of its own.
         double delay =
                 ClientListener.isClientListener(connection) ? admissionFilter.acceptDelay() : 0;
         if (delay <= 0) {
--- a/relay/src/main/java/asterpulley/net/Addresses.java
+++ b/relay/src/main/java/asterpulley/net/Addresses.java
@@ -16,7 +16,7 @@
                 return Optional.of(new InetSocketAddress(text.substring(0, colon), port));
             }
         } catch (IllegalArgumentException e) {
-            // // The port is not a number or out of range: no address, like any other malformed
+            // The port is not a number or out of range: no address, like any other malformed
             // text.
             return Optional.empty();
         }
--- a/relay/src/main/java/asterpulley/net/AdmissionFilter.java
+++ b/relay/src/main/java/asterpulley/net/AdmissionFilter.java
@@ -17,6 +17,9 @@
     /** Whatever else uses up the machine's descriptors may have released them by then. */
     private static final double SHORTAGE_SECONDS = 5;
 
+    /** The reserve is one socket in this many, but no fewer than the minimum. */
+    private static final int SOCKETS_PER_RESERVED = 16, MIN_RESERVE = 8;
+
     private final EventLoop eventLoop;
     private Settings settings;
     private final TunnelProtocol protocol;
@@ -65,7 +68,7 @@
 
     private void applySocketLimit(int sockets) {
         socketLimit = sockets;
-        reserve = Math.max(8, socketLimit / 16);
+        reserve = Math.max(MIN_RESERVE, socketLimit / SOCKETS_PER_RESERVED);
         idleConnections.setSocketLimit(socketLimit - reserve / 2);
     }
 
@@ -120,7 +123,7 @@
             PeerConnection peer = PeerConnection.of(ctx.getConnection());
             registry.count("declined_no_sockets");
             protocol.decline(peer, retryAfter());
-            // // Its request may be on its way: closing while it arrives would reset the
+            // Its request may be on its way: closing while it arrives would reset the
             // connection and destroy the answer.
             peer.linger();
             return ctx.getStopAction();
@@ -138,7 +141,7 @@
     /** Returns whether there is room for this tunnel; if not, the tunnel is declined. */
     public boolean admit(TunnelContext tunnel) {
         boolean full = !idleConnections.makeRoom(socketLimit - reserve - 1);
-        // // Near the limit every tunnel crosses it, so declining counts as over only when half
+        // Near the limit every tunnel crosses it, so declining counts as over only when half
         // the reserve again is free or held by idle connections.
         if (full
                 ? !declining
--- a/relay/src/main/java/asterpulley/net/EventLoop.java
+++ b/relay/src/main/java/asterpulley/net/EventLoop.java
@@ -45,6 +45,8 @@
         }
     }
 
+    private static final double MAX_SELECT_SECONDS = 30;
+
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final double wallAtStart = System.currentTimeMillis() / 1e3;
     private final long nanosAtStart = System.nanoTime();
@@ -95,11 +97,11 @@
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
         }
-        double wait = timers.isEmpty() ? 30 : timers.peek().dueAt - now();
+        double wait = timers.isEmpty() ? MAX_SELECT_SECONDS : timers.peek().dueAt - now();
         if (wait <= 0 || !submitted.isEmpty() || !runner.getPostponedTasks().isEmpty()) {
             selector.selectNow();
         } else {
-            selector.select((long) Math.ceil(Math.min(30, wait) * 1000));
+            selector.select((long) Math.ceil(Math.min(MAX_SELECT_SECONDS, wait) * 1000));
         }
         lastSelectAt = now();
         selectCount++;
@@ -111,7 +113,7 @@
         for (Runnable task = submitted.poll(); task != null; task = submitted.poll()) {
             run(task);
         }
-        // // Input that arrived before a timer was due is read before the timer runs, however long
+        // Input that arrived before a timer was due is read before the timer runs, however long
         // this process was suspended.
         while (!timers.isEmpty() && timers.peek().dueAt <= lastSelectAt) {
             Timer timer = timers.poll();
@@ -125,7 +127,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            // // A failing timer must not end all established tunnels with it.
+            // A failing timer must not end all established tunnels with it.
             LOG.log(Level.SEVERE, "a timer failed", e);
         }
     }
--- a/relay/src/main/java/asterpulley/net/IdleConnections.java
+++ b/relay/src/main/java/asterpulley/net/IdleConnections.java
@@ -69,7 +69,7 @@
                         !isPending(connection)
                                 || now - connection.lastRequestAt > REQUEST_TIMEOUT_SECONDS
                                         && declineAndLinger(connection, "wordless"));
-        // // A slow reader that still reads may yet come to its final answer.
+        // A slow reader that still reads may yet come to its final answer.
         lingering.removeIf(
                 connection ->
                         connection.isClosed()
@@ -133,7 +133,7 @@
         }
         int excess = registry.sockets + registry.awaitingBackendSocket() - sockets;
         for (; excess > 0 && !lingering.isEmpty(); excess -= reclaim(lingering.poll())) {
-            // // A lingering connection has its final answer already.
+            // A lingering connection has its final answer already.
         }
         if (excess <= 0) {
             return true;
@@ -146,7 +146,7 @@
             return false;
         }
         for (PeerConnection connection : reclaimable) {
-            // // The socket is needed now: the answer is sent and the connection closed right
+            // The socket is needed now: the answer is sent and the connection closed right
             // behind it.
             declineIfAwaiting(connection);
             reclaim(connection);
--- a/relay/src/main/java/asterpulley/net/LoadBalancerFilter.java
+++ b/relay/src/main/java/asterpulley/net/LoadBalancerFilter.java
@@ -54,8 +54,8 @@
      * Restricts the load balancer's choice of servers from now on. To be called before {@link
      * #start}, or never.
      */
-    public void setPoolRouter(PoolRouter routes) {
-        poolRouter = routes;
+    public void setPoolRouter(PoolRouter router) {
+        poolRouter = router;
         registry.setRemovalListener(tunnel -> poolRouter.tunnelClosed(tunnel.id));
         eventLoop.schedule(POOL_TICK_SECONDS, this::tickPools);
     }
@@ -93,7 +93,7 @@
                     applyServerList(initialServers, true);
                 });
         if (!settings.subscribesToServerList) {
-            // // The load balancer subscribes only if its settings say so; over sockets the list
+            // The load balancer subscribes only if its settings say so; over sockets the list
             // always has to be requested.
             listWatcher.run();
         }
@@ -121,7 +121,7 @@
                 try {
                     pendingCalls.poll().run();
                 } catch (RuntimeException e) {
-                    // // A failing call must not end the relay and all established tunnels with
+                    // A failing call must not end the relay and all established tunnels with
                     // it.
                     registry.count("module_failed");
                     LOG.log(Level.SEVERE, "the load balancer failed", e);
@@ -132,7 +132,7 @@
         }
     }
 
-    // // ---- Calls into the load balancer
+    // ---- Calls into the load balancer
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
@@ -173,7 +173,7 @@
                                             budget,
                                             false));
             if (tunnel.handle == null) {
-                // // The load balancer failed on this tunnel; its client must still get its one
+                // The load balancer failed on this tunnel; its client must still get its one
                 // answer.
                 registry.closeWithError(tunnel);
             }
@@ -213,7 +213,7 @@
                     if (tunnel.handle != null) {
                         tunnel.handle.giveUp();
                     }
-                    // // Reached if the tunnel never got to the load balancer, or the load
+                    // Reached if the tunnel never got to the load balancer, or the load
                     // balancer failed on it.
                     registry.closeWithError(tunnel);
                 });
@@ -308,10 +308,10 @@
         callLoadBalancer(() -> loadBalancer.onProbeResult(serverName, outcome, report));
     }
 
-    public void updateServerList(List<ServerEntry> servers, boolean whole) {
+    public void updateServerList(List<ServerEntry> servers, boolean fullList) {
         callLoadBalancer(
                 () -> {
-                    applyServerList(servers, whole);
+                    applyServerList(servers, fullList);
                     listUpdateListener.run();
                 });
     }
@@ -321,11 +321,11 @@
         listUpdateListener = listener;
     }
 
-    private void applyServerList(List<ServerEntry> servers, boolean whole) {
+    private void applyServerList(List<ServerEntry> servers, boolean fullList) {
         if (poolRouter != null) {
-            poolRouter.updateServerList(servers, whole, eventLoop.now());
+            poolRouter.updateServerList(servers, fullList, eventLoop.now());
         }
-        loadBalancer.onServerList(servers, whole);
+        loadBalancer.onServerList(servers, fullList);
         eventLoop.schedule(0, this::recallUnsentSetups);
     }
 
@@ -382,7 +382,7 @@
         callLoadBalancer(() -> loadBalancer.onServerListFailed(timedOut));
     }
 
-    // // ---- Calls from the load balancer
+    // ---- Calls from the load balancer
 
     @Override
     public double now() {
--- a/relay/src/main/java/asterpulley/net/LongPollClient.java
+++ b/relay/src/main/java/asterpulley/net/LongPollClient.java
@@ -153,7 +153,7 @@
                 new TCPNIOConnectorHandler(transport) {
                     @Override
                     protected void preConfigure(Connection dialled) {
-                        // // Held from the start, so that a connection that never comes up is not
+                        // Held from the start, so that a connection that never comes up is not
                         // left behind.
                         connection = dialled;
                         registry.sockets++;
--- a/relay/src/main/java/asterpulley/net/PeerConnection.java
+++ b/relay/src/main/java/asterpulley/net/PeerConnection.java
@@ -320,7 +320,7 @@
         try {
             channel().setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException e) {
-            // // Already lost: closing is all that is left to do.
+            // Already lost: closing is all that is left to do.
             close();
             return;
         }
--- a/relay/src/main/java/asterpulley/net/TunnelRegistry.java
+++ b/relay/src/main/java/asterpulley/net/TunnelRegistry.java
@@ -208,20 +208,20 @@
     public String toString() {
         StringBuilder line = new StringBuilder("held=" + held() + " sockets=" + sockets);
         answerCounts.forEach(
-                (answer, by) -> {
+                (answer, counts) -> {
                     line.append(' ')
                             .append(answer.name().toLowerCase())
                             .append('=')
                             .append(answerCount(answer));
-                    for (int p = 0; p < by.length; p++) {
-                        line.append(p == 0 ? " (" : " ")
-                                .append(profiles.get(p))
+                    for (int profile = 0; profile < counts.length; profile++) {
+                        line.append(profile == 0 ? " (" : " ")
+                                .append(profiles.get(profile))
                                 .append(' ')
-                                .append(by[p]);
+                                .append(counts[profile]);
                     }
                     line.append(')');
                 });
-        counters.forEach((k, v) -> line.append(' ').append(k).append('=').append(v));
+        counters.forEach((name, count) -> line.append(' ').append(name).append('=').append(count));
         return line.toString();
     }
 }
