--- a/relay/src/main/java/asterpulley/line/LineCodec.java
+++ b/relay/src/main/java/asterpulley/line/LineCodec.java
@@ -85,10 +85,10 @@
         Map<String, Integer> indexes = new HashMap<>();
         SettingsDecoder.activeIndexes(settings, section)
                 .forEach(
-                        (name, place) ->
+                        (name, index) ->
                                 indexes.put(
                                         new String(name.getBytes(StandardCharsets.UTF_8), CHARSET),
-                                        place));
+                                        index));
         return indexes;
     }
 
@@ -108,7 +108,7 @@
         Map<String, String> parameters = new HashMap<>();
         String beforeTimeout = line;
         String afterTimeout = null;
-        int pairStart = line.length() - words[3].length();
+        int parameterStart = line.length() - words[3].length();
         for (String parameter : words[3].split(",", -1)) {
             int equals = parameter.indexOf('=');
             if (equals <= 0
@@ -118,10 +118,10 @@
                 return null;
             }
             if (parameter.startsWith("d=")) {
-                beforeTimeout = line.substring(0, pairStart + 2);
-                afterTimeout = line.substring(pairStart + parameter.length());
+                beforeTimeout = line.substring(0, parameterStart + 2);
+                afterTimeout = line.substring(parameterStart + parameter.length());
             }
-            pairStart += parameter.length() + 1;
+            parameterStart += parameter.length() + 1;
         }
         Integer profile = profiles.get(parameters.get("c"));
         String customer = parameters.get("t");
--- a/relay/src/main/java/asterpulley/net/LoadBalancerFilter.java
+++ b/relay/src/main/java/asterpulley/net/LoadBalancerFilter.java
@@ -29,6 +29,9 @@
 
     private static final double POOL_TICK_SECONDS = 0.25;
 
+    /** The shortest time budget of a tunnel; 0 stands for no limit. */
+    private static final double MIN_BUDGET_SECONDS = 1e-3;
+
     private final EventLoop eventLoop;
     private final TunnelRegistry registry;
     private final ArrayDeque<Runnable> pendingCalls = new ArrayDeque<>();
@@ -110,6 +113,7 @@
         callLoadBalancer(() -> loadBalancer.updateSettings(updated));
     }
 
+    /** Runs the call now, or behind the present one if the load balancer is deciding. */
     private void callLoadBalancer(Runnable call) {
         pendingCalls.add(call);
         if (deciding) {
@@ -160,7 +164,7 @@
             double budget =
                     Double.isNaN(request.clientTimeout())
                             ? 0
-                            : Math.max(1e-3, request.clientTimeout());
+                            : Math.max(MIN_BUDGET_SECONDS, request.clientTimeout());
             callLoadBalancer(
                     () ->
                             tunnel.handle =
@@ -219,6 +223,7 @@
                 });
     }
 
+    /** A setup has opened the tunnel, or a tunnel from before the start was reopened. */
     public void tunnelOpened(TunnelContext tunnel) {
         TunnelRequest request = tunnel.request;
         if (poolRouter != null && tunnel.handle == null) {
@@ -277,6 +282,7 @@
         return tunnel.handle == null || tunnel.handle.maySend();
     }
 
+    /** The client no longer waits, so no retry is made. */
     public void clientWithdrew(TunnelContext tunnel) {
         callLoadBalancer(
                 () -> {
@@ -295,6 +301,7 @@
         }
     }
 
+    /** Reports how long a line of the client has waited for a line of the backend. */
     public void messageDelayed(TunnelContext tunnel, double seconds) {
         if (tunnel.handle != null) {
             callLoadBalancer(() -> tunnel.handle.onMessageDelay(seconds));
@@ -308,6 +315,7 @@
         callLoadBalancer(() -> loadBalancer.onProbeResult(serverName, outcome, report));
     }
 
+    /** Applies a full server list, or the changes since the last one. */
     public void updateServerList(List<ServerEntry> servers, boolean fullList) {
         callLoadBalancer(
                 () -> {
--- a/relay/src/main/java/asterpulley/net/TunnelContext.java
+++ b/relay/src/main/java/asterpulley/net/TunnelContext.java
@@ -31,8 +31,8 @@
     public EventLoop.Timer setupTimer, clientTimer;
 
     /**
-     * Whether the client has its final answer, whether the tunnel is open at a backend, and whether
-     * nothing more can happen to it.
+     * Whether the client has its final answer, whether the tunnel has opened at a backend, and
+     * whether nothing more can happen to it.
      */
     public boolean answered, established, finished;
 
