--- a/relay/src/main/java/asterpulley/line/LineAssembler.java
+++ b/relay/src/main/java/asterpulley/line/LineAssembler.java
@@ -5,33 +5,34 @@
 import org.glassfish.grizzly.Buffer;
 
 /**
- * Owns a line that has come only in part. Bytes go in as they were read, whole lines come out,
- * however they were split or joined on their way. It must never keep more than the longest line,
- * and never lose a byte behind one.
+ * Assembles lines from bytes as they are read, however the network split or joined them. It must
+ * never keep more than the longest line, and never lose a byte behind a line.
  */
 public final class LineAssembler {
-    private byte[] bytes = new byte[128];
+    private static final int INITIAL_BYTES = 128;
+
+    private byte[] bytes = new byte[INITIAL_BYTES];
     private int size;
-    private boolean tooLong, bare;
+    private boolean tooLong, bareLineFeed;
 
-    /** What has come in part on this connection. */
-    public static LineAssembler of(PeerConnection leg) {
-        if (leg.partly == null) {
-            leg.partly = new LineAssembler();
+    /** The assembler of this connection, created on first use. */
+    public static LineAssembler of(PeerConnection peer) {
+        if (peer.decoderState == null) {
+            peer.decoderState = new LineAssembler();
         }
-        return (LineAssembler) leg.partly;
+        return (LineAssembler) peer.decoderState;
     }
 
     /**
-     * The next whole line, without its end; null when it is still to come. What follows it stays in
-     * the buffer.
+     * The next complete line, without its line end; null if it is still incomplete. What follows
+     * the line stays in the buffer.
      */
-    public String next(Buffer in) {
+    public String nextLine(Buffer in) {
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
-                bare = size == 0 || bytes[size - 1] != '\r';
-                int end = bare ? size : size - 1;
+                bareLineFeed = size == 0 || bytes[size - 1] != '\r';
+                int end = bareLineFeed ? size : size - 1;
                 String line = new String(bytes, 0, end, LineCodec.CHARSET);
                 size = 0;
                 return line;
@@ -48,18 +49,18 @@
         return null;
     }
 
-    /** True once a line came that is longer than any may be. */
-    public boolean tooLong() {
+    /** True once a line was longer than allowed. */
+    public boolean isTooLong() {
         return tooLong;
     }
 
-    /** True when the last line ended without its carriage return. */
-    public boolean bare() {
-        return bare;
+    /** True if the last line ended without a carriage return. */
+    public boolean endedWithBareLineFeed() {
+        return bareLineFeed;
     }
 
-    /** True between two lines. */
-    public boolean between() {
+    /** True if no line has been received in part. */
+    public boolean isBetweenLines() {
         return size == 0;
     }
 }
--- a/relay/src/main/java/asterpulley/net/AdmissionFilter.java
+++ b/relay/src/main/java/asterpulley/net/AdmissionFilter.java
@@ -8,115 +8,124 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The second stage, admit: owns the relay's own room, which is sockets. A tunnel needs two, and
- * some stay in reserve so that newcomers can always be accepted and told to come back. It must
- * never judge backends: that is the module's; and never decline a client with a whole line while
- * enough idle ones can make room for it.
+ * Second filter of the client chain: owns the relay's own capacity, which is its sockets. A tunnel
+ * needs two, and some stay in reserve so that new clients can always be accepted and told when to
+ * come back. It must never judge backends, which is up to the load balancer, and never decline a
+ * complete request while enough idle connections can make room for it.
  */
 public final class AdmissionFilter extends BaseFilter {
-    /** Who else holds the machine's descriptors may have let them go by then. */
-    private static final double SCARCE_FOR = 5;
+    /** Whatever else uses up the machine's descriptors may have released them by then. */
+    private static final double SHORTAGE_SECONDS = 5;
 
-    private final EventLoop loop;
+    /** The reserve is one socket in this many, but no fewer than the minimum. */
+    private static final int SOCKETS_PER_RESERVED = 16, MIN_RESERVE = 8;
+
+    private final EventLoop eventLoop;
     private Settings settings;
-    private final TunnelProtocol talk;
-    private final TunnelRegistry book;
-    private final IdleConnections lobby;
+    private final TunnelProtocol protocol;
+    private final TunnelRegistry registry;
+    private final IdleConnections idleConnections;
     private final Random random;
 
-    /** As told; less where the machine gave fewer of late. */
-    private int told, room;
+    /**
+     * The limit as configured, and the one in force, which is lower after the machine lately had no
+     * descriptor left.
+     */
+    private int configuredLimit, socketLimit;
 
     private int reserve;
-    private EventLoop.Timer scarce;
-    private boolean crowded;
+    private EventLoop.Timer shortageTimer;
+    private boolean declining;
 
     public AdmissionFilter(
-            EventLoop loop,
+            EventLoop eventLoop,
             Settings settings,
-            TunnelProtocol talk,
-            TunnelRegistry book,
-            IdleConnections lobby,
+            TunnelProtocol protocol,
+            TunnelRegistry registry,
+            IdleConnections idleConnections,
             Random random) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.talk = talk;
-        this.book = book;
-        this.lobby = lobby;
+        this.protocol = protocol;
+        this.registry = registry;
+        this.idleConnections = idleConnections;
         this.random = random;
     }
 
-    /** These count from now on. */
-    public void updateSettings(Settings anew) {
-        settings = anew;
+    /** Applies new settings from now on. */
+    public void updateSettings(Settings updated) {
+        settings = updated;
     }
 
     /**
-     * The sockets that tunnels, probes and newcomers may take together. The bound may change while
-     * tunnels stand: what is above a lower one leaves by itself, and nothing new comes meanwhile.
+     * The sockets that tunnels, probes and new clients may use together. The limit may change while
+     * tunnels are open: those above a lower one leave by themselves, and none are added meanwhile.
      */
     public void setSocketLimit(int sockets) {
-        told = sockets;
-        bound(told);
+        configuredLimit = sockets;
+        applySocketLimit(configuredLimit);
     }
 
-    private void bound(int sockets) {
-        room = sockets;
-        reserve = Math.max(8, room / 16);
-        lobby.most(room - reserve / 2);
+    private void applySocketLimit(int sockets) {
+        socketLimit = sockets;
+        reserve = Math.max(MIN_RESERVE, socketLimit / SOCKETS_PER_RESERVED);
+        idleConnections.setSocketLimit(socketLimit - reserve / 2);
     }
 
     /**
-     * The machine refused a descriptor: what is in use now is the bound, for a while, and who is
-     * idle makes room below it. A newcomer waits in the queue meanwhile, and setups still get
-     * theirs.
+     * The machine refused a descriptor: for a while, the number in use now is the limit and idle
+     * connections are closed to get below it. New clients wait in the queue meanwhile; setups still
+     * get their sockets.
      */
-    void refused(IOException why) {
-        book.count("accepts_refused");
-        if (scarce == null) {
-            book.log(
-                    "no descriptor for a newcomer ("
-                            + why.getMessage()
+    void acceptFailed(IOException cause) {
+        registry.count("accepts_refused");
+        if (shortageTimer == null) {
+            registry.log(
+                    "no file descriptor for a new connection ("
+                            + cause.getMessage()
                             + "), in use "
-                            + book.sockets
+                            + registry.sockets
                             + " of "
-                            + room);
+                            + socketLimit);
         } else {
-            scarce.cancel();
+            shortageTimer.cancel();
         }
-        scarce =
-                loop.schedule(
-                        SCARCE_FOR,
+        shortageTimer =
+                eventLoop.schedule(
+                        SHORTAGE_SECONDS,
                         () -> {
-                            scarce = null;
-                            bound(told);
+                            shortageTimer = null;
+                            applySocketLimit(configuredLimit);
                         });
-        bound(Math.min(room, book.sockets));
-        lobby.makeRoom(room - reserve / 2);
+        applySocketLimit(Math.min(socketLimit, registry.sockets));
+        idleConnections.makeRoom(socketLimit - reserve / 2);
     }
 
     /**
-     * How many seconds the next newcomer waits in the queue: where all sockets for newcomers are
-     * idle ones', until one of these has had the time to say its line. Where nobody is idle it is
-     * told at once.
+     * How many seconds the next client waits in the queue. If idle connections hold all sockets for
+     * new clients, it waits until one of these has had time to send its request. If none is idle,
+     * it is accepted and declined at once.
      */
-    double queue() {
-        return lobby.makeRoomForNewcomer(room - reserve / 2 - 1) ? 0 : lobby.nextIdle();
+    double acceptDelay() {
+        return idleConnections.makeRoomForNewClient(socketLimit - reserve / 2 - 1)
+                ? 0
+                : idleConnections.secondsUntilReclaimable();
     }
 
     /**
-     * Guards against crowds that connect and say nothing: the longest silent give way to whoever
-     * comes. Where nobody can, the newcomer is told at once, before a word is read, and its socket
-     * is free again.
+     * Guards against crowds that connect and send nothing: the connections silent for longest make
+     * room for new ones. If none can, the new client is declined at once, before anything is read,
+     * and its socket is free again.
      */
     @Override
     public NextAction handleAccept(FilterChainContext ctx) {
-        if (!lobby.makeRoomForNewcomer(room - reserve / 2)) {
-            PeerConnection leg = PeerConnection.of(ctx.getConnection());
-            book.count("declined_no_sockets");
-            talk.decline(leg, comeBack());
-            // Its line may be on its way: closing on that would destroy the answer.
-            leg.linger();
+        if (!idleConnections.makeRoomForNewClient(socketLimit - reserve / 2)) {
+            PeerConnection peer = PeerConnection.of(ctx.getConnection());
+            registry.count("declined_no_sockets");
+            protocol.decline(peer, retryAfter());
+            // Its request may be on its way: closing while it arrives would reset the
+            // connection and destroy the answer.
+            peer.linger();
             return ctx.getStopAction();
         }
         return ctx.getInvokeAction();
@@ -124,35 +133,37 @@
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        return ctx.getMessage() instanceof TunnelContext passage && !admit(passage)
+        return ctx.getMessage() instanceof TunnelContext tunnel && !admit(tunnel)
                 ? ctx.getStopAction()
                 : ctx.getInvokeAction();
     }
 
-    /** False where there is no room for this tunnel: it is declined then. */
-    public boolean admit(TunnelContext passage) {
-        boolean full = !lobby.makeRoom(room - reserve - 1);
-        // Near the bound every tunnel crosses it: the mode is over when half the reserve again is
-        // free, or idle ones'.
+    /** Returns whether there is room for this tunnel; if not, the tunnel is declined. */
+    public boolean admit(TunnelContext tunnel) {
+        boolean full = !idleConnections.makeRoom(socketLimit - reserve - 1);
+        // Near the limit every tunnel crosses it, so declining counts as over only when half
+        // the reserve again is free or held by idle connections.
         if (full
-                ? !crowded
-                : crowded && book.sockets - lobby.idle() < room - reserve - reserve / 2) {
-            crowded = full;
-            book.log(
-                    (full ? "no sockets left: declining" : "sockets again")
+                ? !declining
+                : declining
+                        && registry.sockets - idleConnections.pendingCount()
+                                < socketLimit - reserve - reserve / 2) {
+            declining = full;
+            registry.log(
+                    (full ? "no sockets left: declining" : "sockets free again")
                             + ", in use "
-                            + book.sockets
+                            + registry.sockets
                             + " of "
-                            + room);
+                            + socketLimit);
         }
         if (full) {
-            book.count("declined_no_sockets");
-            book.decline(passage, comeBack());
+            registry.count("declined_no_sockets");
+            registry.decline(tunnel, retryAfter());
         }
         return !full;
     }
 
-    private double comeBack() {
+    private double retryAfter() {
         return settings.maxRetryAfter * (0.5 + 0.5 * random.nextDouble());
     }
 }
--- a/relay/src/main/java/asterpulley/net/IdleConnections.java
+++ b/relay/src/main/java/asterpulley/net/IdleConnections.java
@@ -6,219 +6,252 @@
 import java.util.function.IntPredicate;
 
 /**
- * Owns the connections that hold a socket but no tunnel: newcomers whose line is still to come, and
- * leavers that have heard their last word. It bounds how long each may stay, and lets the oldest go
- * where a socket is needed. It must never end a connection that a tunnel uses, nor one whose line
- * may have come with it and was not read yet, nor close on a newcomer that still waits for a first
- * answer without one, nor let an idle one go where that makes no room.
+ * The connections that hold a socket but no tunnel: pending ones, whose request is still to come,
+ * and lingering ones, which have their final answer. It limits how long each may stay and closes
+ * the oldest when a socket is needed. It must never close a connection that a tunnel uses, nor one
+ * whose request may have arrived with it and was not read yet, nor close a pending one that is owed
+ * a first answer without sending it, nor close an idle one if that does not make enough room.
  */
 public final class IdleConnections {
     /**
-     * A client says its line as it connects, and the front asks anew on a connection of its own:
-     * who says nothing for this time, or nothing more, holds a socket that another could use.
+     * A client sends its request as it connects, and the front-end balancer opens a new connection
+     * for each health check: a connection that sends nothing, or nothing more, for this time holds
+     * a socket that another could use.
      */
-    private static final double WORDLESS = 1.5;
+    private static final double REQUEST_TIMEOUT_SECONDS = 1.5;
 
     /**
-     * Who says nothing gives way to a newcomer only after this, and who has begun its line after
-     * that: the rest may be on its way. Where all descriptors are idle ones' the queue moves at so
-     * many in this time.
+     * How long a pending connection has before it can be reclaimed for a new client: the first time
+     * if it has sent nothing, the second if it has sent part of its request, since the rest may be
+     * on its way. While idle connections hold all descriptors, the accept queue advances by that
+     * many connections in this time.
      */
-    private static final double FIRST_WORDS = 0.02, WHOLE_LINE = 0.1;
+    private static final double FIRST_BYTES_GRACE_SECONDS = 0.02, WHOLE_REQUEST_GRACE_SECONDS = 0.1;
 
-    /** So many newcomers hold a socket before what this relay keeps for later is kept from them. */
-    private static final int NEWCOMERS = 8;
+    /**
+     * Spare connections, such as unused probe connections, are released for new clients only while
+     * at most this many pending connections hold a socket.
+     */
+    private static final int MAX_PENDING_WHEN_RELEASING_SPARES = 8;
 
     /**
-     * A peer that was told the last word is waited for this long, so that a reset does not destroy
-     * that word.
+     * How long to wait for a peer to read its final answer and close; closing at once could reset
+     * the connection and destroy that answer.
      */
-    private static final double LINGER = 1;
+    private static final double LINGER_SECONDS = 1;
 
-    private static final double SWEEP = 0.1;
+    private static final double SWEEP_INTERVAL_SECONDS = 0.1;
 
-    private final EventLoop loop;
-    private final TunnelRegistry book;
-    private final TunnelProtocol talk;
-    private final ArrayDeque<PeerConnection> newcomers = new ArrayDeque<>();
-    private final ArrayDeque<PeerConnection> leavers = new ArrayDeque<>();
+    private final EventLoop eventLoop;
+    private final TunnelRegistry registry;
+    private final TunnelProtocol protocol;
+    private final ArrayDeque<PeerConnection> pending = new ArrayDeque<>();
+    private final ArrayDeque<PeerConnection> lingering = new ArrayDeque<>();
 
-    /** So many sockets, and who has no tunnel makes room for what this relay dials. */
-    private int most = Integer.MAX_VALUE;
+    /**
+     * Beyond this many sockets idle connections are closed to make room for outgoing connections.
+     */
+    private int socketLimit = Integer.MAX_VALUE;
 
-    private IntPredicate unused = count -> false;
+    private IntPredicate spareReleaser = count -> false;
 
-    public IdleConnections(EventLoop loop, TunnelRegistry book, TunnelProtocol talk) {
-        this.loop = loop;
-        this.book = book;
-        this.talk = talk;
+    public IdleConnections(EventLoop eventLoop, TunnelRegistry registry, TunnelProtocol protocol) {
+        this.eventLoop = eventLoop;
+        this.registry = registry;
+        this.protocol = protocol;
     }
 
-    /** Starts the watch over who stays too long. */
+    /** Closes connections that stay too long, now and at each interval from now on. */
     public void start() {
-        double now = loop.now();
-        newcomers.removeIf(
-                leg -> !waits(leg) || now - leg.spokeAt > WORDLESS && turnedAway(leg, "wordless"));
-        // A slow reader that still reads may yet come to its last word.
-        leavers.removeIf(
-                leg ->
-                        leg.closed()
-                                || now - Math.max(leg.lingeringSince, leg.wroteAt) > LINGER
-                                        && gone(leg, "lingered"));
-        loop.schedule(SWEEP, this::start);
+        double now = eventLoop.now();
+        pending.removeIf(
+                connection ->
+                        !isPending(connection)
+                                || now - connection.lastRequestAt > REQUEST_TIMEOUT_SECONDS
+                                        && declineAndLinger(connection, "wordless"));
+        // A slow reader that still reads may yet come to its final answer.
+        lingering.removeIf(
+                connection ->
+                        connection.isClosed()
+                                || now - Math.max(connection.lingeringSince, connection.lastWriteAt)
+                                                > LINGER_SECONDS
+                                        && closeCounted(connection, "lingered"));
+        eventLoop.schedule(SWEEP_INTERVAL_SECONDS, this::start);
     }
 
-    public void comes(PeerConnection leg) {
-        leg.awaited = true;
-        newcomers.add(leg);
+    public void addPending(PeerConnection connection) {
+        connection.awaitingRequest = true;
+        pending.add(connection);
     }
 
-    public void leaves(PeerConnection leg) {
-        leavers.add(leg);
+    public void addLingering(PeerConnection connection) {
+        lingering.add(connection);
     }
 
     /**
-     * {@code unused}: ends so many connections that this relay keeps for later, and says yes; where
-     * there are fewer, it ends none.
+     * {@code spareReleaser} closes the given number of connections that the relay keeps for reuse
+     * and returns true; if there are fewer, it closes none and returns false.
      */
-    public void setSpareReleaser(IntPredicate unused) {
-        this.unused = unused;
+    public void setSpareReleaser(IntPredicate spareReleaser) {
+        this.spareReleaser = spareReleaser;
     }
 
-    /** The sockets up to which somebody without a tunnel may hold one. */
-    public void most(int sockets) {
-        most = sockets;
+    /** The number of sockets in use up to which connections without a tunnel may hold one. */
+    public void setSocketLimit(int sockets) {
+        socketLimit = sockets;
     }
 
-    /** One more socket is about to be dialled: who is idle must not be in its way. */
+    /** Makes room for one outgoing connection, so that idle connections are not in its way. */
     public void makeRoom() {
-        if (!makeRoom(most - 1)) {
-            makeRoom(book.sockets + book.undialled() - 1);
+        if (!makeRoom(socketLimit - 1)) {
+            makeRoom(registry.sockets + registry.awaitingBackendSocket() - 1);
         }
     }
 
     /**
-     * True where no more sockets than that are in use, or needed by tunnels that are taken in and
-     * have none at a backend yet. Where there are more, who was answered already gives way, then
-     * who has been silent the longest, then who has said part of its line, then what this relay
-     * only keeps for later; but for the first only where there are enough.
+     * True if at most this many sockets are in use, counting those that accepted tunnels without a
+     * backend socket still need. If there are more, idle connections are closed in this order:
+     * lingering ones, pending ones that have been silent the longest, those that have sent part of
+     * a request, and last spare connections. All but the lingering ones are closed only if that
+     * makes enough room.
      */
     public boolean makeRoom(int sockets) {
         return makeRoom(sockets, true);
     }
 
     /**
-     * As {@link #makeRoom(int)}, but others that are idle must have had the time for their line.
+     * As {@link #makeRoom(int)}, but pending connections are closed only after they had time to
+     * send their request.
      */
-    public boolean makeRoomForNewcomer(int sockets) {
+    public boolean makeRoomForNewClient(int sockets) {
         return makeRoom(sockets, false);
     }
 
-    private boolean makeRoom(int sockets, boolean atOnce) {
-        if (book.sockets + book.held() <= sockets) {
+    private boolean makeRoom(int sockets, boolean immediately) {
+        if (registry.sockets + registry.held() <= sockets) {
             return true;
         }
-        int over = book.sockets + book.undialled() - sockets;
-        for (; over > 0 && !leavers.isEmpty(); over -= gaveWay(leavers.poll())) {
-            // Its last word is said.
+        int excess = registry.sockets + registry.awaitingBackendSocket() - sockets;
+        for (; excess > 0 && !lingering.isEmpty(); excess -= reclaim(lingering.poll())) {
+            // A lingering connection has its final answer already.
         }
-        if (over <= 0) {
+        if (excess <= 0) {
             return true;
         }
-        List<PeerConnection> idle = idle(over, atOnce);
-        int missing = over - idle.size();
-        if (missing > 0 && !((atOnce || idle() <= NEWCOMERS) && unused.test(missing))) {
+        List<PeerConnection> reclaimable = findReclaimable(excess, immediately);
+        int missing = excess - reclaimable.size();
+        if (missing > 0
+                && !((immediately || pendingCount() <= MAX_PENDING_WHEN_RELEASING_SPARES)
+                        && spareReleaser.test(missing))) {
             return false;
         }
-        for (PeerConnection leg : idle) {
-            // Its socket is needed now: the word goes out with the end.
-            say(leg);
-            gaveWay(leg);
+        for (PeerConnection connection : reclaimable) {
+            // The socket is needed now: the answer is sent and the connection closed right
+            // behind it.
+            declineIfAwaiting(connection);
+            reclaim(connection);
         }
         return true;
     }
 
-    /** So many idle ones at the most that can give way, in the order in which they do. */
-    private List<PeerConnection> idle(int count, boolean atOnce) {
-        while (!newcomers.isEmpty() && !waits(newcomers.peek())) {
-            newcomers.poll();
+    /**
+     * At most this many pending connections that can be closed, in the order in which they are
+     * closed.
+     */
+    private List<PeerConnection> findReclaimable(int count, boolean immediately) {
+        while (!pending.isEmpty() && !isPending(pending.peek())) {
+            pending.poll();
         }
-        List<PeerConnection> idle = new ArrayList<>();
-        for (boolean inPart = false; ; inPart = true) {
-            for (PeerConnection leg : newcomers) {
-                if (leg.inPart() == inPart
-                        && waits(leg)
-                        && (atOnce ? leg.lookedAt() : timeFor(leg) <= 0)) {
-                    idle.add(leg);
+        List<PeerConnection> reclaimable = new ArrayList<>();
+        for (boolean partial = false; ; partial = true) {
+            for (PeerConnection connection : pending) {
+                if (connection.hasPartialRequest() == partial
+                        && isPending(connection)
+                        && (immediately
+                                ? connection.initialInputChecked()
+                                : remainingGrace(connection) <= 0)) {
+                    reclaimable.add(connection);
                 }
-                if (idle.size() == count) {
-                    return idle;
+                if (reclaimable.size() == count) {
+                    return reclaimable;
                 }
             }
-            if (inPart) {
-                return idle;
+            if (partial) {
+                return reclaimable;
             }
         }
     }
 
-    /** How many sockets are held by who has said no line yet, or nothing more. */
-    public long idle() {
-        return newcomers.stream().filter(IdleConnections::waits).count();
+    /**
+     * The number of sockets held by connections that have sent no request yet, or none since their
+     * last.
+     */
+    public long pendingCount() {
+        return pending.stream().filter(IdleConnections::isPending).count();
     }
 
     /**
-     * When somebody who is idle will have had the time for its line, in seconds from now; 0 where
-     * all have, or none is.
+     * Seconds until the next pending connection has had its time to send a request; 0 if all have,
+     * or there is none.
      */
-    public double nextIdle() {
-        return newcomers.stream()
-                .filter(IdleConnections::waits)
-                .mapToDouble(this::timeFor)
+    public double secondsUntilReclaimable() {
+        return pending.stream()
+                .filter(IdleConnections::isPending)
+                .mapToDouble(this::remainingGrace)
                 .filter(time -> time > 0)
                 .min()
                 .orElse(0);
     }
 
-    private double timeFor(PeerConnection leg) {
-        return (leg.inPart() ? leg.since + WHOLE_LINE : leg.spokeAt + FIRST_WORDS) - loop.now();
+    private double remainingGrace(PeerConnection connection) {
+        return (connection.hasPartialRequest()
+                        ? connection.createdAt + WHOLE_REQUEST_GRACE_SECONDS
+                        : connection.lastRequestAt + FIRST_BYTES_GRACE_SECONDS)
+                - eventLoop.now();
     }
 
-    private int gaveWay(PeerConnection leg) {
-        return !leg.closed() && gone(leg, "gave_way") ? 1 : 0;
+    private int reclaim(PeerConnection connection) {
+        return !connection.isClosed() && closeCounted(connection, "gave_way") ? 1 : 0;
     }
 
-    /** Whether somebody's first line, or the rest of it, may still be on its way. */
+    /** Whether a request, or the rest of one, may still arrive on a pending connection. */
     public boolean hasPendingRequests() {
-        return newcomers.stream().anyMatch(leg -> waits(leg) && leg.awaited);
+        return pending.stream()
+                .anyMatch(connection -> isPending(connection) && connection.awaitingRequest);
     }
 
-    /** Nobody's line can be waited for any longer. */
+    /** Declines all pending connections, when there is no time left to wait for their requests. */
     public void declinePending() {
-        newcomers.removeIf(leg -> !waits(leg) || turnedAway(leg, "turned_away"));
+        pending.removeIf(
+                connection ->
+                        !isPending(connection) || declineAndLinger(connection, "turned_away"));
     }
 
-    private static boolean waits(PeerConnection leg) {
-        return !leg.closed() && !leg.lingering() && leg.passage == null;
+    private static boolean isPending(PeerConnection connection) {
+        return !connection.isClosed() && !connection.isLingering() && connection.tunnel == null;
     }
 
-    private boolean turnedAway(PeerConnection leg, String why) {
-        book.count(why);
-        say(leg);
-        leg.linger();
+    private boolean declineAndLinger(PeerConnection connection, String counter) {
+        registry.count(counter);
+        declineIfAwaiting(connection);
+        connection.linger();
         return true;
     }
 
-    /** Nothing of it was sent on, so it may as well come again; who had its answer needs none. */
-    private void say(PeerConnection leg) {
-        if (leg.awaited) {
-            leg.awaited = false;
-            talk.decline(leg, 0);
+    /**
+     * Nothing of its request was sent on, so the client may as well come again; a peer that has its
+     * answer needs none.
+     */
+    private void declineIfAwaiting(PeerConnection connection) {
+        if (connection.awaitingRequest) {
+            connection.awaitingRequest = false;
+            protocol.decline(connection, 0);
         }
     }
 
-    private boolean gone(PeerConnection leg, String why) {
-        book.count(why);
-        leg.close();
+    private boolean closeCounted(PeerConnection connection, String counter) {
+        registry.count(counter);
+        connection.close();
         return true;
     }
 }
--- a/relay/src/main/java/asterpulley/net/PeerConnection.java
+++ b/relay/src/main/java/asterpulley/net/PeerConnection.java
@@ -17,179 +17,193 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * Owns one connection, a client's or a backend's: what is still to be written to it, which of its
- * directions have ended, and how it is ended (in order, by a reset, or with a last word that the
- * other side must still be able to read). It must never block, never keep more than a bounded
- * amount for a slow reader, and be closed only once.
+ * One connection to a client or a backend: what is still to be written, which directions have
+ * ended, and how it is ended (in order, by a reset, or lingering after a final message that the
+ * peer must be able to read). It must never block, never hold more than a bounded amount for a slow
+ * reader, and be closed only once.
  */
 public final class PeerConnection {
     /**
-     * Buffers that wait for a slow reader before its sender is no longer read from, however little
-     * each holds.
+     * Buffers that may wait for a slow reader before its sender is paused, however little each
+     * holds.
      */
-    private static final int MOST_WAITING = 16;
+    private static final int MAX_PENDING_WRITES = 16;
 
     /**
-     * What a peer still sends after its last word is read so far and no further: it may be without
-     * end.
+     * How much of what a peer sends after its final answer is read and discarded; the peer may send
+     * without end.
      */
-    private static final int HEEDLESS = 4 * SocketFilter.BUFFER_BYTES;
+    private static final int MAX_DISCARDED_BYTES = 4 * SocketFilter.BUFFER_BYTES;
 
-    private static final Attribute<PeerConnection> LEG =
+    private static final Attribute<PeerConnection> ATTRIBUTE =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("leg");
 
     public final Connection<SocketAddress> connection;
 
-    /** What the front keeps of words that have come in part. */
-    public Object partly;
+    /** State that the protocol's decoder keeps for a message received in part. */
+    public Object decoderState;
 
-    public final double since;
+    public final double createdAt;
 
-    /** The look at the sockets in which it came; what came with it is found in the next one. */
-    private final long cameIn;
+    /**
+     * The loop's select count at creation. Bytes that arrived together with the connection are read
+     * in the next pass.
+     */
+    private final long createdAtSelect;
 
-    private final EventLoop loop;
-    private final TunnelRegistry book;
-    private final IdleConnections lobby;
+    private final EventLoop eventLoop;
+    private final TunnelRegistry registry;
+    private final IdleConnections idleConnections;
 
-    /** When it came, or last asked as the front does. */
-    public double spokeAt;
+    /**
+     * When the connection was created, or when the last message arrived, such as a health check of
+     * the front-end balancer.
+     */
+    public double lastRequestAt;
 
-    /** Its line, or the rest of one, is still to come, and is owed an answer. */
-    public boolean awaited;
+    /** Whether a request, or the rest of one, is still to come and has to be answered. */
+    public boolean awaitingRequest;
 
-    /** The tunnel that it belongs to, once there is one. */
-    public TunnelContext passage;
+    /** The tunnel to which this connection belongs; null until there is one. */
+    public TunnelContext tunnel;
 
-    private int waiting, heedless;
-    private boolean endWhenWritten, ended, closed, lingering, deaf;
+    private int pendingWrites, discardedBytes;
+    private boolean shutdownWhenWritten, outputShutDown, closed, lingering, inputClosed;
     private boolean closeWhenWritten;
 
-    /** When something last went out: a slow reader that still reads is not a dead one. */
-    public double wroteAt;
+    /** When a write last completed: a slow reader that still reads is not a dead one. */
+    public double lastWriteAt;
 
     public double lingeringSince;
-    private PeerConnection feeder;
-    private Runnable whenWritten;
+    private PeerConnection pausedSender;
+    private Runnable onWritten;
 
     @SuppressWarnings("unchecked")
     public PeerConnection(
-            Connection<?> connection, EventLoop loop, TunnelRegistry book, IdleConnections lobby) {
+            Connection<?> connection,
+            EventLoop eventLoop,
+            TunnelRegistry registry,
+            IdleConnections idleConnections) {
         this.connection = (Connection<SocketAddress>) connection;
-        this.loop = loop;
-        this.book = book;
-        this.lobby = lobby;
-        cameIn = loop.looks();
-        since = loop.now();
-        spokeAt = since;
-        book.sockets++;
-        LEG.set(connection, this);
+        this.eventLoop = eventLoop;
+        this.registry = registry;
+        this.idleConnections = idleConnections;
+        createdAtSelect = eventLoop.selectCount();
+        createdAt = eventLoop.now();
+        lastRequestAt = createdAt;
+        registry.sockets++;
+        ATTRIBUTE.set(connection, this);
     }
 
     public static PeerConnection of(Connection<?> connection) {
-        return LEG.get(connection);
+        return ATTRIBUTE.get(connection);
     }
 
-    /** Whether all that came with it was read: a whole look at the sockets has passed since. */
-    public boolean lookedAt() {
-        return loop.looks() > cameIn + 1;
+    /**
+     * Whether everything that arrived together with the connection was read: true after one full
+     * pass over the sockets.
+     */
+    public boolean initialInputChecked() {
+        return eventLoop.selectCount() > createdAtSelect + 1;
     }
 
-    /** Part of a line has come, and the rest is awaited. */
-    public boolean inPart() {
-        return awaited && spokeAt > since;
+    /** Whether part of a request has come and the rest is awaited. */
+    public boolean hasPartialRequest() {
+        return awaitingRequest && lastRequestAt > createdAt;
     }
 
-    public boolean closed() {
+    public boolean isClosed() {
         return closed;
     }
 
-    public boolean lingering() {
+    public boolean isLingering() {
         return lingering;
     }
 
-    public void say(byte[] words) {
+    public void send(byte[] bytes) {
         MemoryManager<?> memory = connection.getMemoryManager();
-        write(Buffers.wrap(memory, words), null);
+        write(Buffers.wrap(memory, bytes), null);
     }
 
-    /** Writes these words and tells when their last byte is written. */
-    public void say(byte[] words, Runnable written) {
-        whenWritten = written;
-        say(words);
+    /** Writes these bytes and runs the callback when the last one is written. */
+    public void send(byte[] bytes, Runnable callback) {
+        onWritten = callback;
+        send(bytes);
     }
 
-    /**
-     * Writes these bytes; when too many wait, their sender is not read from until they are gone.
-     */
-    public void write(Buffer bytes, PeerConnection from) {
-        if (closed || ended || endWhenWritten) {
+    /** Writes these bytes; {@code sender} is paused while too many writes are pending. */
+    public void write(Buffer bytes, PeerConnection sender) {
+        if (closed || outputShutDown || shutdownWhenWritten) {
             bytes.tryDispose();
             return;
         }
-        waiting++;
-        book.pendingWrites++;
+        pendingWrites++;
+        registry.pendingWrites++;
         bytes.allowBufferDispose(true);
         connection.write(
                 bytes,
                 new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
                     @Override
                     public void completed(WriteResult<Buffer, SocketAddress> result) {
-                        written();
+                        writeCompleted();
                     }
 
                     @Override
-                    public void failed(Throwable why) {
-                        waiting--;
-                        book.pendingWrites--;
-                        hold(null);
+                    public void failed(Throwable cause) {
+                        pendingWrites--;
+                        registry.pendingWrites--;
+                        pauseSender(null);
                     }
                 });
-        boolean much = waiting > (book.pendingWrites > book.maxPendingWrites ? 1 : MOST_WAITING);
-        if (much && from != null && feeder == null && !closed) {
-            book.count("slow_readers");
-            hold(from);
+        boolean tooMany =
+                pendingWrites
+                        > (registry.pendingWrites > registry.maxPendingWrites
+                                ? 1
+                                : MAX_PENDING_WRITES);
+        if (tooMany && sender != null && pausedSender == null && !closed) {
+            registry.count("slow_readers");
+            pauseSender(sender);
         }
     }
 
-    /** Holds this sender back, or lets whom it holds back go on. */
-    private void hold(PeerConnection from) {
-        if (feeder != null) {
-            feeder.reading(true);
+    /** Pauses this sender and resumes the one paused so far; null only resumes. */
+    private void pauseSender(PeerConnection sender) {
+        if (pausedSender != null) {
+            pausedSender.setReading(true);
         }
-        feeder = from;
-        if (feeder != null) {
-            feeder.reading(false);
+        pausedSender = sender;
+        if (pausedSender != null) {
+            pausedSender.setReading(false);
         }
     }
 
-    private void written() {
-        book.pendingWrites--;
-        wroteAt = loop.now();
-        if (--waiting > 0) {
+    private void writeCompleted() {
+        registry.pendingWrites--;
+        lastWriteAt = eventLoop.now();
+        if (--pendingWrites > 0) {
             return;
         }
-        hold(null);
-        if (endWhenWritten) {
-            endSending();
+        pauseSender(null);
+        if (shutdownWhenWritten) {
+            shutdownOutput();
         }
         if (closeWhenWritten) {
             close();
         }
-        if (whenWritten != null) {
-            Runnable what = whenWritten;
-            whenWritten = null;
-            what.run();
+        if (onWritten != null) {
+            Runnable callback = onWritten;
+            onWritten = null;
+            callback.run();
         }
     }
 
-    /** Reads on, or leaves what comes to the kernel until it is read on. */
-    public void reading(boolean on) {
-        if (closed || deaf && on) {
+    /** Resumes or pauses reading; meanwhile received bytes stay in the kernel's buffers. */
+    public void setReading(boolean enabled) {
+        if (closed || inputClosed && enabled) {
             return;
         }
         try {
-            if (on) {
+            if (enabled) {
                 connection.enableIOEvent(IOEvent.READ);
             } else {
                 connection.disableIOEvent(IOEvent.READ);
@@ -199,42 +213,44 @@
         }
     }
 
-    /** What a peer that should only wait has done meanwhile. */
-    public enum Meanwhile {
-        WAITED,
-        SPOKE,
-        ENDED
+    /** What {@link #peek} found on a connection whose peer should only wait. */
+    public enum PeekResult {
+        NO_DATA,
+        DATA,
+        END_OF_INPUT
     }
 
     /**
-     * Looks before the loop comes to it; a word that is found is taken, since nobody may say one
-     * now.
+     * Checks for input ahead of the event loop. A byte that is found is consumed, since the peer
+     * may not send any at this point.
      */
-    public Meanwhile peek() {
+    public PeekResult peek() {
         try {
-            int got = closed || deaf ? -1 : channel().read(ByteBuffer.allocate(1));
-            return got < 0 ? Meanwhile.ENDED : got > 0 ? Meanwhile.SPOKE : Meanwhile.WAITED;
+            int bytesRead = closed || inputClosed ? -1 : channel().read(ByteBuffer.allocate(1));
+            return bytesRead < 0
+                    ? PeekResult.END_OF_INPUT
+                    : bytesRead > 0 ? PeekResult.DATA : PeekResult.NO_DATA;
         } catch (IOException e) {
-            return Meanwhile.ENDED;
+            return PeekResult.END_OF_INPUT;
         }
     }
 
-    /** Its incoming direction has ended: nothing more will be read. */
-    public void deaf() {
-        deaf = true;
-        reading(false);
+    /** The input direction has ended: nothing more will be read. */
+    public void stopReading() {
+        inputClosed = true;
+        setReading(false);
     }
 
-    /** Ends the outgoing direction once all is written; the other direction goes on. */
-    public void endSending() {
-        if (closed || ended) {
+    /** Ends the output direction once all is written; the input direction goes on. */
+    public void shutdownOutput() {
+        if (closed || outputShutDown) {
             return;
         }
-        if (waiting > 0) {
-            endWhenWritten = true;
+        if (pendingWrites > 0) {
+            shutdownWhenWritten = true;
             return;
         }
-        ended = true;
+        outputShutDown = true;
         try {
             channel().shutdownOutput();
         } catch (IOException e) {
@@ -243,35 +259,37 @@
     }
 
     /**
-     * The last word is said: ends sending, reads on without heeding, and closes when the peer has,
-     * or soon.
+     * To be called after the final message: ends the output, discards further input and closes when
+     * the peer closes, or soon after.
      */
     public void linger() {
         if (closed || lingering) {
             return;
         }
         lingering = true;
-        lingeringSince = loop.now();
-        book.lingering++;
-        lobby.leaves(this);
-        reading(true);
-        endSending();
+        lingeringSince = eventLoop.now();
+        registry.lingering++;
+        idleConnections.addLingering(this);
+        setReading(true);
+        shutdownOutput();
     }
 
     /**
-     * So much came after the last word. Who sends without end fills its own buffers from here on,
-     * not our time.
+     * Counts input that is discarded while lingering. Beyond the limit reading stops, so that a
+     * peer that sends without end fills its own buffers and costs no processor time here.
      */
-    public void heedless(int bytes) {
-        heedless += bytes;
-        if (heedless > HEEDLESS) {
-            reading(false);
+    public void countDiscarded(int bytes) {
+        discardedBytes += bytes;
+        if (discardedBytes > MAX_DISCARDED_BYTES) {
+            setReading(false);
         }
     }
 
-    /** Closes as soon as all is written: what a slow reader has not read yet is still its own. */
-    public void closeInOrder() {
-        if (waiting > 0) {
+    /**
+     * Closes as soon as all is written, so that a slow reader still gets what is pending for it.
+     */
+    public void closeAfterWrites() {
+        if (pendingWrites > 0) {
             closeWhenWritten = true;
         } else {
             close();
@@ -281,20 +299,20 @@
     public void close() {
         if (!closed) {
             closed = true;
-            book.sockets--;
-            book.lingering -= lingering ? 1 : 0;
+            registry.sockets--;
+            registry.lingering -= lingering ? 1 : 0;
             connection.terminateSilently();
         }
     }
 
-    /** The connection is gone without our doing; true the first time this is told. */
-    public boolean lost() {
+    /** Closes after the connection was lost without our doing; true the first time. */
+    public boolean markLost() {
         boolean first = !closed;
         close();
         return first;
     }
 
-    /** Ends both directions at once so that the peer sees a broken connection. */
+    /** Ends both directions at once, so that the peer sees a broken connection. */
     public void reset() {
         if (closed) {
             return;
@@ -302,7 +320,7 @@
         try {
             channel().setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException e) {
-            // Already gone: closing is all that is left to do.
+            // Already lost: closing is all that is left to do.
             close();
             return;
         }
--- a/relay/src/main/java/asterpulley/net/SocketFilter.java
+++ b/relay/src/main/java/asterpulley/net/SocketFilter.java
@@ -14,80 +14,82 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Owns reading from sockets, at the bottom of every chain of tunnels and probes. It stands where
- * Grizzly's own transport filter would, because that one closes a connection at the end of its
- * incoming direction and cannot tell it from a reset; here both go up the chain as messages of
- * their own. It must never interpret a byte.
+ * Reads from sockets, at the bottom of every chain for tunnels and probes. It replaces Grizzly's
+ * own transport filter, which closes a connection at the end of its input and cannot tell that from
+ * a reset; here both are passed up the chain as messages. It must never interpret a byte.
  */
 public final class SocketFilter extends BaseFilter {
     private static final Logger LOG = Logger.getLogger(SocketFilter.class.getName());
 
-    /** The one size of all buffers. */
+    /** The size of all buffers. */
     public static final int BUFFER_BYTES = 4096;
 
-    /** How the incoming direction ended: in order, or by a reset. */
+    /** How the input ended: in order, or by a reset. */
     public enum InputEnd {
         FIN,
         RESET
     }
 
     private final TCPNIOTransport transport;
-    private final EventLoop loop;
-    private final TunnelRegistry book;
-    private final IdleConnections lobby;
+    private final EventLoop eventLoop;
+    private final TunnelRegistry registry;
+    private final IdleConnections idleConnections;
 
     public SocketFilter(
-            TCPNIOTransport transport, EventLoop loop, TunnelRegistry book, IdleConnections lobby) {
+            TCPNIOTransport transport,
+            EventLoop eventLoop,
+            TunnelRegistry registry,
+            IdleConnections idleConnections) {
         this.transport = transport;
-        this.loop = loop;
-        this.book = book;
-        this.lobby = lobby;
+        this.eventLoop = eventLoop;
+        this.registry = registry;
+        this.idleConnections = idleConnections;
     }
 
     @Override
     public NextAction handleAccept(FilterChainContext ctx) {
-        new PeerConnection(ctx.getConnection(), loop, book, lobby);
+        new PeerConnection(ctx.getConnection(), eventLoop, registry, idleConnections);
         return ctx.getInvokeAction();
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
         Connection<?> connection = ctx.getConnection();
-        PeerConnection leg = PeerConnection.of(connection);
-        if (leg == null || leg.closed()) {
+        PeerConnection peer = PeerConnection.of(connection);
+        if (peer == null || peer.isClosed()) {
             return ctx.getStopAction();
         }
         Buffer buffer = (Buffer) connection.getMemoryManager().allocate(BUFFER_BYTES);
-        ByteBuffer into = buffer.toByteBuffer();
-        int got;
-        InputEnd end = InputEnd.FIN;
+        ByteBuffer target = buffer.toByteBuffer();
+        int bytesRead;
+        InputEnd inputEnd = InputEnd.FIN;
         try {
-            got = ((SocketChannel) ((NIOConnection) connection).getChannel()).read(into);
+            bytesRead = ((SocketChannel) ((NIOConnection) connection).getChannel()).read(target);
         } catch (IOException e) {
-            got = -1;
-            end = InputEnd.RESET;
+            bytesRead = -1;
+            inputEnd = InputEnd.RESET;
         }
-        if (got <= 0 || leg.lingering()) {
+        if (bytesRead <= 0 || peer.isLingering()) {
             buffer.allowBufferDispose(true);
             buffer.tryDispose();
         }
-        if (leg.lingering()) {
-            if (got < 0) {
-                leg.close();
+        if (peer.isLingering()) {
+            if (bytesRead < 0) {
+                peer.close();
             } else {
-                leg.heedless(got);
+                peer.countDiscarded(bytesRead);
             }
             return ctx.getStopAction();
         }
-        if (got == 0) {
+        if (bytesRead == 0) {
             return ctx.getStopAction();
         }
-        if (got < 0) {
-            leg.deaf();
-            ctx.setMessage(end);
+        if (bytesRead < 0) {
+            peer.stopReading();
+            ctx.setMessage(inputEnd);
         } else {
             buffer.position(0);
-            buffer.limit(got);
+            buffer.limit(bytesRead);
             buffer.allowBufferDispose(true);
             ctx.setMessage(buffer);
         }
@@ -99,20 +101,20 @@
         return transport.getTransportFilter().handleWrite(ctx);
     }
 
-    /** A connection that broke while it was written to; one that this relay closed tells nobody. */
+    /**
+     * Passes on that a connection broke during a write; closing by this relay itself is not
+     * reported.
+     */
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
-        PeerConnection leg = PeerConnection.of(ctx.getConnection());
-        return leg != null && leg.lost() ? ctx.getInvokeAction() : ctx.getStopAction();
+        PeerConnection peer = PeerConnection.of(ctx.getConnection());
+        return peer != null && peer.markLost() ? ctx.getInvokeAction() : ctx.getStopAction();
     }
 
-    /**
-     * Whatever a stage throws ends this connection, and its tunnel hears of it as of any broken
-     * one.
-     */
+    /** A filter that throws ends its connection; the tunnel is told as of any broken one. */
     @Override
     public void exceptionOccurred(FilterChainContext ctx, Throwable error) {
-        LOG.log(Level.SEVERE, "a stage failed", error);
+        LOG.log(Level.SEVERE, "a filter failed", error);
         ctx.getConnection().terminateSilently();
     }
 }
--- a/relay/src/main/java/asterpulley/net/TunnelRegistry.java
+++ b/relay/src/main/java/asterpulley/net/TunnelRegistry.java
@@ -13,53 +13,51 @@
 import java.util.logging.Logger;
 
 /**
- * The last stage, book: owns the relay's counters and the record of every tunnel that it holds.
- * What the other stages take in, send and answer is counted here, and a tunnel is let go here,
- * once. It must never change what happens to a tunnel.
+ * The relay's counters and the record of every tunnel that it holds. What the filters accept, send
+ * and answer is counted here, and each tunnel is removed here, once. It must never change what
+ * happens to a tunnel.
  */
 public final class TunnelRegistry {
     private static final Logger LOG = Logger.getLogger("asterpulley.net.Book");
 
-    /** Ids of ended tunnels that are remembered: some seconds' worth, in under a megabyte. */
-    private static final int ENDED_IDS = 4096;
+    /** Ids of ended tunnels to remember: those of some seconds, in under a megabyte. */
+    private static final int MAX_ENDED_IDS = 4096;
 
     private final Map<String, Long> counters = new TreeMap<>();
-    private final Map<Long, TunnelContext> passages = new HashMap<>();
+    private final Map<Long, TunnelContext> tunnels = new HashMap<>();
     private final Set<String> openIds = new HashSet<>();
     private final Map<String, Boolean> endedIds =
             new LinkedHashMap<>() {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-                    return size() > ENDED_IDS;
+                    return size() > MAX_ENDED_IDS;
                 }
             };
 
-    /** How a tunnel was answered, in the order of the answers' names. */
+    /** The final answers to a tunnel; their names and order are those of the counters. */
     public enum Answer {
         OPENED,
         DECLINED,
         CLOSED_WITH_ERROR
     }
 
-    /** Answers by profile: the one count of them, whoever shows it. */
-    private final Map<Answer, long[]> answers = new EnumMap<>(Answer.class);
+    /** Answers by profile: the only count of them, for all outputs. */
+    private final Map<Answer, long[]> answerCounts = new EnumMap<>(Answer.class);
 
     private List<String> profiles = List.of();
     private long lastId;
-    private Consumer<TunnelContext> left = passage -> {};
+    private Consumer<TunnelContext> removalListener = tunnel -> {};
     public double lastAcceptedAt;
 
-    /**
-     * Connections that are open, and those of them that only wait for a peer to read the last word.
-     */
+    /** Open connections, and those of them that only wait for a peer to read its final answer. */
     public int sockets, lingering;
 
-    /** Buffers that wait for slow readers, on all connections together. */
+    /** Buffers that wait for slow readers, over all connections. */
     public int pendingWrites;
 
     /**
-     * So many of them, and every sender is held back at once: slow readers must not fill the
-     * memory.
+     * Beyond this many pending buffers every sender is paused after one write, so that slow readers
+     * do not fill the memory.
      */
     public int maxPendingWrites = Integer.MAX_VALUE;
 
@@ -68,14 +66,15 @@
     }
 
     /**
-     * Their names from now on, by their place in the settings: new ones come behind, and what was
-     * counted stays.
+     * Sets the profiles' names in the order of the settings. New ones are appended, and counts of
+     * the others stay.
      */
     public void profiles(List<String> names) {
         profiles = names;
         for (Answer answer : Answer.values()) {
-            answers.put(
-                    answer, Arrays.copyOf(answers.getOrDefault(answer, new long[0]), names.size()));
+            answerCounts.put(
+                    answer,
+                    Arrays.copyOf(answerCounts.getOrDefault(answer, new long[0]), names.size()));
         }
     }
 
@@ -83,123 +82,122 @@
         return profiles;
     }
 
-    /** How many tunnels of this profile were answered so. */
+    /** How many tunnels of this profile got this answer. */
     public long answerCount(Answer answer, int profile) {
-        return answers.get(answer)[profile];
+        return answerCounts.get(answer)[profile];
     }
 
     private long answerCount(Answer answer) {
-        return Arrays.stream(answers.get(answer)).sum();
+        return Arrays.stream(answerCounts.get(answer)).sum();
     }
 
-    /** Final answer: opened; the client is told by whoever owns the tunnel from here on. */
-    public void recordOpened(TunnelContext passage) {
-        answers.get(Answer.OPENED)[passage.request.profile()]++;
+    /** Final answer: opened. The tunnel's owner tells the client. */
+    public void recordOpened(TunnelContext tunnel) {
+        answerCounts.get(Answer.OPENED)[tunnel.request.profile()]++;
     }
 
-    public void count(String what) {
-        counters.merge(what, 1L, Long::sum);
+    public void count(String counter) {
+        counters.merge(counter, 1L, Long::sum);
     }
 
-    public void add(String what, long amount) {
-        counters.merge(what, amount, Long::sum);
+    public void add(String counter, long amount) {
+        counters.merge(counter, amount, Long::sum);
     }
 
-    /** What was counted under this name; an answer's name stands for all profiles. */
-    public long counterValue(String what) {
+    /** The value of this counter; the name of an answer stands for its sum over all profiles. */
+    public long counterValue(String counter) {
         for (Answer answer : Answer.values()) {
-            if (answer.name().toLowerCase().equals(what)) {
+            if (answer.name().toLowerCase().equals(counter)) {
                 return answerCount(answer);
             }
         }
-        return counters.getOrDefault(what, 0L);
+        return counters.getOrDefault(counter, 0L);
     }
 
     /**
-     * Remembers a client's id; false where it was seen before. Guards against clients that bring
-     * another's: ids are new with every connection, and two tunnels under one id would be one to
-     * the backends.
+     * Records a client's id; false if it was seen before. Ids are new with every connection: a
+     * client that reuses another's would make two tunnels look like one to the backends.
      */
     public boolean registerId(String id) {
         return !endedIds.containsKey(id) && openIds.add(id);
     }
 
-    /** Opens the record of a tunnel; its number is this relay's own, never a client's. */
-    public long enter(TunnelContext passage) {
-        passages.put(++lastId, passage);
+    /** Adds a tunnel. The number returned is the relay's own, never the client's. */
+    public long register(TunnelContext tunnel) {
+        tunnels.put(++lastId, tunnel);
         return lastId;
     }
 
     public TunnelContext find(long id) {
-        return passages.get(id);
+        return tunnels.get(id);
     }
 
     public List<TunnelContext> all() {
-        return List.copyOf(passages.values());
+        return List.copyOf(tunnels.values());
     }
 
     public int held() {
-        return passages.size();
+        return tunnels.size();
     }
 
-    /** How many tunnels have no socket at a backend yet, or none any more, and will need one. */
-    public int undialled() {
+    /** How many tunnels have no socket at a backend yet, or no longer, and will need one. */
+    public int awaitingBackendSocket() {
         int count = 0;
-        for (TunnelContext passage : passages.values()) {
-            count += passage.answered || passage.setupPending ? 0 : 1;
+        for (TunnelContext tunnel : tunnels.values()) {
+            count += tunnel.answered || tunnel.setupPending ? 0 : 1;
         }
         return count;
     }
 
-    /** Is told of every tunnel as it is let go. */
-    public void whenLeft(Consumer<TunnelContext> then) {
-        left = then;
+    /** Sets the listener that is called with every tunnel that is removed. */
+    public void setRemovalListener(Consumer<TunnelContext> listener) {
+        removalListener = listener;
     }
 
-    public void remove(TunnelContext passage) {
-        passages.remove(passage.id);
-        left.accept(passage);
-        openIds.remove(passage.request.id());
-        endedIds.put(passage.request.id(), true);
-        if (passage.clientTimer != null) {
-            passage.clientTimer.cancel();
+    public void remove(TunnelContext tunnel) {
+        tunnels.remove(tunnel.id);
+        removalListener.accept(tunnel);
+        openIds.remove(tunnel.request.id());
+        endedIds.put(tunnel.request.id(), true);
+        if (tunnel.clientTimer != null) {
+            tunnel.clientTimer.cancel();
         }
     }
 
-    /** Final answer: declined, come back after so many seconds (0: no advice). */
-    public void decline(TunnelContext passage, double retryAfter) {
-        if (answerCount(passage, Answer.DECLINED)) {
-            passage.protocol.decline(passage.client, retryAfter);
-            answered(passage);
+    /** Final answer: declined, to be tried again after so many seconds (0: no advice). */
+    public void decline(TunnelContext tunnel, double retryAfter) {
+        if (recordFinalAnswer(tunnel, Answer.DECLINED)) {
+            tunnel.protocol.decline(tunnel.client, retryAfter);
+            lingerAndRemove(tunnel);
         }
     }
 
     /** Final answer: closed with error. */
-    public void closeWithError(TunnelContext passage) {
-        if (answerCount(passage, Answer.CLOSED_WITH_ERROR)) {
-            passage.protocol.closeWithError(passage.client);
-            answered(passage);
+    public void closeWithError(TunnelContext tunnel) {
+        if (recordFinalAnswer(tunnel, Answer.CLOSED_WITH_ERROR)) {
+            tunnel.protocol.closeWithError(tunnel.client);
+            lingerAndRemove(tunnel);
         }
     }
 
     /**
-     * There is one final answer, so a second is dropped, and so is one to a tunnel that is gone.
+     * Counts the final answer. False, and to be dropped, if the tunnel has one already or is gone.
      */
-    private boolean answerCount(TunnelContext passage, Answer answer) {
-        if (passage == null || passage.answered) {
+    private boolean recordFinalAnswer(TunnelContext tunnel, Answer answer) {
+        if (tunnel == null || tunnel.answered) {
             return false;
         }
-        answers.get(answer)[passage.request.profile()]++;
-        passage.answered = true;
-        passage.finished = true;
+        answerCounts.get(answer)[tunnel.request.profile()]++;
+        tunnel.answered = true;
+        tunnel.finished = true;
         return true;
     }
 
-    private void answered(TunnelContext passage) {
-        if (passage.client != null) {
-            passage.client.linger();
+    private void lingerAndRemove(TunnelContext tunnel) {
+        if (tunnel.client != null) {
+            tunnel.client.linger();
         }
-        remove(passage);
+        remove(tunnel);
     }
 
     public void log(String line) {
@@ -209,21 +207,21 @@
     @Override
     public String toString() {
         StringBuilder line = new StringBuilder("held=" + held() + " sockets=" + sockets);
-        answers.forEach(
-                (answer, by) -> {
+        answerCounts.forEach(
+                (answer, counts) -> {
                     line.append(' ')
                             .append(answer.name().toLowerCase())
                             .append('=')
                             .append(answerCount(answer));
-                    for (int p = 0; p < by.length; p++) {
-                        line.append(p == 0 ? " (" : " ")
-                                .append(profiles.get(p))
+                    for (int profile = 0; profile < counts.length; profile++) {
+                        line.append(profile == 0 ? " (" : " ")
+                                .append(profiles.get(profile))
                                 .append(' ')
-                                .append(by[p]);
+                                .append(counts[profile]);
                     }
                     line.append(')');
                 });
-        counters.forEach((k, v) -> line.append(' ').append(k).append('=').append(v));
+        counters.forEach((name, count) -> line.append(' ').append(name).append('=').append(count));
         return line.toString();
     }
 }
