--- a/core/src/main/java/asterpulley/DrainScheduler.java
+++ b/core/src/main/java/asterpulley/DrainScheduler.java
@@ -1,31 +1,31 @@
 package asterpulley;
 
 /**
- * Decides at what pace standing clients are sent away, so that the last is gone by a given time and
- * they do not all come to the siblings at once. It must never send more than stand, and never leave
- * one behind.
+ * Schedules how many open clients are moved away at each step of a drain, so that the last one
+ * leaves by the end time and they do not all reconnect to the sibling relays at once. It never
+ * moves more clients than are open and leaves none behind.
  */
 public final class DrainScheduler {
-    /** How often it is asked, in seconds. */
+    /** Interval at which {@link #due} is to be called, in seconds. */
     public static final double STEP_SECONDS = 0.05;
 
-    private final double from, until;
-    private double owed;
+    private final double startTime, endTime;
+    private double accrued;
 
-    /** Sends clients away from one time to another, on the clock of whoever asks. */
-    public DrainScheduler(double from, double until) {
-        this.from = from;
-        this.until = until;
+    /** Drains between the two times, in seconds on the clock of the caller of {@link #due}. */
+    public DrainScheduler(double startTime, double endTime) {
+        this.startTime = startTime;
+        this.endTime = endTime;
     }
 
-    /** How many of so many who stand are to be sent away now. */
-    public int due(double now, int standing) {
-        if (now < from) {
+    /** Returns how many of the open clients to move now. */
+    public int due(double now, int openCount) {
+        if (now < startTime) {
             return 0;
         }
-        owed += Math.max(1, standing * STEP_SECONDS / Math.max(STEP_SECONDS, until - now));
-        int sent = (int) Math.min(owed, standing);
-        owed = standing == 0 ? 0 : owed - sent;
-        return sent;
+        accrued += Math.max(1, openCount * STEP_SECONDS / Math.max(STEP_SECONDS, endTime - now));
+        int due = (int) Math.min(accrued, openCount);
+        accrued = openCount == 0 ? 0 : accrued - due;
+        return due;
     }
 }
--- a/core/src/main/java/asterpulley/Frontend.java
+++ b/core/src/main/java/asterpulley/Frontend.java
@@ -1,55 +1,58 @@
 package asterpulley;
 
 /**
- * What the decision module asks of the protocol front that hosts it. A front hands events in by
- * calls on {@link Balance} and on its tunnel handles; all results leave through here and take
- * effect in the order of the calls.
+ * The protocol frontend that hosts a {@link LoadBalancer} and carries out its decisions. It reports
+ * events by calls on the load balancer and on its tunnel handles. All results come through this
+ * interface and take effect in the order of the calls.
  */
 public interface Frontend {
-    /** The time now, in seconds on a clock of its own that only moves forward. */
+    /** Returns the current time in seconds on a monotonic clock of the frontend. */
     double now();
 
     /**
-     * Sends one setup of this tunnel to this server; its end is reported within {@code timeout}
+     * Sends one setup of the tunnel to this server; its outcome is reported within {@code timeout}
      * seconds.
      */
-    void sendSetup(LoadBalancer.Tunnel tun, String ep, double timeout);
+    void sendSetup(LoadBalancer.Tunnel tunnel, String serverName, double timeout);
 
-    /** Final answer: declined, come back after {@code retryAfter} seconds (0: no advice). */
-    void decline(LoadBalancer.Tunnel tun, double retryAfter);
+    /** Final answer: declined, retry after {@code retryAfter} seconds (0: no advice). */
+    void decline(LoadBalancer.Tunnel tunnel, double retryAfter);
 
-    /** Final answer: closed with error, nothing promised of what ran. */
-    void closeWithError(LoadBalancer.Tunnel tun);
+    /** Final answer: closed with error; the tunnel may or may not have run. */
+    void closeWithError(LoadBalancer.Tunnel tunnel);
 
-    /** Ends a standing tunnel politely; its client comes again. */
-    void move(LoadBalancer.Tunnel tun);
+    /** Closes an open tunnel gracefully with a request to reconnect. */
+    void move(LoadBalancer.Tunnel tunnel);
 
-    /** Asks a server for its load; {@link Balance#probed} brings the answer. */
-    void probe(String ep);
+    /** Probes a server for its load; {@link LoadBalancer#onProbeResult} receives the answer. */
+    void probe(String serverName);
 
-    /** Asks for the changes of the server list from now on; a list call answers. */
+    /**
+     * Subscribes to changes of the server list; {@link LoadBalancer#onServerList} or {@link
+     * LoadBalancer#onServerListFailed} follows.
+     */
     void watchServerList();
 
-    /** Calls {@link Balance#woke} after so many seconds. */
-    void scheduleTimer(double after, long token);
+    /** Calls {@link LoadBalancer#onTimer} with the token after {@code delay} seconds. */
+    void scheduleTimer(double delay, long token);
 
     /**
-     * True where this tunnel may go to this server now: what narrows the choice, such as routes, is
-     * asked here, often; {@code server}: a small number that stands for its name as long as this
-     * module lives.
+     * Returns true if the tunnel may use this server now. Restrictions such as routes are applied
+     * here; called often. {@code serverIndex} stands for the server's name as long as the load
+     * balancer lives.
      */
-    default boolean isEligible(LoadBalancer.Tunnel tun, int server, String ep) {
+    default boolean isEligible(LoadBalancer.Tunnel tunnel, int serverIndex, String serverName) {
         return true;
     }
 
     /**
-     * Nobody was found for this tunnel: true where {@link #may} allows it more from now on, so that
-     * a look is worth it.
+     * Called if no server was found for the tunnel. Returns true if {@link #isEligible} allows more
+     * servers from now on, so that another search is worthwhile.
      */
-    default boolean widenSelection(LoadBalancer.Tunnel tun) {
+    default boolean widenSelection(LoadBalancer.Tunnel tunnel) {
         return false;
     }
 
-    /** One line for the operators. */
+    /** Logs one line for operators. */
     void log(String line);
 }
--- a/core/src/main/java/asterpulley/LoadBalancer.java
+++ b/core/src/main/java/asterpulley/LoadBalancer.java
@@ -12,363 +12,443 @@
 import java.util.stream.Stream;
 
 /**
- * Decides for one relay where each tunnel goes. The entry point is {@link #take}: it gives a handle
- * on which the front calls what happens later; lists, probe answers and timers come in beside it,
- * and every result leaves through the interface in Front.java. The ordinary path: the ready server
- * with the lowest load factor takes the tunnel; seek timers with a retry count decide who is
- * offline; all full means decline. When each exception to it acts, and why, stands in
- * docs/design.md.
+ * Chooses a server for each tunnel of one relay. {@link #openTunnel} is the entry point: it returns
+ * a handle on which the frontend reports what happens to the tunnel. Server lists, probe results
+ * and timers are reported on the load balancer itself, and every decision leaves through {@link
+ * Frontend}.
+ *
+ * <p>In the ordinary case the available server with the lowest load factor gets the tunnel, probes
+ * that time out in a row take a server offline, and tunnels are declined when all servers are full.
+ * docs/design.md describes the exceptions.
+ *
+ * <p>Times are in seconds. Load is counted in mean loads ("units"): 1 is the load of an average
+ * tunnel. A load factor is a server's load divided by its capacity. Servers are numbered in the
+ * order in which they were first listed; that number is the index into the arrays below. Not
+ * thread-safe.
  */
 public final class LoadBalancer {
-    /** Unanswered seeks and failed setups in a row that mark a server offline. */
-    private static final int SILENT = 3;
+    /** Unanswered probes and failed setups in a row after which a server is offline. */
+    private static final int OFFLINE_AFTER_FAILURES = 3;
 
     /**
-     * A factor from which a server is full: nearer capacity messages come late, for all its
-     * tunnels.
+     * Load factor from which a server is full; closer to capacity, messages of all its tunnels are
+     * delayed.
      */
-    private static final double FULL = 0.8;
+    private static final double FULL_LOAD_FACTOR = 0.8;
 
-    /** A factor from which shares are held: within a burst's reach of full. */
-    private static final double NEAR_FULL = 0.75;
+    /** Load factor from which customers are held to their shares; one burst can fill the rest. */
+    private static final double NEAR_FULL_LOAD_FACTOR = 0.75;
 
-    /** A factor above which standing tunnels are moved away, until it is full at most. */
-    private static final double CROWDED = 0.95;
+    /** Load factor above which open tunnels are moved away, down to {@link #FULL_LOAD_FACTOR}. */
+    private static final double OVERLOADED_LOAD_FACTOR = 0.95;
 
     /**
-     * Moves may add this many times the usual rate of setups: what stands behind them has some
-     * room.
+     * Moves per new tunnel; the store behind the servers has some room beyond the usual rate of
+     * setups.
      */
-    private static final double MOVE_PACE = 6;
+    private static final double MOVES_PER_ARRIVAL = 6;
 
-    /** A draining server that sent none of its tunnels away for this long leaves it to us. */
-    private static final double DRAIN_WAIT = 2;
+    /**
+     * A draining server that closed none of its tunnels for this long leaves moving them to the
+     * relays.
+     */
+    private static final double DRAIN_WAIT_SECONDS = 2;
 
-    /** Points of service that steady probes may cost, and the bounds of what that gives. */
-    private static final double PROBE_SPEND = 0.01;
+    /**
+     * Share of the service's result that regular probes may cost, and the bounds of the interval
+     * that follows from it.
+     */
+    private static final double PROBE_COST_SHARE = 0.01;
 
-    private static final double FASTEST_SEEK = 0.4, SLOWEST_SEEK = 3;
+    private static final double MIN_PROBE_INTERVAL_SECONDS = 0.4, MAX_PROBE_INTERVAL_SECONDS = 3;
 
     /**
-     * A server is taken to fall silent once in so many seconds, on the worst days that operators
-     * met.
+     * Assumed mean time between two servers that stop answering, as on the worst days in
+     * production.
      */
-    private static final double SILENCE_EVERY = 300;
+    private static final double SECONDS_BETWEEN_SILENT_SERVERS = 300;
 
-    /** Servers that this relay does not use are sought this much less often than those it does. */
-    private static final double UNUSED = 8;
+    /** Servers that this relay does not use are probed this many times less often. */
+    private static final double UNUSED_PROBE_INTERVAL_FACTOR = 8;
 
     /**
-     * An older report says too little to place by: the best few are sought before the tunnel goes.
+     * A report older than this is refreshed before a tunnel is placed by it: the best few
+     * candidates are probed.
      */
-    private static final double STALE = 2;
+    private static final double STALE_REPORT_SECONDS = 2;
 
-    private static final int SOUGHT = 3;
+    private static final int MAX_PROBED_CANDIDATES = 3;
 
-    /** The part of a setup goal that may go into waiting for their answers. */
-    private static final double SEEK_WAIT = 0.4;
+    /**
+     * Part of a tunnel's setup goal that it may wait for probe results or for room in the window.
+     */
+    private static final double MAX_WAIT_GOAL_FRACTION = 0.4;
 
-    /** Tunnels a second are counted over this time. */
-    private static final double RATE_TIME = 10;
+    /** Time constant of the decaying rates of tunnels per second. */
+    private static final double RATE_DECAY_SECONDS = 10;
 
-    /** The most seeks a second that a relay can spare the time for. */
-    private static final double MOST_SEEKS = 300;
+    /** Limit on this relay's probes, for their processing time. */
+    private static final double MAX_PROBES_PER_SECOND = 300;
 
     /**
-     * Reports are refreshed and arrive late, by up to this: old placements are likelier in them.
+     * Reports are refreshed at intervals and arrive late, by at most this in total; the older a
+     * placement, the likelier a report includes it.
      */
-    private static final double REPORT_LAG = 1;
+    private static final double MAX_REPORT_LAG_SECONDS = 1;
 
     /**
-     * Of what a cold server bears, the sum that relays aim at: what whole tunnels add by chance has
-     * room.
+     * Fraction of a cold server's limit that all relays together aim at; the rest is room for the
+     * variance of whole tunnels.
      */
-    private static final double COLD_SHARE = 0.75;
+    private static final double COLD_FILL_TARGET = 0.75;
 
-    /** A server that dropped all of ours and went from this load to that one has restarted. */
-    private static final double EMPTIED = 0.3, EMPTY = 0.1;
+    /**
+     * A server has restarted if it reset all tunnels of this relay and its load went from above the
+     * first value to below the second.
+     */
+    private static final double LOADED_LOAD_FACTOR = 0.3, EMPTY_LOAD_FACTOR = 0.1;
 
     /**
-     * A crossing's fee is lost all of a tunnel's life; this much more in the factor loses as much.
+     * Increase of the load factor that costs as much as the cross-zone fee, which is paid for all
+     * of a tunnel's life.
      */
-    private static final double FEE_TO_FACTOR = 4;
+    private static final double FEE_TO_LOAD_FACTOR = 4;
 
     /**
-     * What a group costs a server that holds none of it, in mean loads: not told, of the order of a
-     * few.
+     * Load of a group's shared work on a server without a tunnel of that group. Its real value is
+     * not configured; it is of the order of a few units.
      */
-    private static final double GROUP_COST = 2;
+    private static final double GROUP_COST_UNITS = 2;
 
     /**
-     * How much more that counts in the choice: it stays for a group's life and spreads to all
-     * servers.
+     * Weight of {@link #GROUP_COST_UNITS} when a server is chosen: the cost lasts as long as the
+     * group and spreads to every server that gets one of its tunnels.
      */
-    private static final double GROUP_PULL = 10;
+    private static final double GROUP_AFFINITY_WEIGHT = 10;
 
-    /** How much less likely each rank further makes it that a sibling holds the group there. */
-    private static final double A_RANK = 0.35;
+    /**
+     * By how much each further rank in the group's server order raises the chance that no sibling
+     * holds the group there.
+     */
+    private static final double NO_HOLDER_CHANCE_PER_RANK = 0.35;
 
-    /** The most siblings that an own placement stands for. */
-    private static final double SIBLINGS = 4;
+    /** An own placement is extrapolated to at most this many siblings. */
+    private static final double MAX_SIBLINGS_EXTRAPOLATED = 4;
 
-    /** Evidence on a server's health halves in this time. */
-    private static final double FORGET = 6;
+    /** Half-life of the evidence on a server's health. */
+    private static final double HEALTH_HALF_LIFE_SECONDS = 6;
 
-    /** Outcomes of setups are compared over this time to tell a shared cause from bad servers. */
-    private static final double RECENT = 3;
+    /**
+     * Setup outcomes of this period are compared to distinguish a shared cause from failing
+     * servers.
+     */
+    private static final double SHARED_CAUSE_WINDOW_SECONDS = 3;
 
     /**
-     * A server whose messages are told to take long is full so long; that is told once a second.
+     * A server with slow messages counts as full for this long; slow messages are reported once a
+     * second.
      */
-    private static final double SLOW_REST = 1.2;
+    private static final double SLOW_MESSAGE_HOLD_SECONDS = 1.2;
 
     /**
-     * The most setups out at once to begin with, and how many a listed server, for all relays
+     * Initial limit on concurrent setups of this relay, and per server in rotation for all relays
      * together.
      */
-    private static final double WINDOW = 8, WINDOW_A_SERVER = 2;
+    private static final double INITIAL_WINDOW_SETUPS = 8, INITIAL_WINDOW_SETUPS_PER_SERVER = 2;
 
-    /** A setup that took this part of its goal says that they queue behind the servers. */
-    private static final double QUEUED = 0.5;
+    /**
+     * A setup that took longer than this part of its goal indicates that setups queue behind the
+     * servers.
+     */
+    private static final double QUEUED_GOAL_FRACTION = 0.5;
 
-    private static final double WIDEST_WINDOW = 64;
+    private static final double MAX_WINDOW_SETUPS = 64;
 
     /**
-     * Mean loads that fill a small server, taken while this relay holds too few tunnels to learn
-     * it.
+     * Capacity of a small server in mean loads, assumed until this relay holds enough tunnels to
+     * learn it.
      */
-    private static final double SMALLEST = 25;
+    private static final double MIN_CAPACITY_UNITS = 25;
 
-    /** Own tunnels at which what they teach of that weighs as much as the figure taken. */
-    private static final double FEW = 10;
+    /** Number of own tunnels at which the learned capacity weighs as much as the assumed one. */
+    private static final double CAPACITY_PRIOR_TUNNELS = 10;
 
-    private static final double BACK_OFF = 0.5, TIMER = 0.1;
+    private static final double INITIAL_LIST_BACKOFF_SECONDS = 0.5, TICK_SECONDS = 0.1;
 
-    /** What is left of such evidence after a tick. */
-    private static final double KEEP = Math.pow(0.5, TIMER / FORGET);
+    /** Factor by which one tick decays the evidence on a server's health. */
+    private static final double HEALTH_KEPT_PER_TICK =
+            Math.pow(0.5, TICK_SECONDS / HEALTH_HALF_LIFE_SECONDS);
 
-    private static final long SEEK = 0, ASK_LIST = 1;
+    private static final long TICK_TOKEN = 0, WATCH_LIST_TOKEN = 1;
 
-    private final Frontend front;
+    private final Frontend frontend;
     private final Random random;
-    private final Ledger ledger;
+    private final RetryLimiter retryLimiter;
 
     /**
-     * In force now. A profile's or customer's place never changes: new ones come behind, old ones
-     * stay.
+     * The active settings. The index of a profile or customer never changes: new ones are appended,
+     * old ones stay.
      */
-    private Settings set;
-
-    private final Map<String, Integer> index = new HashMap<>();
-    private final Map<String, Integer> holders = new HashMap<>();
-    private int n, zones = 1;
-    private double strangers = 1, largest = 2 * SMALLEST;
-    private String[] ep = {};
-    private int[] zone = {}, model = {}, cell = {}, silence = {};
-    private boolean[] running = {}, listed = {}, offline = {}, full = {}, seeking = {}, eased = {};
-    private boolean[] out = {}, owed = {}, unheard = {}, dropped = {};
-    private double[] load = {}, extra = {}, placed = {}, own = {}, turns = {};
+    private Settings settings;
+
+    private final Map<String, Integer> indexByName = new HashMap<>();
+    private final Map<String, Integer> serverByKey = new HashMap<>();
+    private int serverCount, zoneCount = 1;
+    private double noHolderBaseChance = 1, largestCapacity = 2 * MIN_CAPACITY_UNITS;
+    private String[] serverNames = {};
+    private int[] zones = {}, models = {}, cells = {}, failuresInRow = {};
+    private boolean[] running = {},
+            listed = {},
+            offline = {},
+            reportedFull = {},
+            probePending = {},
+            relievedSinceReport = {};
+    private boolean[] cordoned = {},
+            firstTunnelDue = {},
+            lastProbeUnanswered = {},
+            tunnelWasReset = {};
+    private double[] reportedLoad = {},
+            unreportedLoad = {},
+            unreportedPlacements = {},
+            ownUnits = {},
+            blindPlacements = {};
     private double[] startedAt = {},
-            seekAt = {},
-            seenAt = {},
-            restUntil = {},
-            failedAt = {},
-            workedAt = {};
-    private double[] good = {}, bad = {}, dither = {}, drainedAt = {}, waitedAt = {};
-    private final List<List<Tunnel>> held = new ArrayList<>();
-    private final List<Tunnel> waiting = new ArrayList<>();
-    private final List<ArrayDeque<Placement>> recent = new ArrayList<>();
+            nextProbeAt = {},
+            lastReportAt = {},
+            fullUntil = {},
+            lastFailureAt = {},
+            lastSuccessAt = {};
+    private double[] successWeight = {},
+            failureWeight = {},
+            coldDither = {},
+            lastDrainActivityAt = {},
+            timedOutLatency = {};
+    private final List<List<Tunnel>> ownTunnels = new ArrayList<>();
+    private final List<Tunnel> waitingTunnels = new ArrayList<>();
+    private final List<ArrayDeque<Placement>> recentPlacements = new ArrayList<>();
 
     /**
-     * What operators leave out, whatever the list says; by name, since it may not be listed now.
+     * Servers cordoned by operators, whatever the list says; by name because they may not be listed
+     * now.
      */
-    private Set<String> cordoned = Set.of();
+    private Set<String> cordonedServers = Set.of();
 
-    private final Map<String, int[]> groups = new HashMap<>();
-    private final Map<String, int[]> orders = new HashMap<>();
+    private final Map<String, int[]> groupTunnelCounts = new HashMap<>();
+    private final Map<String, int[]> groupServerOrders = new HashMap<>();
 
-    private double[] profileLoad = {}, profileSeen = {};
-    private final double[] modelHeld = new double[64], modelLoad = new double[64];
-    private int ownOpen, inFlight;
+    private double[] profileLoad = {}, profileSamples = {};
+    private final double[] modelTunnels = new double[64], modelLoad = new double[64];
+    private int ownTunnelCount, setupsInFlight;
 
-    /** The first is whoever names none of the customers: it has no share, and uses up nobody's. */
-    private int[] customerOpen = {};
-
-    private double setupLag = 0.02, setupLagSpread = 0.02;
-    private double arrivals = 1,
-            arrivalsAt,
-            listBackOff = BACK_OFF,
-            start = 1,
-            window = 1,
-            windowCutAt;
-    private double openings = 1, openingsAt, fullAt;
-    private boolean declining, shared, heldTold, loadTold, blind;
-    private double moveCredit = 5;
-
-    private record Placement(double at, double step, double work) {}
-
-    public LoadBalancer(Settings set, long seed, Frontend front) {
-        this.front = front;
+    /**
+     * Open tunnels by customer. Index 0 counts tunnels of no configured customer, which have no
+     * share and use up nobody's.
+     */
+    private int[] customerTunnelCounts = {};
+
+    private double setupLatency = 0.02, setupLatencyDeviation = 0.02;
+    private double arrivalRate = 1,
+            arrivalRateAt,
+            listBackoff = INITIAL_LIST_BACKOFF_SECONDS,
+            initialWindow = 1,
+            setupWindow = 1,
+            windowShrunkAt;
+    private double openRate = 1, openRateAt, allFullAt;
+    private boolean declining,
+            sharedCauseSuspected,
+            tunnelCountsReported,
+            loadReported,
+            loadUnknown;
+    private double moveTokens = 5;
+
+    private record Placement(double placedAt, double loadStep, double units) {}
+
+    public LoadBalancer(Settings settings, long seed, Frontend frontend) {
+        this.frontend = frontend;
         this.random = new Random(seed);
-        this.ledger = new Ledger(set);
-        updateSettings(set);
-        arrivalsAt = front.now();
-        blind = !set.probesAllowed;
-        if (set.subscribesToServerList) {
-            front.watchServerList();
+        this.retryLimiter = new RetryLimiter(settings);
+        updateSettings(settings);
+        arrivalRateAt = frontend.now();
+        loadUnknown = !settings.probesAllowed;
+        if (settings.subscribesToServerList) {
+            frontend.watchServerList();
         }
-        front.scheduleTimer(TIMER, SEEK);
+        frontend.scheduleTimer(TICK_SECONDS, TICK_TOKEN);
     }
 
     /**
-     * These count from now on; tunnels taken keep their profile as it was: deadline, effect and
-     * window.
+     * Applies new settings from now on. Tunnels that are already accepted keep their profile's
+     * deadline, repeatability and idempotency window.
      */
-    public void updateSettings(Settings anew) {
-        set = anew;
-        ledger.set = anew;
-        profileLoad = Arrays.copyOf(profileLoad, Math.max(profileLoad.length, set.profiles.size()));
-        profileSeen = Arrays.copyOf(profileSeen, profileLoad.length);
-        customerOpen =
+    public void updateSettings(Settings newSettings) {
+        settings = newSettings;
+        retryLimiter.settings = newSettings;
+        profileLoad =
+                Arrays.copyOf(profileLoad, Math.max(profileLoad.length, settings.profiles.size()));
+        profileSamples = Arrays.copyOf(profileSamples, profileLoad.length);
+        customerTunnelCounts =
                 Arrays.copyOf(
-                        customerOpen, Math.max(customerOpen.length, set.customerShares.size() + 1));
-        sized();
+                        customerTunnelCounts,
+                        Math.max(customerTunnelCounts.length, settings.customerShares.size() + 1));
+        updateFleetSize();
     }
 
-    /** A tunnel taken; the front calls on it what happens to it. */
+    /** Handle of an accepted tunnel. The frontend reports on it what happens to the tunnel. */
     public final class Tunnel {
         public final long id;
-        private final int profile, customer;
+        private final int profileIndex, customerIndex;
         private final String group, key;
-        private final double since, deadline;
-        private final Settings.Profile kind;
-        private int setups, ranOn;
-        private int out = -1, on = -1;
-        private boolean done, moving, mayHaveRun, asked;
-        private double ranAt, sentAt, units, openedAt;
-        private final BitSet tried = new BitSet(), sought = new BitSet();
+        private final double acceptedAt, deadline;
+        private final Settings.Profile profile;
+        private int setupCount, mayHaveRunOn;
+        private int pendingServer = -1, openServer = -1;
+        private boolean resolved, moving, mayHaveRun, probedForRoom;
+        private double mayHaveRunAt, sentAt, units, openedAt;
+        private final BitSet triedServers = new BitSet(), awaitedProbes = new BitSet();
 
         private Tunnel(
-                long id, int profile, int customer, String group, String key, double budget) {
+                long id,
+                int profileIndex,
+                int customerIndex,
+                String group,
+                String key,
+                double timeBudget) {
             this.id = id;
-            this.profile = profile;
-            this.customer =
-                    customer >= 0 && customer < set.customerShares.size() ? customer + 1 : 0;
-            this.key = set.packetPassThrough ? key : null;
-            this.group = set.groupsShareWork ? group : null;
-            this.kind = set.profiles.get(profile);
-            since = front.now();
+            this.profileIndex = profileIndex;
+            this.customerIndex =
+                    customerIndex >= 0 && customerIndex < settings.customerShares.size()
+                            ? customerIndex + 1
+                            : 0;
+            this.key = settings.packetPassThrough ? key : null;
+            this.group = settings.groupsShareWork ? group : null;
+            this.profile = settings.profiles.get(profileIndex);
+            acceptedAt = frontend.now();
             deadline =
-                    since
-                            + (budget > 0
-                                    ? Math.min(budget, kind.clientTimeout)
-                                    : kind.clientTimeout);
+                    acceptedAt
+                            + (timeBudget > 0
+                                    ? Math.min(timeBudget, profile.clientTimeout)
+                                    : profile.clientTimeout);
         }
 
-        /** True when nothing more can happen to it. */
+        /**
+         * Returns true if the tunnel has ended and no setup is pending, so the frontend can discard
+         * the handle.
+         */
         public boolean isFinished() {
-            return done && out < 0 && on < 0;
+            return resolved && pendingServer < 0 && openServer < 0;
         }
 
-        public void onOpened(int setup, double lag) {
-            if (out < 0) {
+        public void onOpened(int setupNumber, double latency) {
+            if (pendingServer < 0) {
                 return;
             }
-            int s = out;
-            out = -1;
-            done = true;
-            stand(this, s);
-            inFlight--;
-            silence[s] = 0;
-            openings = faded(openings, openingsAt) + 1 / RATE_TIME;
-            openingsAt = front.now();
-            worked(s, lag <= QUEUED * kind.setupGoal);
-            lagged(lag, 0.1);
-            settle();
+            int server = pendingServer;
+            pendingServer = -1;
+            resolved = true;
+            attach(this, server);
+            setupsInFlight--;
+            failuresInRow[server] = 0;
+            openRate = decayedRate(openRate, openRateAt) + 1 / RATE_DECAY_SECONDS;
+            openRateAt = frontend.now();
+            recordSuccess(server, latency <= QUEUED_GOAL_FRACTION * profile.setupGoal);
+            recordLatency(latency, 0.1);
+            resumeWaiting();
         }
 
         public void onLoad(double cores) {
-            if (on < 0) {
+            if (openServer < 0) {
                 return;
             }
-            profileSeen[profile] = Math.min(50, profileSeen[profile] + 1);
-            profileLoad[profile] += (cores - profileLoad[profile]) / profileSeen[profile];
-            double now = units(profile, cores);
-            own[on] += now - units;
-            units = now;
+            profileSamples[profileIndex] = Math.min(50, profileSamples[profileIndex] + 1);
+            profileLoad[profileIndex] +=
+                    (cores - profileLoad[profileIndex]) / profileSamples[profileIndex];
+            double newUnits = toUnits(profileIndex, cores);
+            ownUnits[openServer] += newUnits - units;
+            units = newUnits;
         }
 
         /**
-         * What a message takes at its server now, told only while it is long: work has piled up
-         * there.
+         * Reports how many seconds a message takes at the server; called only while that is long,
+         * which means that work has piled up there.
          */
-        public void onMessageDelay(double message) {
-            if (on >= 0) {
-                restUntil[on] = Math.max(restUntil[on], front.now() + SLOW_REST);
-                // So long is no crowd any more: it may have fallen silent, and its tunnels wait.
-                seekAt[on] = message > REPORT_LAG ? Math.min(seekAt[on], front.now()) : seekAt[on];
+        public void onMessageDelay(double messageSeconds) {
+            if (openServer >= 0) {
+                fullUntil[openServer] =
+                        Math.max(fullUntil[openServer], frontend.now() + SLOW_MESSAGE_HOLD_SECONDS);
+                // A delay this long is more than overload: the server may have stopped responding
+                // while its tunnels wait.
+                nextProbeAt[openServer] =
+                        messageSeconds > MAX_REPORT_LAG_SECONDS
+                                ? Math.min(nextProbeAt[openServer], frontend.now())
+                                : nextProbeAt[openServer];
             }
         }
 
-        public void onEnded(int setup, Outcome outcome, double lag, boolean last) {
-            if (on >= 0) {
-                int s = on;
-                fall(this);
+        public void onEnded(int setupNumber, Outcome outcome, double latency, boolean last) {
+            if (openServer >= 0) {
+                int server = openServer;
+                detach(this);
                 if (outcome == Outcome.RESET) {
-                    // A lost server drops its tunnels before the list tells: ask it now.
-                    seekAt[s] = Math.min(seekAt[s], front.now());
-                    dropped[s] = true;
-                } else if (outcome == Outcome.CANCELLED && !moving && !running[s]) {
-                    drainedAt[s] = front.now();
+                    // A lost server resets its tunnels before the list reports it, so probe it now.
+                    nextProbeAt[server] = Math.min(nextProbeAt[server], frontend.now());
+                    tunnelWasReset[server] = true;
+                } else if (outcome == Outcome.CANCELLED && !moving && !running[server]) {
+                    lastDrainActivityAt[server] = frontend.now();
                 }
                 return;
             }
-            if (out < 0) {
+            if (pendingServer < 0) {
                 return;
             }
-            int s = out;
-            out = -1;
-            inFlight--;
+            int server = pendingServer;
+            pendingServer = -1;
+            setupsInFlight--;
             if (outcome == Outcome.OK) {
-                done = true;
-                worked(s, true);
-                settle();
+                resolved = true;
+                recordSuccess(server, true);
+                resumeWaiting();
                 return;
             }
             if (!outcome.provesNoEffect && !mayHaveRun) {
                 mayHaveRun = true;
-                ranOn = s;
-                ranAt = sentAt;
+                mayHaveRunOn = server;
+                mayHaveRunAt = sentAt;
             }
-            waitedAt[s] = outcome == Outcome.TIMED_OUT ? Math.max(waitedAt[s], lag) : waitedAt[s];
-            failed(s, outcome);
-            done |= last;
-            if (!done) {
+            timedOutLatency[server] =
+                    outcome == Outcome.TIMED_OUT
+                            ? Math.max(timedOutLatency[server], latency)
+                            : timedOutLatency[server];
+            recordFailure(server, outcome);
+            resolved |= last;
+            if (!resolved) {
                 place(this);
             }
-            settle();
+            resumeWaiting();
         }
 
-        /** The client left, or the answer is overdue: nothing is sent any more. */
+        /** Stops further setups: the client left, or its answer is overdue. */
         public void cancel() {
-            done = true;
+            resolved = true;
         }
 
         /**
-         * True where the setup that is out may still be written: its connection may have come up
-         * late.
+         * Returns true if the pending setup may still be written, for a connection that may have
+         * been established late.
          */
         public boolean maySend() {
-            return out >= 0 && !done && wanted(out) && lawful(this, out);
+            return pendingServer >= 0
+                    && !resolved
+                    && isInRotation(pendingServer)
+                    && mayRunOn(this, pendingServer);
         }
 
         /**
-         * Asks for the final answer, once nothing of it is out: declined where nothing may have
+         * Requests the final answer when no setup is pending: a decline unless the tunnel may have
          * run.
          */
         public void giveUp() {
             if (mayHaveRun) {
-                front.closeWithError(this);
+                frontend.closeWithError(this);
             } else {
                 LoadBalancer.this.giveUp(this);
             }
@@ -379,975 +459,1198 @@
 
     public Tunnel openTunnel(
             long id,
-            int profile,
-            int customer,
+            int profileIndex,
+            int customerIndex,
             String group,
             String key,
-            double budget,
+            double timeBudget,
             boolean midFlow) {
-        Tunnel tun = new Tunnel(id, profile, customer, group, key, budget);
-        double now = front.now();
-        ledger.took(now);
-        arrivals = faded(arrivals, arrivalsAt) + 1 / RATE_TIME;
-        arrivalsAt = now;
-        Integer holder = midFlow && key != null ? holders.get(key) : null;
+        Tunnel tunnel = new Tunnel(id, profileIndex, customerIndex, group, key, timeBudget);
+        double now = frontend.now();
+        retryLimiter.recordTunnel(now);
+        arrivalRate = decayedRate(arrivalRate, arrivalRateAt) + 1 / RATE_DECAY_SECONDS;
+        arrivalRateAt = now;
+        Integer holder = midFlow && key != null ? serverByKey.get(key) : null;
         if (holder != null && listed[holder]) {
-            // Its packets go on where it stands, also while that server drains: elsewhere it would
-            // be reset.
-            send(tun, holder, Math.max(set.tick, tun.deadline - now - 2 * set.tick));
+            // Packets of a tunnel in progress stay on its server, even a draining one: another
+            // server would reset it.
+            sendSetup(
+                    tunnel,
+                    holder,
+                    Math.max(settings.tick, tunnel.deadline - now - 2 * settings.tick));
         } else {
-            place(tun);
+            place(tunnel);
         }
-        return tun;
+        return tunnel;
     }
 
-    /** A tunnel that already stood on this server when this instance started. */
+    /** Registers a tunnel that was already open on this server when this instance started. */
     public Tunnel restoreTunnel(
-            long id, int profile, int customer, String group, String key, String ep) {
-        Tunnel tun = new Tunnel(id, profile, customer, group, key, 0);
-        tun.done = true;
-        Integer s = index.get(ep);
-        if (s != null) {
-            stand(tun, s);
-        }
-        return tun;
-    }
-
-    private void stand(Tunnel tun, int s) {
-        tun.on = s;
-        tun.openedAt = tun.setups == 0 ? Double.NEGATIVE_INFINITY : front.now();
-        tun.units = units(tun.profile, profileLoad[tun.profile]);
-        own[s] += tun.units;
-        ownOpen++;
-        customerOpen[tun.customer]++;
-        held.get(s).add(tun);
-        // What stands at the start is not sought by all relays at once.
-        seekAt[s] =
+            long id,
+            int profileIndex,
+            int customerIndex,
+            String group,
+            String key,
+            String serverName) {
+        Tunnel tunnel = new Tunnel(id, profileIndex, customerIndex, group, key, 0);
+        tunnel.resolved = true;
+        Integer server = indexByName.get(serverName);
+        if (server != null) {
+            attach(tunnel, server);
+        }
+        return tunnel;
+    }
+
+    private void attach(Tunnel tunnel, int server) {
+        tunnel.openServer = server;
+        tunnel.openedAt = tunnel.setupCount == 0 ? Double.NEGATIVE_INFINITY : frontend.now();
+        tunnel.units = toUnits(tunnel.profileIndex, profileLoad[tunnel.profileIndex]);
+        ownUnits[server] += tunnel.units;
+        ownTunnelCount++;
+        customerTunnelCounts[tunnel.customerIndex]++;
+        ownTunnels.get(server).add(tunnel);
+        // Spreads the first probes so that relays that start together do not probe the same servers
+        // at once.
+        nextProbeAt[server] =
                 Math.min(
-                        seekAt[s],
-                        tun.setups > 0
-                                ? seenAt[s] + SLOWEST_SEEK
-                                : front.now() + SLOWEST_SEEK * random.nextDouble());
-        if (tun.key != null) {
-            holders.put(tun.key, s);
+                        nextProbeAt[server],
+                        tunnel.setupCount > 0
+                                ? lastReportAt[server] + MAX_PROBE_INTERVAL_SECONDS
+                                : frontend.now()
+                                        + MAX_PROBE_INTERVAL_SECONDS * random.nextDouble());
+        if (tunnel.key != null) {
+            serverByKey.put(tunnel.key, server);
         }
-        if (tun.group != null) {
-            holding(tun.group, s)[s]++;
+        if (tunnel.group != null) {
+            tunnelCountsOfGroup(tunnel.group, server)[server]++;
         }
     }
 
     /**
-     * How many of this group's tunnels this relay holds, by server, up to this server at the least.
+     * Returns this relay's open tunnels of the group by server; the array reaches at least to this
+     * server.
      */
-    private int[] holding(String group, int s) {
-        return groups.merge(
-                group, new int[s + 1], (a, b) -> a.length > s ? a : Arrays.copyOf(a, s + 1));
-    }
-
-    private void fall(Tunnel tun) {
-        int s = tun.on;
-        tun.on = -1;
-        own[s] -= tun.units;
-        ownOpen--;
-        customerOpen[tun.customer]--;
-        held.get(s).remove(tun);
-        if (tun.key != null) {
-            holders.remove(tun.key, s);
-        }
-        if (tun.group != null) {
-            groups.get(tun.group)[s]--;
-        }
-        later(s, -tun.units / capacity(s), 0);
-    }
-
-    /** Sends the next setup of this tunnel, or gives it up. */
-    private void place(Tunnel tun) {
-        double now = front.now();
-        double left = tun.deadline - now - 2 * set.tick;
-        if (tun.setups >= set.maxSetupsPerTunnel
-                || left <= set.tick
-                || tun.setups > 0 && ledger.left(now) < 1) {
-            giveUp(tun);
+    private int[] tunnelCountsOfGroup(String group, int server) {
+        return groupTunnelCounts.merge(
+                group,
+                new int[server + 1],
+                (a, b) -> a.length > server ? a : Arrays.copyOf(a, server + 1));
+    }
+
+    private void detach(Tunnel tunnel) {
+        int server = tunnel.openServer;
+        tunnel.openServer = -1;
+        ownUnits[server] -= tunnel.units;
+        ownTunnelCount--;
+        customerTunnelCounts[tunnel.customerIndex]--;
+        ownTunnels.get(server).remove(tunnel);
+        if (tunnel.key != null) {
+            serverByKey.remove(tunnel.key, server);
+        }
+        if (tunnel.group != null) {
+            groupTunnelCounts.get(tunnel.group)[server]--;
+        }
+        recordPlacement(server, -tunnel.units / capacity(server), 0);
+    }
+
+    /** Sends the tunnel's next setup, queues the tunnel, or gives it up. */
+    private void place(Tunnel tunnel) {
+        double now = frontend.now();
+        double timeLeft = tunnel.deadline - now - 2 * settings.tick;
+        if (tunnel.setupCount >= settings.maxSetupsPerTunnel
+                || timeLeft <= settings.tick
+                || tunnel.setupCount > 0 && retryLimiter.remaining(now) < 1) {
+            giveUp(tunnel);
             return;
         }
-        if (inFlight >= window && mayWait(tun)) {
-            // A setup that ends in time makes room for this one.
-            tun.sought.clear();
-            waiting.add(tun);
+        if (setupsInFlight >= setupWindow && mayWait(tunnel)) {
+            // A setup that completes in time makes room in the window for this one.
+            tunnel.awaitedProbes.clear();
+            waitingTunnels.add(tunnel);
             return;
         }
-        boolean barred = shared && tun.setups > 0 || inFlight >= window;
-        if (!barred && set.probesAllowed && seekFirst(tun)) {
+        boolean noSetupNow =
+                sharedCauseSuspected && tunnel.setupCount > 0 || setupsInFlight >= setupWindow;
+        if (!noSetupNow && settings.probesAllowed && probeCandidates(tunnel)) {
             return;
         }
-        int s = barred ? -1 : pick(tun);
-        if (s < 0) {
-            // Routes open by turns: what is given up has had them all.
-            if (!barred && front.widenSelection(tun)) {
-                place(tun);
+        int server = noSetupNow ? -1 : pickServer(tunnel);
+        if (server < 0) {
+            // The frontend widens the selection pool by pool: a tunnel is given up only after all
+            // were tried.
+            if (!noSetupNow && frontend.widenSelection(tunnel)) {
+                place(tunnel);
             } else {
-                giveUp(tun);
+                giveUp(tunnel);
             }
             return;
         }
-        // Leaves room for a further setup within the goal, but never less than setups take these
-        // days.
-        double goalLeft = tun.since + tun.kind.setupGoal - now;
-        double soon = Math.max(goalLeft / 2, setupLag + 4 * setupLagSpread);
-        // A server that answered just now lives: what keeps a setup there stands behind all of
-        // them.
-        boolean lives = now - seenAt[s] < FASTEST_SEEK;
-        send(tun, s, shared || lives || goalLeft <= 0 ? left : Math.min(left, soon));
-    }
-
-    private void send(Tunnel tun, int s, double timeout) {
-        // Every setup leaves here, so none goes past the budget.
-        if (tun.setups > 0 && !ledger.spend(front.now())) {
-            giveUp(tun);
+        // Leaves time for a retry within the goal, but never less than setups currently take.
+        double goalLeft = tunnel.acceptedAt + tunnel.profile.setupGoal - now;
+        double earlyTimeout = Math.max(goalLeft / 2, setupLatency + 4 * setupLatencyDeviation);
+        // A server that just answered a probe is alive, so a slow setup there is caused by
+        // something behind all servers and a retry elsewhere would not help.
+        boolean answeredRecently = now - lastReportAt[server] < MIN_PROBE_INTERVAL_SECONDS;
+        sendSetup(
+                tunnel,
+                server,
+                sharedCauseSuspected || answeredRecently || goalLeft <= 0
+                        ? timeLeft
+                        : Math.min(timeLeft, earlyTimeout));
+    }
+
+    private void sendSetup(Tunnel tunnel, int server, double timeout) {
+        // All setups are sent here, so that no retry bypasses the budget.
+        if (tunnel.setupCount > 0 && !retryLimiter.tryAcquire(frontend.now())) {
+            giveUp(tunnel);
             return;
         }
-        tun.setups++;
-        tun.out = s;
-        inFlight++;
-        tun.sentAt = front.now();
-        tun.tried.set(s);
-        owed[s] = false;
-        // By its load: three heavy tunnels among ten may be half of what a cold server bears.
-        double work = Math.max(1, units(tun.profile, profileLoad[tun.profile]));
-        later(s, step(s, tun), work);
-        front.sendSetup(tun, ep[s], timeout);
+        tunnel.setupCount++;
+        tunnel.pendingServer = server;
+        setupsInFlight++;
+        tunnel.sentAt = frontend.now();
+        tunnel.triedServers.set(server);
+        firstTunnelDue[server] = false;
+        // Counts load rather than tunnels: three heavy tunnels among ten may be half of a cold
+        // server's limit.
+        double units = Math.max(1, toUnits(tunnel.profileIndex, profileLoad[tunnel.profileIndex]));
+        recordPlacement(server, loadStep(server, tunnel), units);
+        frontend.sendSetup(tunnel, serverNames[server], timeout);
     }
 
     /**
-     * No effect twice: what may have run goes again only to servers that know it, while they
+     * Returns true if a setup on this server cannot cause a second effect: a referenced tunnel that
+     * may have run is repeated only on servers that know its reference, and only while they
      * remember it.
      */
-    private boolean lawful(Tunnel tun, int s) {
-        if (!tun.mayHaveRun || tun.kind.repeatability == Settings.Repeatability.REPEATABLE) {
+    private boolean mayRunOn(Tunnel tunnel, int server) {
+        if (!tunnel.mayHaveRun
+                || tunnel.profile.repeatability == Settings.Repeatability.REPEATABLE) {
             return true;
         }
-        if (tun.kind.repeatability == Settings.Repeatability.ONCE_ONLY
-                || front.now() - tun.ranAt > tun.kind.idempotencyWindow) {
+        if (tunnel.profile.repeatability == Settings.Repeatability.ONCE_ONLY
+                || frontend.now() - tunnel.mayHaveRunAt > tunnel.profile.idempotencyWindow) {
             return false;
         }
-        return switch (tun.kind.idempotencyScope) {
+        return switch (tunnel.profile.idempotencyScope) {
             case ALL -> true;
-            case ZONE -> zone[s] == zone[tun.ranOn];
-            case CELL -> cell[s] == cell[tun.ranOn];
+            case ZONE -> zones[server] == zones[tunnel.mayHaveRunOn];
+            case CELL -> cells[server] == cells[tunnel.mayHaveRunOn];
         };
     }
 
-    /**
-     * The final answer to what is given up: at once, and a decline only where trying again is
-     * harmless.
-     */
-    private void giveUp(Tunnel tun) {
-        tun.done = true;
-        boolean harmless =
-                !tun.mayHaveRun
-                        || tun.kind.repeatability == Settings.Repeatability.REPEATABLE
-                        || tun.kind.repeatability == Settings.Repeatability.REFERENCED
-                                && tun.kind.idempotencyScope == Settings.IdempotencyScope.ALL;
-        if (harmless) {
-            front.decline(tun, set.maxRetryAfter * (0.5 + 0.5 * random.nextDouble()));
+    /** Gives the final answer: a decline if a retry by the client is safe, else an error. */
+    private void giveUp(Tunnel tunnel) {
+        tunnel.resolved = true;
+        boolean retryIsSafe =
+                !tunnel.mayHaveRun
+                        || tunnel.profile.repeatability == Settings.Repeatability.REPEATABLE
+                        || tunnel.profile.repeatability == Settings.Repeatability.REFERENCED
+                                && tunnel.profile.idempotencyScope == Settings.IdempotencyScope.ALL;
+        if (retryIsSafe) {
+            frontend.decline(tunnel, settings.maxRetryAfter * (0.5 + 0.5 * random.nextDouble()));
         } else {
-            front.closeWithError(tun);
+            frontend.closeWithError(tunnel);
         }
     }
 
-    /** Where this tunnel goes; -1 when there is none with room. */
-    private int pick(Tunnel tun) {
-        BitSet barred = barred(tun);
-        for (int s = best(tun, barred); s >= 0; s = best(tun, barred)) {
-            if (overShare(tun) && factor(s) > NEAR_FULL) {
+    /** Returns the server for this tunnel, or -1 if none has room. */
+    private int pickServer(Tunnel tunnel) {
+        BitSet excluded = excludedServers(tunnel);
+        for (int server = bestServer(tunnel, excluded);
+                server >= 0;
+                server = bestServer(tunnel, excluded)) {
+            if (isOverShare(tunnel) && loadFactor(server) > NEAR_FULL_LOAD_FACTOR) {
                 return -1;
             }
-            // A doubtful server is drawn by its chance of success, so that it is never quite
-            // forgotten.
-            if (chance(s) > 0.8 || random.nextDouble() < chance(s)) {
-                note(false);
-                return s;
+            // An unreliable server is chosen with its probability of success, so that it still gets
+            // an occasional tunnel.
+            if (successChance(server) > 0.8 || random.nextDouble() < successChance(server)) {
+                noteAllFull(false);
+                return server;
             }
-            barred.set(s);
+            excluded.set(server);
         }
-        boolean anyReady = false, anyRoom = false;
-        if (declining && front.now() - fullAt < TIMER) {
+        boolean anyAvailable = false, anyRoom = false;
+        if (declining && frontend.now() - allFullAt < TICK_SECONDS) {
             return -1;
         }
-        for (int s = 0; s < n; s++) {
-            anyReady |= ready(s) && lawful(tun, s);
-            anyRoom |= ready(s) && lawful(tun, s) && !isFull(s);
+        for (int server = 0; server < serverCount; server++) {
+            anyAvailable |= isAvailable(server) && mayRunOn(tunnel, server);
+            anyRoom |= isAvailable(server) && mayRunOn(tunnel, server) && !isFull(server);
         }
-        note(anyReady && !anyRoom);
+        noteAllFull(anyAvailable && !anyRoom);
         return -1;
     }
 
     /**
-     * A referenced tunnel that may have run may also go again to the same server, which knows its
-     * mark.
+     * Returns the servers to skip: those already tried, or none for a referenced tunnel that may
+     * have run, since the same server knows its reference.
+     */
+    private BitSet excludedServers(Tunnel tunnel) {
+        boolean mayUseSameServer =
+                tunnel.mayHaveRun
+                        && tunnel.profile.repeatability == Settings.Repeatability.REFERENCED;
+        return mayUseSameServer ? new BitSet() : (BitSet) tunnel.triedServers.clone();
+    }
+
+    /**
+     * Returns the available server with the lowest load factor after this tunnel, among those that
+     * may run it and are not excluded, or -1.
      */
-    private BitSet barred(Tunnel tun) {
-        boolean again =
-                tun.mayHaveRun && tun.kind.repeatability == Settings.Repeatability.REFERENCED;
-        return again ? new BitSet() : (BitSet) tun.tried.clone();
-    }
-
-    /** The lawful ready server with the lowest factor after this tunnel, among those not barred. */
-    private int best(Tunnel tun, BitSet barred) {
-        double now = front.now();
-        double units = units(tun.profile, profileLoad[tun.profile]);
-        int[] in = tun.group == null ? null : groups.getOrDefault(tun.group, new int[0]);
-        int[] ranks = new int[zones];
-        // Where crossing costs less than one more server with the group, it meets at one place for
-        // all zones.
-        boolean one = FEE_TO_FACTOR * set.crossZoneFee < A_RANK * GROUP_PULL * GROUP_COST / largest;
-        // Past this rank the pull alone is above full, on the largest servers too.
-        double last = (FULL * largest / (GROUP_PULL * GROUP_COST) - strangers) / A_RANK;
-        int best = -1;
-        double low = Double.MAX_VALUE;
+    private int bestServer(Tunnel tunnel, BitSet excluded) {
+        double now = frontend.now();
+        double units = toUnits(tunnel.profileIndex, profileLoad[tunnel.profileIndex]);
+        int[] groupCounts =
+                tunnel.group == null
+                        ? null
+                        : groupTunnelCounts.getOrDefault(tunnel.group, new int[0]);
+        int[] nextRanks = new int[zoneCount];
+        // If crossing zones costs less than one more server with the group, the group gathers in
+        // one place for all zones.
+        boolean rankedAcrossZones =
+                FEE_TO_LOAD_FACTOR * settings.crossZoneFee
+                        < NO_HOLDER_CHANCE_PER_RANK
+                                * GROUP_AFFINITY_WEIGHT
+                                * GROUP_COST_UNITS
+                                / largestCapacity;
+        // Beyond this rank the group's cost alone exceeds a full server, even on the largest
+        // servers.
+        double maxRank =
+                (FULL_LOAD_FACTOR * largestCapacity / (GROUP_AFFINITY_WEIGHT * GROUP_COST_UNITS)
+                                - noHolderBaseChance)
+                        / NO_HOLDER_CHANCE_PER_RANK;
+        int bestServer = -1;
+        double lowestFactor = Double.MAX_VALUE;
         int ties = 0;
-        int[] order = order(tun.group);
-        for (int k = 0; k < order.length; k++) {
-            int s = order[k];
-            if (!ready(s)) {
+        int[] order = serverOrder(tunnel.group);
+        for (int position = 0; position < order.length; position++) {
+            int server = order[position];
+            if (!isAvailable(server)) {
                 continue;
             }
-            int rank = ranks[one ? 0 : zone[s]]++;
-            boolean holds = in == null || s < in.length && in[s] > 0;
-            if (!holds && rank > last) {
+            int rank = nextRanks[rankedAcrossZones ? 0 : zones[server]]++;
+            boolean holdsGroup =
+                    groupCounts == null || server < groupCounts.length && groupCounts[server] > 0;
+            if (!holdsGroup && rank > maxRank) {
                 continue;
             }
-            // The chance that no sibling holds the group at the server of this rank in the zone.
-            double alone = Math.min(1, strangers + A_RANK * rank);
-            // It lasts longer than a server is cold.
-            double f = holds ? 0 : GROUP_PULL * GROUP_COST * alone / warmCapacity(s);
-            if (f > FULL || isFull(s) || barred.get(s) || !lawful(tun, s)) {
+            // Chance that no sibling holds the group at the server of this rank in the zone.
+            double noHolderChance =
+                    Math.min(1, noHolderBaseChance + NO_HOLDER_CHANCE_PER_RANK * rank);
+            // Uses the warm capacity since a group lasts longer than a server's warm-up.
+            double factor =
+                    holdsGroup
+                            ? 0
+                            : GROUP_AFFINITY_WEIGHT
+                                    * GROUP_COST_UNITS
+                                    * noHolderChance
+                                    / warmCapacity(server);
+            if (factor > FULL_LOAD_FACTOR
+                    || isFull(server)
+                    || excluded.get(server)
+                    || !mayRunOn(tunnel, server)) {
                 continue;
             }
-            f += crowd(s);
-            if (f > FULL || !coldRoom(s, now, Math.max(1, units))) {
+            factor += estimatedLoadFactor(server);
+            if (factor > FULL_LOAD_FACTOR || !hasColdRoom(server, now, Math.max(1, units))) {
                 continue;
             }
-            // Who put it back wants to see it used: it gets one tunnel before others that stand
-            // lower.
-            f +=
-                    (units + (holds ? 0 : GROUP_COST)) / capacity(s)
-                            + (zone[s] == set.zone ? 0 : FEE_TO_FACTOR * set.crossZoneFee)
-                            + SIBLINGS * turns[s];
-            f = owed[s] && seenAt[s] > startedAt[s] ? -1 : f;
-            if (f >= low + 1e-9 || !front.isEligible(tun, s, ep[s])) {
+            // A server that was just uncordoned gets one tunnel before servers of lower load, so
+            // that operators see it in use.
+            factor +=
+                    (units + (holdsGroup ? 0 : GROUP_COST_UNITS)) / capacity(server)
+                            + (zones[server] == settings.zone
+                                    ? 0
+                                    : FEE_TO_LOAD_FACTOR * settings.crossZoneFee)
+                            + MAX_SIBLINGS_EXTRAPOLATED * blindPlacements[server];
+            factor =
+                    firstTunnelDue[server] && lastReportAt[server] > startedAt[server]
+                            ? -1
+                            : factor;
+            if (factor >= lowestFactor + 1e-9
+                    || !frontend.isEligible(tunnel, server, serverNames[server])) {
                 continue;
             }
-            if (f < low - 1e-9) {
-                low = f;
-                best = s;
+            if (factor < lowestFactor - 1e-9) {
+                lowestFactor = factor;
+                bestServer = server;
                 ties = 1;
             } else if (random.nextInt(++ties) == 0) {
-                best = s;
+                bestServer = server;
             }
         }
-        return best;
+        return bestServer;
     }
 
     /**
-     * A relay with few tunnels cannot seek all servers all the time: it seeks what counts for this
-     * one.
+     * Probes the candidates for this tunnel if their reports are stale, and queues the tunnel until
+     * they answer. A relay with few tunnels cannot afford to probe all servers all the time.
      */
-    private boolean seekFirst(Tunnel tun) {
-        double now = front.now();
-        BitSet barred = barred(tun);
-        int s = best(tun, barred);
-        if (s >= 0 && now - seenAt[s] < STALE || s < 0 && tun.asked || !mayWait(tun)) {
+    private boolean probeCandidates(Tunnel tunnel) {
+        double now = frontend.now();
+        BitSet excluded = excludedServers(tunnel);
+        int server = bestServer(tunnel, excluded);
+        if (server >= 0 && now - lastReportAt[server] < STALE_REPORT_SECONDS
+                || server < 0 && tunnel.probedForRoom
+                || !mayWait(tunnel)) {
             return false;
         }
-        tun.sought.clear();
-        tun.asked |= s < 0;
-        // Full by own placements alone: a report may know of room by now, so a few are asked first.
-        int[] order = order(tun.group);
-        for (int i = 0; s < 0 && i < n && tun.sought.cardinality() < SOUGHT; i++) {
+        tunnel.awaitedProbes.clear();
+        tunnel.probedForRoom |= server < 0;
+        // Servers that are full only by this relay's own estimate may have room by now: probe a few
+        // of them.
+        int[] order = serverOrder(tunnel.group);
+        for (int i = 0;
+                server < 0
+                        && i < serverCount
+                        && tunnel.awaitedProbes.cardinality() < MAX_PROBED_CANDIDATES;
+                i++) {
             int k = order[i];
-            if (ready(k) && load[k] < FULL && crowd(k) >= FULL && now - seenAt[k] > FASTEST_SEEK) {
-                seek(k);
-                tun.sought.set(k);
+            if (isAvailable(k)
+                    && reportedLoad[k] < FULL_LOAD_FACTOR
+                    && estimatedLoadFactor(k) >= FULL_LOAD_FACTOR
+                    && now - lastReportAt[k] > MIN_PROBE_INTERVAL_SECONDS) {
+                probe(k);
+                tunnel.awaitedProbes.set(k);
             }
         }
-        for (int k = 0; s >= 0 && k < SOUGHT; k++) {
-            if (now - seenAt[s] > STALE) {
-                seek(s);
-                tun.sought.set(s);
+        for (int k = 0; server >= 0 && k < MAX_PROBED_CANDIDATES; k++) {
+            if (now - lastReportAt[server] > STALE_REPORT_SECONDS) {
+                probe(server);
+                tunnel.awaitedProbes.set(server);
             }
-            barred.set(s);
-            s = best(tun, barred);
+            excluded.set(server);
+            server = bestServer(tunnel, excluded);
         }
-        return !tun.sought.isEmpty() && waiting.add(tun);
+        return !tunnel.awaitedProbes.isEmpty() && waitingTunnels.add(tunnel);
     }
 
-    private void seek(int s) {
-        if (!seeking[s]) {
-            seeking[s] = true;
-            front.probe(ep[s]);
+    private void probe(int server) {
+        if (!probePending[server]) {
+            probePending[server] = true;
+            frontend.probe(serverNames[server]);
         }
     }
 
-    /** For answers to seeks and for room in the window, no longer. */
-    private boolean mayWait(Tunnel tun) {
-        return front.now() - tun.since < SEEK_WAIT * tun.kind.setupGoal;
+    /** Returns true if the tunnel may still wait for probe results or for room in the window. */
+    private boolean mayWait(Tunnel tunnel) {
+        return frontend.now() - tunnel.acceptedAt
+                < MAX_WAIT_GOAL_FRACTION * tunnel.profile.setupGoal;
     }
 
     /**
-     * Tunnels go on when there is room and what they sought is told, or was waited for long enough.
+     * Places waiting tunnels once the window has room and their probes are answered, or once they
+     * waited long enough.
      */
-    private void settle() {
-        for (Tunnel tun : List.copyOf(waiting)) {
-            if (tun.done
-                    || !mayWait(tun)
-                    || inFlight < window && tun.sought.stream().noneMatch(s -> seeking[s])) {
-                waiting.remove(tun);
-                if (!tun.done) {
-                    place(tun);
+    private void resumeWaiting() {
+        for (Tunnel tunnel : List.copyOf(waitingTunnels)) {
+            if (tunnel.resolved
+                    || !mayWait(tunnel)
+                    || setupsInFlight < setupWindow
+                            && tunnel.awaitedProbes.stream()
+                                    .noneMatch(server -> probePending[server])) {
+                waitingTunnels.remove(tunnel);
+                if (!tunnel.resolved) {
+                    place(tunnel);
                 }
             }
         }
     }
 
     /**
-     * Near full, verdicts alternate by the millisecond: the mode ends when none was full for a
-     * second.
+     * Switches the declining mode and logs it. Near full the result alternates by the millisecond,
+     * so the mode ends only after one second without a full result.
      */
-    private void note(boolean allFull) {
-        double now = front.now();
-        fullAt = allFull ? now : fullAt;
-        if (allFull != declining && (allFull || now - fullAt > 1)) {
+    private void noteAllFull(boolean allFull) {
+        double now = frontend.now();
+        allFullAt = allFull ? now : allFullAt;
+        if (allFull != declining && (allFull || now - allFullAt > 1)) {
             declining = allFull;
-            front.log(
+            frontend.log(
                     (allFull ? "all full: declining, " : "room again, ")
-                            + n
+                            + serverCount
                             + " servers, own "
-                            + ownOpen);
+                            + ownTunnelCount);
         }
     }
 
-    private boolean overShare(Tunnel tun) {
-        return set.excessCredit < 1
-                && tun.customer > 0
-                && customerOpen[tun.customer]
-                        > 1.1 * set.customerShares.get(tun.customer - 1) * ownOpen + 1;
+    private boolean isOverShare(Tunnel tunnel) {
+        return settings.excessCredit < 1
+                && tunnel.customerIndex > 0
+                && customerTunnelCounts[tunnel.customerIndex]
+                        > 1.1
+                                        * settings.customerShares.get(tunnel.customerIndex - 1)
+                                        * ownTunnelCount
+                                + 1;
     }
 
     // ---- Servers
 
-    private boolean ready(int s) {
-        return wanted(s) && !offline[s];
+    private boolean isAvailable(int server) {
+        return isInRotation(server) && !offline[server];
     }
 
-    /** By the list and the operators, whatever is thought of it here. */
-    private boolean wanted(int s) {
-        return running[s] && !out[s];
+    /**
+     * Returns true if the list names the server as running and it is not cordoned, whatever its
+     * health.
+     */
+    private boolean isInRotation(int server) {
+        return running[server] && !cordoned[server];
     }
 
-    private boolean isFull(int s) {
-        return full[s] || front.now() < restUntil[s] || crowd(s) >= FULL;
+    private boolean isFull(int server) {
+        return reportedFull[server]
+                || frontend.now() < fullUntil[server]
+                || estimatedLoadFactor(server) >= FULL_LOAD_FACTOR;
     }
 
-    /** Probed load over capacity, and a step for each own placement that the report cannot know. */
-    private double factor(int s) {
-        return Math.max(0, load[s] + extra[s]);
+    /**
+     * Returns the reported load factor plus the own placements that the report cannot include yet.
+     */
+    private double loadFactor(int server) {
+        return Math.max(0, reportedLoad[server] + unreportedLoad[server]);
     }
 
     /**
-     * The factor with what siblings likely placed until a report tells it; of many, own ones say
-     * little.
+     * Returns the load factor plus what siblings have probably placed since the report. Own
+     * placements are a weak sample if there are many siblings, so the extrapolation is limited.
      */
-    private double crowd(int s) {
-        return factor(s) + (blind ? 0 : Math.min(SIBLINGS, set.relayCount - 1) * placed[s]);
+    private double estimatedLoadFactor(int server) {
+        return loadFactor(server)
+                + (loadUnknown
+                        ? 0
+                        : Math.min(MAX_SIBLINGS_EXTRAPOLATED, settings.relayCount - 1)
+                                * unreportedPlacements[server]);
     }
 
-    private double step(int s, Tunnel tun) {
-        double brings = tun.group != null && holding(tun.group, s)[s] == 0 ? GROUP_COST : 0;
-        return (units(tun.profile, profileLoad[tun.profile]) + brings) / capacity(s);
+    private double loadStep(int server, Tunnel tunnel) {
+        double groupUnits =
+                tunnel.group != null && tunnelCountsOfGroup(tunnel.group, server)[server] == 0
+                        ? GROUP_COST_UNITS
+                        : 0;
+        return (toUnits(tunnel.profileIndex, profileLoad[tunnel.profileIndex]) + groupUnits)
+                / capacity(server);
     }
 
     /**
-     * All servers in an order that all relays give this group, so that they meet; kept: it costs a
-     * sort.
+     * Returns all servers in an order that is the same at every relay for this group, so that its
+     * tunnels gather. Cached since it costs a sort.
      */
-    private int[] order(String group) {
-        return orders.computeIfAbsent(
+    private int[] serverOrder(String group) {
+        return groupServerOrders.computeIfAbsent(
                 group == null ? "" : group,
-                g -> {
-                    long[] keys = new long[n];
-                    for (int s = 0; s < n; s++) {
-                        int h = (ep[s].hashCode() * 31 ^ g.hashCode()) * 0x9E3779B1;
-                        h = (h ^ h >>> 15) * 0x85EBCA6B;
-                        keys[s] = (long) (h ^ h >>> 13) << 32 | s;
+                groupName -> {
+                    long[] keys = new long[serverCount];
+                    for (int server = 0; server < serverCount; server++) {
+                        int hash =
+                                (serverNames[server].hashCode() * 31 ^ groupName.hashCode())
+                                        * 0x9E3779B1;
+                        hash = (hash ^ hash >>> 15) * 0x85EBCA6B;
+                        keys[server] = (long) (hash ^ hash >>> 13) << 32 | server;
                     }
                     Arrays.sort(keys);
                     return Arrays.stream(keys).mapToInt(k -> (int) k).toArray();
                 });
     }
 
-    /** A load in mean loads. */
-    private double units(int profile, double cores) {
-        double sum = 0, seen = 0;
-        for (int p = 0; p < profileLoad.length; p++) {
-            sum += profileSeen[p] * profileLoad[p];
-            seen += profileSeen[p];
+    /** Converts a load in cores to mean loads. */
+    private double toUnits(int profileIndex, double cores) {
+        double weightedLoad = 0, samples = 0;
+        for (int profile = 0; profile < profileLoad.length; profile++) {
+            weightedLoad += profileSamples[profile] * profileLoad[profile];
+            samples += profileSamples[profile];
         }
-        return sum <= 0 || profileSeen[profile] < 3 ? 1 : Math.max(0.05, cores * seen / sum);
-    }
-
-    /** How many mean loads fill this server now, learned from what servers hold at which load. */
-    private double capacity(int s) {
-        return warmCapacity(s) * warmth(s, front.now());
-    }
-
-    private double warmCapacity(int s) {
-        int m = model[s] & 63;
-        double trust = heldTold ? 1 : ownOpen / (ownOpen + FEW);
-        double learned = modelLoad[m] > 0.5 ? modelHeld[m] / modelLoad[m] : SMALLEST;
-        return Math.max(SMALLEST, trust * learned + (1 - trust) * SMALLEST);
+        return weightedLoad <= 0 || profileSamples[profileIndex] < 3
+                ? 1
+                : Math.max(0.05, cores * samples / weightedLoad);
     }
 
-    private double warmth(int s, double now) {
-        double age = now - startedAt[s];
-        return age >= set.warmUpTime
+    /**
+     * Returns how many mean loads fill this server now, learned from the load that servers report
+     * at a number of tunnels.
+     */
+    private double capacity(int server) {
+        return warmCapacity(server) * warmUpFraction(server, frontend.now());
+    }
+
+    private double warmCapacity(int server) {
+        int modelSlot = models[server] & 63;
+        double learnedWeight =
+                tunnelCountsReported
+                        ? 1
+                        : ownTunnelCount / (ownTunnelCount + CAPACITY_PRIOR_TUNNELS);
+        double learnedCapacity =
+                modelLoad[modelSlot] > 0.5
+                        ? modelTunnels[modelSlot] / modelLoad[modelSlot]
+                        : MIN_CAPACITY_UNITS;
+        return Math.max(
+                MIN_CAPACITY_UNITS,
+                learnedWeight * learnedCapacity + (1 - learnedWeight) * MIN_CAPACITY_UNITS);
+    }
+
+    private double warmUpFraction(int server, double now) {
+        double age = now - startedAt[server];
+        return age >= settings.warmUpTime
                 ? 1
-                : set.coldCapacityFraction
-                        + (1 - set.coldCapacityFraction) * Math.max(0, age) / set.warmUpTime;
+                : settings.coldCapacityFraction
+                        + (1 - settings.coldCapacityFraction)
+                                * Math.max(0, age)
+                                / settings.warmUpTime;
     }
 
-    private boolean cold(int s, double now) {
-        return now - startedAt[s] < set.warmUpTime;
+    private boolean isCold(int server, double now) {
+        return now - startedAt[server] < settings.warmUpTime;
     }
 
     /**
-     * Not pushed over: this relay keeps to its part of what a cold server can take; siblings do the
-     * same.
+     * Returns true if a tunnel of this load stays within this relay's share of a cold server's
+     * limit, which keeps all relays together from overloading it.
      */
-    private boolean coldRoom(int s, double now, double work) {
-        if (!cold(s, now)) {
+    private boolean hasColdRoom(int server, double now, double units) {
+        if (!isCold(server, now)) {
             return true;
         }
-        // New tunnels may fill it, warm, over its warm-up, times the multiple; half of what makes
-        // it fall may stand.
-        double sent =
-                recent.get(s).stream()
-                        .mapToDouble(p -> p.at > now - set.collapseTime * p.work ? p.work : 0)
+        // During the warm-up, new tunnels may add up to the warm capacity times the collapse
+        // multiple; at most half the load at which the server collapses may be open at once.
+        double sentUnits =
+                recentPlacements.get(server).stream()
+                        .mapToDouble(
+                                p ->
+                                        p.placedAt > now - settings.collapseTime * p.units
+                                                ? p.units
+                                                : 0)
                         .sum();
-        double untold = Math.max(0, extra[s] * capacity(s)), part = coldPart(s);
-        double fills = part / warmth(s, now) * COLD_SHARE * set.collapseTime / set.warmUpTime;
+        double unreportedUnits = Math.max(0, unreportedLoad[server] * capacity(server)),
+                share = coldShare(server);
+        double fillLimit =
+                share
+                        / warmUpFraction(server, now)
+                        * COLD_FILL_TARGET
+                        * settings.collapseTime
+                        / settings.warmUpTime;
         double room =
                 Math.min(
-                        Math.min(part / 2, fills) - sent,
-                        part * (0.5 - load[s] / set.collapseMultiple) - untold);
-        // Rounded by a dither: of many relays each sends a whole tunnel or none, and the parts
-        // still sum up.
-        return work * (1 - dither[s]) <= room;
+                        Math.min(share / 2, fillLimit) - sentUnits,
+                        share * (0.5 - reportedLoad[server] / settings.collapseMultiple)
+                                - unreportedUnits);
+        // Rounds to whole tunnels with a random dither, so that the shares of many relays still add
+        // up.
+        return units * (1 - coldDither[server]) <= room;
+    }
+
+    /** Returns this relay's equal share of the mean loads at which a cold server collapses now. */
+    private double coldShare(int server) {
+        int modelSlot = models[server] & 63;
+        double relativeCapacity =
+                tunnelCountsReported && modelLoad[modelSlot] > 0.5
+                        ? modelTunnels[modelSlot] / modelLoad[modelSlot] / MIN_CAPACITY_UNITS
+                        : 1;
+        return settings.collapseMultiple
+                * capacity(server)
+                * Math.min(1, relativeCapacity)
+                / settings.relayCount;
     }
 
     /**
-     * This relay's equal part of the mean loads that may stand on a cold server now before it
-     * falls.
+     * Decays the evidence on a server by one tick and redraws the dither of cold servers from time
+     * to time.
      */
-    private double coldPart(int s) {
-        int m = model[s] & 63;
-        double told = heldTold && modelLoad[m] > 0.5 ? modelHeld[m] / modelLoad[m] / SMALLEST : 1;
-        return set.collapseMultiple * capacity(s) * Math.min(1, told) / set.relayCount;
-    }
-
-    /** What a tick lets fade and grow. */
-    private void age(int s, double now) {
-        good[s] *= KEEP;
-        bad[s] *= KEEP;
-        turns[s] *= KEEP;
-        if (cold(s, now) && random.nextDouble() * set.warmUpTime < TIMER) {
-            dither[s] = random.nextDouble();
+    private void decay(int server, double now) {
+        successWeight[server] *= HEALTH_KEPT_PER_TICK;
+        failureWeight[server] *= HEALTH_KEPT_PER_TICK;
+        blindPlacements[server] *= HEALTH_KEPT_PER_TICK;
+        if (isCold(server, now) && random.nextDouble() * settings.warmUpTime < TICK_SECONDS) {
+            coldDither[server] = random.nextDouble();
         }
     }
 
-    private void later(int s, double step, double work) {
-        extra[s] += step;
-        placed[s] += Math.max(0, step);
-        turns[s] += blind ? Math.max(0, step) : 0;
-        recent.get(s)
+    private void recordPlacement(int server, double loadStep, double units) {
+        unreportedLoad[server] += loadStep;
+        unreportedPlacements[server] += Math.max(0, loadStep);
+        blindPlacements[server] += loadUnknown ? Math.max(0, loadStep) : 0;
+        recentPlacements
+                .get(server)
                 .removeIf(
-                        p -> p.at < front.now() - Math.max(REPORT_LAG, set.collapseTime * p.work));
-        recent.get(s).add(new Placement(front.now(), step, work));
-    }
-
-    private void worked(int s, boolean inTime) {
-        good[s]++;
-        workedAt[s] = front.now();
-        double widest = 2 * inFlight >= window ? WIDEST_WINDOW : start;
+                        p ->
+                                p.placedAt
+                                        < frontend.now()
+                                                - Math.max(
+                                                        MAX_REPORT_LAG_SECONDS,
+                                                        settings.collapseTime * p.units));
+        recentPlacements.get(server).add(new Placement(frontend.now(), loadStep, units));
+    }
+
+    private void recordSuccess(int server, boolean inTime) {
+        successWeight[server]++;
+        lastSuccessAt[server] = frontend.now();
+        double maxWindow = 2 * setupsInFlight >= setupWindow ? MAX_WINDOW_SETUPS : initialWindow;
         if (inTime) {
-            window = Math.max(window, Math.min(widest, window + 1 / window));
+            setupWindow = Math.max(setupWindow, Math.min(maxWindow, setupWindow + 1 / setupWindow));
         } else {
-            narrow();
+            shrinkWindow();
         }
-        judge();
+        detectSharedCause();
     }
 
-    /** Fewer setups at once until they succeed in time again; a cut at most twice a second. */
-    private void narrow() {
-        if (front.now() - windowCutAt > 0.5) {
-            window = Math.max(1, Math.min(window, inFlight + 1) * 0.7);
-            windowCutAt = front.now();
+    /**
+     * Shrinks the setup window, at most twice a second; it grows again as setups succeed in time.
+     */
+    private void shrinkWindow() {
+        if (frontend.now() - windowShrunkAt > 0.5) {
+            setupWindow = Math.max(1, Math.min(setupWindow, setupsInFlight + 1) * 0.7);
+            windowShrunkAt = frontend.now();
         }
     }
 
-    /** What is left now of a rate that was counted up to a time. */
-    private double faded(double rate, double at) {
-        return rate * Math.exp(-(front.now() - at) / RATE_TIME);
+    /** Decays a rate from the time it was last updated to now. */
+    private double decayedRate(double rate, double countedAt) {
+        return rate * Math.exp(-(frontend.now() - countedAt) / RATE_DECAY_SECONDS);
     }
 
-    private void lagged(double lag, double weight) {
-        setupLagSpread += weight * (Math.abs(lag - setupLag) - setupLagSpread);
-        setupLag += weight * (lag - setupLag);
+    private void recordLatency(double latency, double weight) {
+        setupLatencyDeviation +=
+                weight * (Math.abs(latency - setupLatency) - setupLatencyDeviation);
+        setupLatency += weight * (latency - setupLatency);
     }
 
-    private double chance(int s) {
-        return (1 + good[s]) / (1 + good[s] + bad[s]);
+    private double successChance(int server) {
+        return (1 + successWeight[server]) / (1 + successWeight[server] + failureWeight[server]);
     }
 
-    private void failed(int s, Outcome outcome) {
-        double now = front.now();
-        full[s] |= outcome == Outcome.FULL;
+    private void recordFailure(int server, Outcome outcome) {
+        double now = frontend.now();
+        reportedFull[server] |= outcome == Outcome.FULL;
         if (outcome == Outcome.FULL
                 || outcome == Outcome.NEVER_SENT
                 || outcome == Outcome.CANCELLED) {
             return;
         }
-        failedAt[s] = now;
-        judge();
-        if (shared) {
-            // What the servers share is overloaded: fewer setups at once until they succeed again.
-            narrow();
+        lastFailureAt[server] = now;
+        detectSharedCause();
+        if (sharedCauseSuspected) {
+            // Something that the servers share is overloaded, so run fewer setups at once until
+            // they succeed again.
+            shrinkWindow();
             return;
         }
-        bad[s]++;
-        silence[s]++;
-        seekAt[s] = Math.min(seekAt[s], now);
+        failureWeight[server]++;
+        failuresInRow[server]++;
+        nextProbeAt[server] = Math.min(nextProbeAt[server], now);
     }
 
     /**
-     * When setups fail at most servers tried of late, what they share is suspected before the
-     * servers.
+     * Suspects a shared cause, not the servers, when setups fail at most of the servers that were
+     * tried recently.
      */
-    private void judge() {
-        double since = front.now() - RECENT;
-        int failing = 0, seen = 0;
-        for (int s = 0; s < n; s++) {
-            boolean tried = ready(s) && !unheard[s] && Math.max(failedAt[s], workedAt[s]) > since;
-            seen += tried ? 1 : 0;
-            failing += tried && failedAt[s] > workedAt[s] ? 1 : 0;
-        }
-        boolean was = shared;
-        shared = failing >= 3 && failing >= 0.6 * seen;
-        if (shared != was) {
-            front.log(
+    private void detectSharedCause() {
+        double since = frontend.now() - SHARED_CAUSE_WINDOW_SECONDS;
+        int failingCount = 0, triedCount = 0;
+        for (int server = 0; server < serverCount; server++) {
+            boolean triedRecently =
+                    isAvailable(server)
+                            && !lastProbeUnanswered[server]
+                            && Math.max(lastFailureAt[server], lastSuccessAt[server]) > since;
+            triedCount += triedRecently ? 1 : 0;
+            failingCount += triedRecently && lastFailureAt[server] > lastSuccessAt[server] ? 1 : 0;
+        }
+        boolean wasSuspected = sharedCauseSuspected;
+        sharedCauseSuspected = failingCount >= 3 && failingCount >= 0.6 * triedCount;
+        if (sharedCauseSuspected != wasSuspected) {
+            frontend.log(
                     "shared cause "
-                            + (shared ? "suspected" : "over")
+                            + (sharedCauseSuspected ? "suspected" : "over")
                             + ": setups fail at "
-                            + failing
+                            + failingCount
                             + " of "
-                            + seen);
+                            + triedCount);
         }
     }
 
     /**
-     * An unanswered seek; failed setups count too, but only a seek's silence takes a server
-     * offline.
+     * Records an unanswered probe. Failed setups count towards the limit too, but only an
+     * unanswered probe takes a server offline.
      */
-    private void silent(int s) {
-        silence[s]++;
-        unheard[s] = true;
-        if (silence[s] >= SILENT && !offline[s]) {
-            offline[s] = true;
-            front.log(
+    private void recordSilence(int server) {
+        failuresInRow[server]++;
+        lastProbeUnanswered[server] = true;
+        if (failuresInRow[server] >= OFFLINE_AFTER_FAILURES && !offline[server]) {
+            offline[server] = true;
+            frontend.log(
                     "offline "
-                            + ep[s]
+                            + serverNames[server]
                             + " after "
-                            + silence[s]
+                            + failuresInRow[server]
                             + " silences, own "
-                            + held.get(s).size());
+                            + ownTunnels.get(server).size());
         }
     }
 
     /**
-     * Standing tunnels leave a server that is offline or crowded, as fast as others have room for
-     * them.
+     * Moves tunnels away from a server that is offline, cordoned, draining or overloaded, as fast
+     * as other servers have room.
      */
-    private void relieve(int s) {
-        double now = front.now(), f = factor(s);
-        // What still stands when a draining server stops is cut off, so it is moved before.
-        boolean leaves =
-                offline[s] || out[s] || drainedAt[s] > 0 && now - drainedAt[s] > DRAIN_WAIT;
-        double wanted = leaves ? own[s] : f > CROWDED ? own[s] * (f - FULL) / f : 0;
-        if (wanted <= 0 || moveCredit < 1 || eased[s] || held.get(s).isEmpty() || shared) {
+    private void relieveServer(int server) {
+        double now = frontend.now(), factor = loadFactor(server);
+        // Tunnels that are still open when a draining server stops are cut off, so they are moved
+        // before.
+        boolean evacuate =
+                offline[server]
+                        || cordoned[server]
+                        || lastDrainActivityAt[server] > 0
+                                && now - lastDrainActivityAt[server] > DRAIN_WAIT_SECONDS;
+        double unitsToMove =
+                evacuate
+                        ? ownUnits[server]
+                        : factor > OVERLOADED_LOAD_FACTOR
+                                ? ownUnits[server] * (factor - FULL_LOAD_FACTOR) / factor
+                                : 0;
+        if (unitsToMove <= 0
+                || moveTokens < 1
+                || relievedSinceReport[server]
+                || ownTunnels.get(server).isEmpty()
+                || sharedCauseSuspected) {
             return;
         }
-        double room = 0, widest = 0;
-        for (int k = 0; k < n; k++) {
-            if (k != s && ready(k) && !cold(k, now)) {
-                double free = Math.max(0, FULL - factor(k)) * capacity(k);
-                room += free / set.relayCount;
-                widest = Math.max(widest, free);
+        double room = 0, largestRoom = 0;
+        for (int other = 0; other < serverCount; other++) {
+            if (other != server && isAvailable(other) && !isCold(other, now)) {
+                double freeUnits =
+                        Math.max(0, FULL_LOAD_FACTOR - loadFactor(other)) * capacity(other);
+                room += freeUnits / settings.relayCount;
+                largestRoom = Math.max(largestRoom, freeUnits);
             }
         }
-        // What frees most load for least credit, over its share first; some are shed where nobody
-        // has room.
-        boolean shed = room * set.relayCount < 1 && !leaves;
-        List<Tunnel> leaving = new ArrayList<>(held.get(s));
-        leaving.removeIf(t -> t.moving || !leaves && now - t.openedAt < REPORT_LAG);
-        leaving.sort((a, b) -> Double.compare(b.units / worth(b), a.units / worth(a)));
-        for (Tunnel t : leaving) {
-            if (moveCredit < 1) {
+        // Moves the tunnels first that free most load for least credit, which includes those over
+        // their customer's share. If no server has room, some are moved regardless.
+        boolean shedWithoutRoom = room * settings.relayCount < 1 && !evacuate;
+        List<Tunnel> candidates = new ArrayList<>(ownTunnels.get(server));
+        candidates.removeIf(
+                tunnel ->
+                        tunnel.moving
+                                || !evacuate && now - tunnel.openedAt < MAX_REPORT_LAG_SECONDS);
+        candidates.sort((a, b) -> Double.compare(b.units / moveCost(b), a.units / moveCost(a)));
+        for (Tunnel tunnel : candidates) {
+            if (moveTokens < 1) {
                 return;
             }
-            // A relay that holds little here moves its part of it by chance: all of them would
-            // empty it.
-            if (random.nextDouble() * t.units >= wanted) {
+            // Moves a small share with a matching probability: if every relay moved at least one
+            // tunnel, they would empty the server.
+            if (random.nextDouble() * tunnel.units >= unitsToMove) {
                 break;
             }
-            if (shed || t.units <= widest && random.nextDouble() * t.units < room) {
-                t.moving = true;
-                moveCredit--;
-                room -= t.units;
-                wanted -= t.units;
-                front.move(t);
+            if (shedWithoutRoom
+                    || tunnel.units <= largestRoom && random.nextDouble() * tunnel.units < room) {
+                tunnel.moving = true;
+                moveTokens--;
+                room -= tunnel.units;
+                unitsToMove -= tunnel.units;
+                frontend.move(tunnel);
             }
         }
-        eased[s] = !leaves;
+        relievedSinceReport[server] = !evacuate;
     }
 
-    private double worth(Tunnel tun) {
-        return tun.kind.credit * (overShare(tun) ? set.excessCredit : 1) + 1e-6;
+    private double moveCost(Tunnel tunnel) {
+        return tunnel.profile.credit * (isOverShare(tunnel) ? settings.excessCredit : 1) + 1e-6;
     }
 
     // ---- Seeks
 
-    /** What a probe brought. */
-    public void onProbeResult(String server, Outcome outcome, LoadReport report) {
-        if (!index.containsKey(server)) {
+    /** Reports the result of a probe. */
+    public void onProbeResult(String serverName, Outcome outcome, LoadReport report) {
+        if (!indexByName.containsKey(serverName)) {
             return;
         }
-        int s = index.get(server);
-        seeking[s] = false;
-        seekAt[s] = front.now() + seekEvery(s) * (0.9 + 0.2 * random.nextDouble());
-        told(s, outcome, report);
-        settle();
+        int server = indexByName.get(serverName);
+        probePending[server] = false;
+        nextProbeAt[server] =
+                frontend.now() + probeInterval(server) * (0.9 + 0.2 * random.nextDouble());
+        recordProbe(server, outcome, report);
+        resumeWaiting();
     }
 
-    private void told(int s, Outcome outcome, LoadReport report) {
-        double now = front.now();
+    private void recordProbe(int server, Outcome outcome, LoadReport report) {
+        double now = frontend.now();
         if (outcome == Outcome.FULL) {
-            full[s] = true;
+            reportedFull[server] = true;
             return;
         }
         if (outcome != Outcome.OK) {
-            silent(s);
-            seekAt[s] =
-                    now + (offline[s] ? Math.min(SLOWEST_SEEK, seekEvery(s) * 2) : FASTEST_SEEK);
+            recordSilence(server);
+            nextProbeAt[server] =
+                    now
+                            + (offline[server]
+                                    ? Math.min(
+                                            MAX_PROBE_INTERVAL_SECONDS, probeInterval(server) * 2)
+                                    : MIN_PROBE_INTERVAL_SECONDS);
             return;
         }
-        boolean fell = load[s] > EMPTIED && dropped[s] && held.get(s).isEmpty();
-        if ((offline[s] || fell) && report.load < EMPTY && !cold(s, now)) {
-            // Silent, or loaded until it dropped ours, and now empty: it restarted, whatever the
-            // list tells.
-            restarted(s, now);
-        }
-        dropped[s] = false;
-        if (offline[s]) {
-            front.log("back " + ep[s] + " load " + report.load);
-            offline[s] = false;
-        }
-        if (waitedAt[s] > 0) {
-            // A setup was given up there, yet it answers: setups take that long, at any server.
-            lagged(waitedAt[s], 0.5);
-            waitedAt[s] = 0;
-        }
-        silence[s] = 0;
-        unheard[s] = false;
-        full[s] = false;
-        seenAt[s] = now;
-        double seen = !Double.isNaN(report.load) ? report.load : report.busy;
-        loadTold |= !Double.isNaN(seen);
-        blind = !loadTold;
-        if (!Double.isNaN(seen)) {
-            load[s] = seen;
-            eased[s] = false;
-            extra[s] = placed[s] = 0;
-            for (Placement p : recent.get(s)) {
-                double unseen = Math.max(0, 1 - (now - p.at) / REPORT_LAG);
-                extra[s] += unseen * p.step;
-                placed[s] += unseen * Math.max(0, p.step);
+        boolean emptiedSuddenly =
+                reportedLoad[server] > LOADED_LOAD_FACTOR
+                        && tunnelWasReset[server]
+                        && ownTunnels.get(server).isEmpty();
+        if ((offline[server] || emptiedSuddenly)
+                && report.load < EMPTY_LOAD_FACTOR
+                && !isCold(server, now)) {
+            // The server was offline, or loaded until it reset all of this relay's tunnels, and now
+            // reports no load: it restarted, even if the list does not say so.
+            resetAfterRestart(server, now);
+        }
+        tunnelWasReset[server] = false;
+        if (offline[server]) {
+            frontend.log("back " + serverNames[server] + " load " + report.load);
+            offline[server] = false;
+        }
+        if (timedOutLatency[server] > 0) {
+            // A setup timed out there, yet the server answers probes: setups take that long,
+            // probably on any server.
+            recordLatency(timedOutLatency[server], 0.5);
+            timedOutLatency[server] = 0;
+        }
+        failuresInRow[server] = 0;
+        lastProbeUnanswered[server] = false;
+        reportedFull[server] = false;
+        lastReportAt[server] = now;
+        double currentLoad = !Double.isNaN(report.load) ? report.load : report.busy;
+        loadReported |= !Double.isNaN(currentLoad);
+        loadUnknown = !loadReported;
+        if (!Double.isNaN(currentLoad)) {
+            reportedLoad[server] = currentLoad;
+            relievedSinceReport[server] = false;
+            unreportedLoad[server] = unreportedPlacements[server] = 0;
+            for (Placement placement : recentPlacements.get(server)) {
+                double unreportedFraction =
+                        Math.max(0, 1 - (now - placement.placedAt) / MAX_REPORT_LAG_SECONDS);
+                unreportedLoad[server] += unreportedFraction * placement.loadStep;
+                unreportedPlacements[server] +=
+                        unreportedFraction * Math.max(0, placement.loadStep);
             }
-            if (running[s] && !cold(s, now)) {
-                heldTold |= report.openTunnels >= 0;
-                // A report of nothing, as before the first, tells nothing of what fills a server.
-                if (seen >= EMPTY) {
-                    importLearnedState(model[s], report.openTunnels, seen);
+            if (running[server] && !isCold(server, now)) {
+                tunnelCountsReported |= report.openTunnels >= 0;
+                // An empty report, like none at all, says nothing about what fills a server.
+                if (currentLoad >= EMPTY_LOAD_FACTOR) {
+                    learnCapacity(models[server], report.openTunnels, currentLoad);
                 }
             }
         }
     }
 
     /**
-     * What fills a server of this model. Where reports do not tell what it holds, siblings are
-     * taken to hold as much as this relay, over all servers of the model: those that it uses are
-     * sought more often.
+     * Learns the capacity of a model's servers. If reports do not contain the number of tunnels,
+     * siblings are assumed to hold as many as this relay on average over all servers of the model,
+     * because the servers that this relay uses are probed more often.
      */
-    private void importLearnedState(int m, double holds, double at) {
-        double ours = 0, loads = 0;
-        int all = 0, told = 0;
-        for (int s = 0; s < n && !(holds >= 0); s++) {
-            boolean seen = seenAt[s] > startedAt[s];
-            if (running[s] && model[s] == m && !(seen && load[s] < EMPTY)) {
-                all++;
-                ours += own[s];
-                told += seen ? 1 : 0;
-                loads += seen ? load[s] : 0;
+    private void learnCapacity(int model, double tunnelCount, double loadFactor) {
+        double ownUnitsOfModel = 0, loadSum = 0;
+        int serversOfModel = 0, reportingServers = 0;
+        for (int server = 0; server < serverCount && !(tunnelCount >= 0); server++) {
+            boolean hasReport = lastReportAt[server] > startedAt[server];
+            if (running[server]
+                    && models[server] == model
+                    && !(hasReport && reportedLoad[server] < EMPTY_LOAD_FACTOR)) {
+                serversOfModel++;
+                ownUnitsOfModel += ownUnits[server];
+                reportingServers += hasReport ? 1 : 0;
+                loadSum += hasReport ? reportedLoad[server] : 0;
             }
         }
-        modelHeld[m & 63] =
-                0.97 * modelHeld[m & 63] + (holds >= 0 ? holds : ours * set.relayCount / all);
-        modelLoad[m & 63] = 0.97 * modelLoad[m & 63] + (holds >= 0 ? at : loads / told);
-    }
-
-    /** Steady seeks, as often as their fee allows; most go to the servers that this relay uses. */
-    private double seekEvery(int s) {
-        int uses = 0;
-        for (int k = 0; k < n; k++) {
-            uses += used(k) ? 1 : 0;
-        }
-        // The fee is by the tunnels that are set up: what clients try again while declined pays for
-        // none.
-        double fee = set.probeFee / Math.max(0.2, faded(openings, openingsAt));
-        double every = Math.max((uses + (n - uses) / UNUSED) * fee / PROBE_SPEND, n / MOST_SEEKS);
-        // Fee and what a silence costs until it is met, half an interval, are least together at
-        // their root.
-        double slowest = Math.max(SLOWEST_SEEK, Math.sqrt(2 * uses * fee * SILENCE_EVERY));
-        return Math.max(FASTEST_SEEK, used(s) ? Math.min(slowest, every) : every * UNUSED);
+        modelTunnels[model & 63] =
+                0.97 * modelTunnels[model & 63]
+                        + (tunnelCount >= 0
+                                ? tunnelCount
+                                : ownUnitsOfModel * settings.relayCount / serversOfModel);
+        modelLoad[model & 63] =
+                0.97 * modelLoad[model & 63]
+                        + (tunnelCount >= 0 ? loadFactor : loadSum / reportingServers);
     }
 
-    private boolean used(int s) {
-        return !held.get(s).isEmpty() || full[s] || silence[s] > 0;
+    /**
+     * Returns the interval of regular probes that the fee allows; most go to servers that this
+     * relay uses.
+     */
+    private double probeInterval(int server) {
+        int usedServers = 0;
+        for (int other = 0; other < serverCount; other++) {
+            usedServers += isUsed(other) ? 1 : 0;
+        }
+        // The fee is weighed against opened tunnels only: retries of declined clients do not pay
+        // for probes.
+        double fee = settings.probeFee / Math.max(0.2, decayedRate(openRate, openRateAt));
+        double interval =
+                Math.max(
+                        (usedServers + (serverCount - usedServers) / UNUSED_PROBE_INTERVAL_FACTOR)
+                                * fee
+                                / PROBE_COST_SHARE,
+                        serverCount / MAX_PROBES_PER_SECOND);
+        // The cost of probes and the cost of noticing a silent server half an interval late are
+        // minimal in sum at this root.
+        double maxInterval =
+                Math.max(
+                        MAX_PROBE_INTERVAL_SECONDS,
+                        Math.sqrt(2 * usedServers * fee * SECONDS_BETWEEN_SILENT_SERVERS));
+        return Math.max(
+                MIN_PROBE_INTERVAL_SECONDS,
+                isUsed(server)
+                        ? Math.min(maxInterval, interval)
+                        : interval * UNUSED_PROBE_INTERVAL_FACTOR);
+    }
+
+    private boolean isUsed(int server) {
+        return !ownTunnels.get(server).isEmpty()
+                || reportedFull[server]
+                || failuresInRow[server] > 0;
     }
 
     public void onTimer(long token) {
-        double now = front.now();
-        if (token == ASK_LIST) {
-            front.watchServerList();
+        double now = frontend.now();
+        if (token == WATCH_LIST_TOKEN) {
+            frontend.watchServerList();
             return;
         }
-        front.scheduleTimer(TIMER, SEEK);
-        moveCredit = Math.min(10, moveCredit + TIMER * MOVE_PACE * Math.max(0.5, arrivals));
-        largest = 0;
-        for (int s = 0; s < n; s++) {
-            age(s, now);
-            largest = Math.max(largest, warmCapacity(s));
-            relieve(s);
-            if (wanted(s) && seekAt[s] <= now && set.probesAllowed) {
-                seek(s);
+        frontend.scheduleTimer(TICK_SECONDS, TICK_TOKEN);
+        moveTokens =
+                Math.min(
+                        10,
+                        moveTokens + TICK_SECONDS * MOVES_PER_ARRIVAL * Math.max(0.5, arrivalRate));
+        largestCapacity = 0;
+        for (int server = 0; server < serverCount; server++) {
+            decay(server, now);
+            largestCapacity = Math.max(largestCapacity, warmCapacity(server));
+            relieveServer(server);
+            if (isInRotation(server) && nextProbeAt[server] <= now && settings.probesAllowed) {
+                probe(server);
             }
         }
-        settle();
+        resumeWaiting();
     }
 
     // ---- The list
 
-    public void onServerList(List<ServerEntry> servers, boolean whole) {
-        boolean[] named = new boolean[n + servers.size()];
-        for (ServerEntry l : servers) {
-            int s = index.computeIfAbsent(l.name(), this::add);
-            named[s] = true;
-            zone[s] = l.zone();
-            zones = Math.max(zones, l.zone() + 1);
-            model[s] = l.model();
-            cell[s] = l.cell();
-            running[s] = l.state() == ServerEntry.State.RUNNING;
-            drainedAt[s] = running[s] ? 0 : drainedAt[s] > 0 ? drainedAt[s] : front.now();
-            listed[s] = l.state() != ServerEntry.State.GONE;
-            if (l.startedAt() > startedAt[s] + 1e-3) {
-                restarted(s, l.startedAt());
+    public void onServerList(List<ServerEntry> entries, boolean whole) {
+        boolean[] named = new boolean[serverCount + entries.size()];
+        for (ServerEntry entry : entries) {
+            int server = indexByName.computeIfAbsent(entry.name(), this::addServer);
+            named[server] = true;
+            zones[server] = entry.zone();
+            zoneCount = Math.max(zoneCount, entry.zone() + 1);
+            models[server] = entry.model();
+            cells[server] = entry.cell();
+            running[server] = entry.state() == ServerEntry.State.RUNNING;
+            lastDrainActivityAt[server] =
+                    running[server]
+                            ? 0
+                            : lastDrainActivityAt[server] > 0
+                                    ? lastDrainActivityAt[server]
+                                    : frontend.now();
+            listed[server] = entry.state() != ServerEntry.State.GONE;
+            if (entry.startedAt() > startedAt[server] + 1e-3) {
+                resetAfterRestart(server, entry.startedAt());
             }
         }
-        for (int s = 0; whole && s < n; s++) {
-            running[s] &= named[s];
-            listed[s] &= named[s];
+        for (int server = 0; whole && server < serverCount; server++) {
+            running[server] &= named[server];
+            listed[server] &= named[server];
         }
-        listBackOff = BACK_OFF;
-        sized();
+        listBackoff = INITIAL_LIST_BACKOFF_SECONDS;
+        updateFleetSize();
     }
 
-    /** What follows from how many servers are listed, and how many siblings share them. */
-    private void sized() {
-        int up = 0;
-        for (int s = 0; s < n; s++) {
-            up += wanted(s) ? 1 : 0;
+    /** Recomputes what depends on the number of servers in rotation and of relays. */
+    private void updateFleetSize() {
+        int serversInRotation = 0;
+        for (int server = 0; server < serverCount; server++) {
+            serversInRotation += isInRotation(server) ? 1 : 0;
         }
-        strangers = Math.pow(0.25, (double) set.relayCount / zones);
-        start = Math.max(1, Math.min(WINDOW, WINDOW_A_SERVER * up / set.relayCount));
-        window = windowCutAt == 0 ? Math.max(window, start) : window;
+        noHolderBaseChance = Math.pow(0.25, (double) settings.relayCount / zoneCount);
+        initialWindow =
+                Math.max(
+                        1,
+                        Math.min(
+                                INITIAL_WINDOW_SETUPS,
+                                INITIAL_WINDOW_SETUPS_PER_SERVER
+                                        * serversInRotation
+                                        / settings.relayCount));
+        setupWindow = windowShrunkAt == 0 ? Math.max(setupWindow, initialWindow) : setupWindow;
     }
 
     /**
-     * Asking the list failed: ask again, later each time; soon after a silent call, which took its
-     * time.
+     * Schedules another request for the server list with increasing delay; the first after a call
+     * that timed out follows at once since the timeout itself took time.
      */
     public void onServerListFailed(boolean silent) {
-        // What is pushed counts from the service's return on, within the grace; what is asked for
-        // soon after
-        double most =
-                Math.min(Math.max(1, set.relayCount / 40.0), Math.min(3, set.listPollInterval / 2));
-        most = set.subscribesToServerList ? most : set.drainGrace / 2;
-        double wait =
-                !silent ? listBackOff : listBackOff == BACK_OFF ? 0 : Math.min(most, BACK_OFF);
-        front.scheduleTimer(wait * (0.5 + 0.5 * random.nextDouble()), ASK_LIST);
-        listBackOff = Math.min(most, 2 * listBackOff);
+        // A pushed list applies from the return of the discovery service on, so the delay stays
+        // within the drain grace; a list that is polled applies soon after it is asked for.
+        double maxBackoff =
+                Math.min(
+                        Math.max(1, settings.relayCount / 40.0),
+                        Math.min(3, settings.listPollInterval / 2));
+        maxBackoff = settings.subscribesToServerList ? maxBackoff : settings.drainGrace / 2;
+        double delay =
+                !silent
+                        ? listBackoff
+                        : listBackoff == INITIAL_LIST_BACKOFF_SECONDS
+                                ? 0
+                                : Math.min(maxBackoff, INITIAL_LIST_BACKOFF_SECONDS);
+        frontend.scheduleTimer(delay * (0.5 + 0.5 * random.nextDouble()), WATCH_LIST_TOKEN);
+        listBackoff = Math.min(maxBackoff, 2 * listBackoff);
     }
 
     // ---- Over an upgrade
 
-    /** What this module has learned of machines and profiles, for the process that takes over. */
+    /**
+     * Returns what this instance has learned about servers and profiles, for the process that takes
+     * over.
+     */
     public double[] exportLearnedState() {
-        double[] own = {heldTold ? 1 : 0, setupLag, setupLagSpread};
-        return Stream.of(own, modelHeld, modelLoad, profileLoad, profileSeen)
+        double[] scalars = {tunnelCountsReported ? 1 : 0, setupLatency, setupLatencyDeviation};
+        return Stream.of(scalars, modelTunnels, modelLoad, profileLoad, profileSamples)
                 .flatMapToDouble(Arrays::stream)
                 .toArray();
     }
 
     /**
-     * Takes on what another process of this relay has learned; false where that was another form.
+     * Adopts what another process of this relay has learned; returns false if the state is
+     * malformed or of another form.
      */
-    public boolean importLearnedState(double[] all) {
-        if (all.length != exportLearnedState().length
-                || Arrays.stream(all).anyMatch(x -> !(x >= 0 && x < 1e12))) {
+    public boolean importLearnedState(double[] state) {
+        if (state.length != exportLearnedState().length
+                || Arrays.stream(state).anyMatch(x -> !(x >= 0 && x < 1e12))) {
             return false;
         }
-        heldTold = all[0] > 0;
-        setupLag = all[1];
-        setupLagSpread = all[2];
-        int at = 3;
-        for (double[] part : List.of(modelHeld, modelLoad, profileLoad, profileSeen)) {
-            System.arraycopy(all, at, part, 0, part.length);
-            at += part.length;
+        tunnelCountsReported = state[0] > 0;
+        setupLatency = state[1];
+        setupLatencyDeviation = state[2];
+        int position = 3;
+        for (double[] array : List.of(modelTunnels, modelLoad, profileLoad, profileSamples)) {
+            System.arraycopy(state, position, array, 0, array.length);
+            position += array.length;
         }
         return true;
     }
 
     // ---- What operators leave out
 
-    /**
-     * The servers that operators leave out from now on, all of them; it holds until the next such
-     * call.
-     */
-    public void setCordonedServers(Set<String> servers) {
-        cordoned = Set.copyOf(servers);
-        for (int s = 0; s < n; s++) {
-            boolean was = out[s];
-            out[s] = cordoned.contains(ep[s]);
-            if (was && !out[s]) {
-                // It was restarted meanwhile: what was known of it is not of what runs there now.
-                offline[s] = false;
-                restUntil[s] = drainedAt[s] = extra[s] = placed[s] = 0;
-                failedAt[s] = Double.NEGATIVE_INFINITY;
-                recent.get(s).clear();
-                restarted(s, front.now());
-                owed[s] = true;
+    /** Replaces the set of cordoned servers; it holds until the next call. */
+    public void setCordonedServers(Set<String> serverNamesToCordon) {
+        cordonedServers = Set.copyOf(serverNamesToCordon);
+        for (int server = 0; server < serverCount; server++) {
+            boolean wasCordoned = cordoned[server];
+            cordoned[server] = cordonedServers.contains(serverNames[server]);
+            if (wasCordoned && !cordoned[server]) {
+                // The server was probably restarted while cordoned, so earlier observations no
+                // longer apply.
+                offline[server] = false;
+                fullUntil[server] =
+                        lastDrainActivityAt[server] =
+                                unreportedLoad[server] = unreportedPlacements[server] = 0;
+                lastFailureAt[server] = Double.NEGATIVE_INFINITY;
+                recentPlacements.get(server).clear();
+                resetAfterRestart(server, frontend.now());
+                firstTunnelDue[server] = true;
             }
-            if (was != out[s]) {
-                front.log(
-                        (out[s] ? "cordoned " : "uncordoned ")
-                                + ep[s]
+            if (wasCordoned != cordoned[server]) {
+                frontend.log(
+                        (cordoned[server] ? "cordoned " : "uncordoned ")
+                                + serverNames[server]
                                 + ", own "
-                                + held.get(s).size()
+                                + ownTunnels.get(server).size()
                                 + ", left out "
-                                + cordoned.size());
+                                + cordonedServers.size());
             }
         }
     }
 
     public Set<String> cordonedServers() {
-        return cordoned;
+        return cordonedServers;
     }
 
-    /** True of a server that the list named at some time, or that is left out. */
-    public boolean isKnown(String server) {
-        return index.containsKey(server) || cordoned.contains(server);
+    /** Returns true if the list named the server at some time or operators have cordoned it. */
+    public boolean isKnown(String serverName) {
+        return indexByName.containsKey(serverName) || cordonedServers.contains(serverName);
+    }
+
+    /**
+     * Returns true if the server may get new tunnels by the list and the operators, whatever its
+     * health.
+     */
+    public boolean isInRotation(String serverName) {
+        Integer server = indexByName.get(serverName);
+        return server != null && isInRotation(server);
     }
 
     /**
-     * True where new tunnels may go by the list and the operators, whatever is thought of it here.
+     * Returns how many servers the list has, or with {@code onlyUnavailable} those of them that get
+     * no new tunnels from this relay for now.
      */
-    public boolean isInRotation(String server) {
-        Integer s = index.get(server);
-        return s != null && wanted(s);
-    }
-
-    /** How many servers the list has; of them, those that get nothing new from here for now. */
-    public int listedServerCount(boolean onlyAvoided) {
-        int members = 0;
-        for (int s = 0; s < n; s++) {
-            members += listed[s] && !(onlyAvoided && ready(s)) ? 1 : 0;
-        }
-        return members;
-    }
-
-    private void restarted(int s, double at) {
-        startedAt[s] = at;
-        dither[s] = random.nextDouble();
-        silence[s] = 0;
-        full[s] = false;
-        load[s] = good[s] = bad[s] = 0;
-        seekAt[s] = Math.min(seekAt[s], front.now());
-    }
-
-    private int add(String server) {
-        if (n == ep.length) {
-            int m = Math.max(8, 2 * n);
-            ep = Arrays.copyOf(ep, m);
-            zone = Arrays.copyOf(zone, m);
-            model = Arrays.copyOf(model, m);
-            cell = Arrays.copyOf(cell, m);
-            silence = Arrays.copyOf(silence, m);
-            running = Arrays.copyOf(running, m);
-            listed = Arrays.copyOf(listed, m);
-            offline = Arrays.copyOf(offline, m);
-            full = Arrays.copyOf(full, m);
-            seeking = Arrays.copyOf(seeking, m);
-            eased = Arrays.copyOf(eased, m);
-            out = Arrays.copyOf(out, m);
-            owed = Arrays.copyOf(owed, m);
-            unheard = Arrays.copyOf(unheard, m);
-            dropped = Arrays.copyOf(dropped, m);
-            load = Arrays.copyOf(load, m);
-            extra = Arrays.copyOf(extra, m);
-            placed = Arrays.copyOf(placed, m);
-            own = Arrays.copyOf(own, m);
-            turns = Arrays.copyOf(turns, m);
-            startedAt = Arrays.copyOf(startedAt, m);
-            seekAt = Arrays.copyOf(seekAt, m);
-            seenAt = Arrays.copyOf(seenAt, m);
-            restUntil = Arrays.copyOf(restUntil, m);
-            failedAt = Arrays.copyOf(failedAt, m);
-            workedAt = Arrays.copyOf(workedAt, m);
-            drainedAt = Arrays.copyOf(drainedAt, m);
-            good = Arrays.copyOf(good, m);
-            bad = Arrays.copyOf(bad, m);
-            dither = Arrays.copyOf(dither, m);
-            waitedAt = Arrays.copyOf(waitedAt, m);
-        }
-        ep[n] = server;
-        out[n] = cordoned.contains(server);
-        startedAt[n] = failedAt[n] = workedAt[n] = seenAt[n] = Double.NEGATIVE_INFINITY;
-        orders.clear();
-        // A start does not seek a large fleet all at once: what its first tunnels need is sought
-        // for them.
-        double spread = Math.max(FASTEST_SEEK, n * set.probeFee / PROBE_SPEND);
-        seekAt[n] = front.now() + spread * random.nextDouble();
-        held.add(new ArrayList<>());
-        recent.add(new ArrayDeque<>());
-        return n++;
+    public int listedServerCount(boolean onlyUnavailable) {
+        int count = 0;
+        for (int server = 0; server < serverCount; server++) {
+            count += listed[server] && !(onlyUnavailable && isAvailable(server)) ? 1 : 0;
+        }
+        return count;
+    }
+
+    private void resetAfterRestart(int server, double startTime) {
+        startedAt[server] = startTime;
+        coldDither[server] = random.nextDouble();
+        failuresInRow[server] = 0;
+        reportedFull[server] = false;
+        reportedLoad[server] = successWeight[server] = failureWeight[server] = 0;
+        nextProbeAt[server] = Math.min(nextProbeAt[server], frontend.now());
+    }
+
+    private int addServer(String serverName) {
+        if (serverCount == serverNames.length) {
+            int newLength = Math.max(8, 2 * serverCount);
+            serverNames = Arrays.copyOf(serverNames, newLength);
+            zones = Arrays.copyOf(zones, newLength);
+            models = Arrays.copyOf(models, newLength);
+            cells = Arrays.copyOf(cells, newLength);
+            failuresInRow = Arrays.copyOf(failuresInRow, newLength);
+            running = Arrays.copyOf(running, newLength);
+            listed = Arrays.copyOf(listed, newLength);
+            offline = Arrays.copyOf(offline, newLength);
+            reportedFull = Arrays.copyOf(reportedFull, newLength);
+            probePending = Arrays.copyOf(probePending, newLength);
+            relievedSinceReport = Arrays.copyOf(relievedSinceReport, newLength);
+            cordoned = Arrays.copyOf(cordoned, newLength);
+            firstTunnelDue = Arrays.copyOf(firstTunnelDue, newLength);
+            lastProbeUnanswered = Arrays.copyOf(lastProbeUnanswered, newLength);
+            tunnelWasReset = Arrays.copyOf(tunnelWasReset, newLength);
+            reportedLoad = Arrays.copyOf(reportedLoad, newLength);
+            unreportedLoad = Arrays.copyOf(unreportedLoad, newLength);
+            unreportedPlacements = Arrays.copyOf(unreportedPlacements, newLength);
+            ownUnits = Arrays.copyOf(ownUnits, newLength);
+            blindPlacements = Arrays.copyOf(blindPlacements, newLength);
+            startedAt = Arrays.copyOf(startedAt, newLength);
+            nextProbeAt = Arrays.copyOf(nextProbeAt, newLength);
+            lastReportAt = Arrays.copyOf(lastReportAt, newLength);
+            fullUntil = Arrays.copyOf(fullUntil, newLength);
+            lastFailureAt = Arrays.copyOf(lastFailureAt, newLength);
+            lastSuccessAt = Arrays.copyOf(lastSuccessAt, newLength);
+            lastDrainActivityAt = Arrays.copyOf(lastDrainActivityAt, newLength);
+            successWeight = Arrays.copyOf(successWeight, newLength);
+            failureWeight = Arrays.copyOf(failureWeight, newLength);
+            coldDither = Arrays.copyOf(coldDither, newLength);
+            timedOutLatency = Arrays.copyOf(timedOutLatency, newLength);
+        }
+        serverNames[serverCount] = serverName;
+        cordoned[serverCount] = cordonedServers.contains(serverName);
+        startedAt[serverCount] =
+                lastFailureAt[serverCount] =
+                        lastSuccessAt[serverCount] =
+                                lastReportAt[serverCount] = Double.NEGATIVE_INFINITY;
+        groupServerOrders.clear();
+        // Spreads the first probes of a large fleet; the servers that the first tunnels need are
+        // probed for them.
+        double spread =
+                Math.max(
+                        MIN_PROBE_INTERVAL_SECONDS,
+                        serverCount * settings.probeFee / PROBE_COST_SHARE);
+        nextProbeAt[serverCount] = frontend.now() + spread * random.nextDouble();
+        ownTunnels.add(new ArrayList<>());
+        recentPlacements.add(new ArrayDeque<>());
+        return serverCount++;
     }
 }
--- a/core/src/main/java/asterpulley/LoadReport.java
+++ b/core/src/main/java/asterpulley/LoadReport.java
@@ -1,6 +1,6 @@
 package asterpulley;
 
-/** A server's load report; a figure that did not come is NaN. */
+/** A server's load report; a value that was not reported is NaN. */
 public final class LoadReport {
     public double load = Double.NaN;
     public double busy = Double.NaN;
--- a/core/src/main/java/asterpulley/Outcome.java
+++ b/core/src/main/java/asterpulley/Outcome.java
@@ -11,7 +11,7 @@
     CANCELLED(false),
     NEVER_SENT(true);
 
-    /** True if this outcome proves that the setup had no effect. */
+    /** True if this outcome proves that the setup had no effect on the server. */
     public final boolean provesNoEffect;
 
     Outcome(boolean provesNotRun) {
--- /dev/null
+++ b/core/src/main/java/asterpulley/RetryLimiter.java
@@ -0,0 +1,57 @@
+package asterpulley;
+
+import java.util.ArrayDeque;
+
+/**
+ * Limits retries to a budget if one is configured: within a sliding window, retries are bounded by
+ * a minimum plus a ratio of the tunnels accepted. A tunnel's first setup is never held back, and
+ * every retry counts, however it or the setup before it ended.
+ */
+final class RetryLimiter {
+    private final ArrayDeque<Double> tunnelTimes = new ArrayDeque<>(),
+            retryTimes = new ArrayDeque<>();
+
+    /**
+     * The active settings. If the window becomes longer, only the entries that are still stored
+     * count.
+     */
+    Settings settings;
+
+    RetryLimiter(Settings settings) {
+        this.settings = settings;
+    }
+
+    void recordTunnel(double now) {
+        if (settings.retryBudgetWindow > 0) {
+            tunnelTimes.add(now);
+        }
+    }
+
+    /** Returns how many retries may be sent now; infinite if no budget is configured. */
+    double remaining(double now) {
+        if (!(settings.retryBudgetWindow > 0)) {
+            return Double.POSITIVE_INFINITY;
+        }
+        // Another observer may see a setup one tick earlier or later, so the window is taken
+        // strictly on both sides.
+        double windowStart = now - settings.retryBudgetWindow, slack = 2 * settings.tick;
+        while (!tunnelTimes.isEmpty() && tunnelTimes.peek() <= windowStart + slack) {
+            tunnelTimes.poll();
+        }
+        while (!retryTimes.isEmpty() && retryTimes.peek() < windowStart - slack) {
+            retryTimes.poll();
+        }
+        return Math.floor(
+                        settings.retryBudgetMinimum
+                                + settings.retryBudgetRatio * tunnelTimes.size()
+                                + 1e-9)
+                - retryTimes.size();
+    }
+
+    /**
+     * Records a retry that is sent now; returns false, recording nothing, if the budget is used up.
+     */
+    boolean tryAcquire(double now) {
+        return remaining(now) >= 1 && (!(settings.retryBudgetWindow > 0) || retryTimes.add(now));
+    }
+}
--- a/core/src/main/java/asterpulley/ServerEntry.java
+++ b/core/src/main/java/asterpulley/ServerEntry.java
@@ -1,6 +1,9 @@
 package asterpulley;
 
-/** A server as the list names it. */
+/**
+ * A server as the server list describes it. {@code startedAt} is in seconds on the frontend's
+ * clock, or negative infinity if unknown.
+ */
 public record ServerEntry(
         String name, int zone, int model, int cell, State state, double startedAt) {
     public enum State {
--- a/core/src/main/java/asterpulley/Settings.java
+++ b/core/src/main/java/asterpulley/Settings.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What an instance is told at its start, as far as the module reads it; the values here stand for
- * what is missing.
+ * The settings that the load balancer reads; the initial values here apply where a setting is
+ * missing. Times are in seconds.
  */
 public final class Settings {
     public enum Repeatability {
@@ -14,7 +14,7 @@
         ONCE_ONLY
     }
 
-    /** The servers that know a referenced tunnel's repeat. */
+    /** The servers that recognize a repeated setup of a referenced tunnel. */
     public enum IdempotencyScope {
         ALL,
         ZONE,
@@ -38,14 +38,17 @@
     public boolean subscribesToServerList;
     public boolean probesAllowed;
 
-    /** 0: clients are not told when to come back. */
+    /** Longest advice to clients on when to retry; 0: none is given. */
     public double maxRetryAfter;
 
     public int maxSetupsPerTunnel = 1;
     public double tick = 0.001;
     public double listPollInterval = 10;
 
-    /** A server that drains may still get something new so long after this relay was told. */
+    /**
+     * A server that starts draining may still get new tunnels for this long after this relay was
+     * notified.
+     */
     public double drainGrace = 0.5;
 
     public double coldCapacityFraction = 0.1;
@@ -54,8 +57,8 @@
     public double collapseTime = 1;
 
     /**
-     * Further setups within any {@link #lookBack} seconds: so many, and so many for each tunnel
-     * taken; 0 s: no budget.
+     * Retries allowed within any {@link #retryBudgetWindow} seconds: a minimum, plus a ratio of the
+     * tunnels accepted; a window of 0 s means no budget.
      */
     public double retryBudgetMinimum, retryBudgetRatio, retryBudgetWindow;
 
@@ -63,12 +66,15 @@
     public double probeFee;
     public double excessCredit = 1;
 
-    /** The part of the result that counts nines of what is served, and how many earn it in full. */
+    /**
+     * Weight of the availability score, which counts the nines of the served share, and the number
+     * of nines that earns it in full.
+     */
     public double ninesWeight;
 
     public double ninesForFullScore = 3;
     public boolean groupsShareWork;
 
-    /** Packets pass through, so that a tunnel may change relays while it stands. */
+    /** Packets pass through, so that a tunnel can change relays while it is open. */
     public boolean packetPassThrough;
 }
--- /dev/null
+++ b/core/src/test/java/asterpulley/RetryLimiterTest.java
@@ -0,0 +1,112 @@
+package asterpulley;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.DoubleRange;
+import net.jqwik.api.constraints.IntRange;
+import net.jqwik.api.constraints.Size;
+
+/** Compares {@link RetryLimiter} with a count over the whole history at each retry. */
+class RetryLimiterTest {
+    @Property(seed = "33")
+    void noWindowExceedsTheBudget(
+            @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 60) Integer> steps,
+            @ForAll @IntRange(max = 4) int minimum,
+            @ForAll @DoubleRange(min = 0, max = 0.5) double ratio,
+            @ForAll @DoubleRange(min = 0.1, max = 2) double windowSeconds) {
+        Settings settings = new Settings();
+        settings.retryBudgetMinimum = minimum;
+        settings.retryBudgetRatio = ratio;
+        settings.retryBudgetWindow = windowSeconds;
+        RetryLimiter retryLimiter = new RetryLimiter(settings);
+        List<Double> tunnelTimes = new ArrayList<>();
+        List<Double> retryTimes = new ArrayList<>();
+        double now = 0;
+        for (int step : steps) {
+            now += step / 2 * settings.tick;
+            if (step % 2 == 0) {
+                retryLimiter.recordTunnel(now);
+                tunnelTimes.add(now);
+            } else if (retryLimiter.tryAcquire(now)) {
+                retryTimes.add(now);
+                double windowStart = now - windowSeconds;
+                long retries = retryTimes.stream().filter(time -> time >= windowStart).count();
+                long tunnels = tunnelTimes.stream().filter(time -> time > windowStart).count();
+                assertTrue(
+                        retries <= minimum + ratio * tunnels + 1e-9,
+                        retries + " of " + minimum + " and " + tunnels);
+            }
+        }
+    }
+
+    /**
+     * The budget changes at every sixth step; a longer window counts only the retries that are
+     * still stored.
+     */
+    @Property(seed = "33")
+    void changedBudgetAppliesFromItsChange(
+            @ForAll @Size(max = 300) List<@IntRange(min = 0, max = 60) Integer> steps,
+            @ForAll @Size(value = 8) List<@IntRange(min = 0, max = 40) Integer> budgetCodes) {
+        Settings settings = settingsWithBudget(budgetCodes.get(0));
+        RetryLimiter retryLimiter = new RetryLimiter(settings);
+        List<Double> tunnelTimes = new ArrayList<>();
+        List<Double> retryTimes = new ArrayList<>();
+        double now = 0;
+        int firstCountedRetry = 0;
+        for (int i = 0; i < steps.size(); i++) {
+            now += steps.get(i) / 2 * settings.tick;
+            if (i % 6 == 5) {
+                Settings newSettings =
+                        settingsWithBudget(budgetCodes.get(i / 6 % budgetCodes.size()));
+                firstCountedRetry =
+                        newSettings.retryBudgetWindow > settings.retryBudgetWindow
+                                ? retryTimes.size()
+                                : firstCountedRetry;
+                retryLimiter.settings = settings = newSettings;
+            }
+            double windowStart = now - settings.retryBudgetWindow;
+            if (steps.get(i) % 2 == 0) {
+                retryLimiter.recordTunnel(now);
+                tunnelTimes.add(now);
+            } else if (retryLimiter.tryAcquire(now)) {
+                retryTimes.add(now);
+                long retries =
+                        retryTimes.stream()
+                                .skip(firstCountedRetry)
+                                .filter(time -> time >= windowStart)
+                                .count();
+                long tunnels = tunnelTimes.stream().filter(time -> time > windowStart).count();
+                assertTrue(
+                        settings.retryBudgetWindow == 0
+                                || retries
+                                        <= settings.retryBudgetMinimum
+                                                + settings.retryBudgetRatio * tunnels
+                                                + 1e-9,
+                        retries + " of " + settings.retryBudgetMinimum + " and " + tunnels);
+            }
+        }
+    }
+
+    /** Returns settings without a retry budget, or with one of several. */
+    private static Settings settingsWithBudget(int budgetCode) {
+        Settings settings = new Settings();
+        settings.retryBudgetMinimum = budgetCode % 4;
+        settings.retryBudgetRatio = 0.1 * (budgetCode % 3);
+        settings.retryBudgetWindow = 0.1 * (budgetCode / 8);
+        return settings;
+    }
+
+    @Property(tries = 20, seed = "33")
+    void retriesAreUnlimitedWithoutABudget(@ForAll @IntRange(min = 0, max = 50) int retries) {
+        RetryLimiter retryLimiter = new RetryLimiter(new Settings());
+        for (int i = 0; i < retries; i++) {
+            assertTrue(retryLimiter.tryAcquire(i * 0.001));
+        }
+        assertEquals(Double.POSITIVE_INFINITY, retryLimiter.remaining(1));
+    }
+}
--- a/core/src/test/java/asterpulley/ScenarioTest.java
+++ b/core/src/test/java/asterpulley/ScenarioTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays every scenario under src/test/resources/scenarios; "== title" begins one. */
+/** Runs every scenario under src/test/resources/scenarios; a line "== title" starts one. */
 class ScenarioTest {
     @TestFactory
     List<DynamicTest> scenarios() throws IOException {
@@ -28,13 +28,13 @@
     }
 
     private static void play(String[] lines) throws ReflectiveOperationException {
-        Stage stage = new Stage();
+        ScenarioRunner runner = new ScenarioRunner();
         for (int i = 1; i < lines.length; i++) {
             if (lines[i].isBlank() || lines[i].startsWith("#")) {
                 continue;
             }
             try {
-                stage.line(lines[i]);
+                runner.playLine(lines[i]);
             } catch (AssertionError e) {
                 throw new AssertionError(lines[i] + ": " + e.getMessage(), e);
             }
--- a/decode/src/main/java/asterpulley/decode/Json.java
+++ b/decode/src/main/java/asterpulley/decode/Json.java
@@ -13,58 +13,58 @@
 import java.util.Map;
 
 /**
- * JSON values read into plain maps and lists and written back, and their fields taken with a plain
- * message for what is malformed.
+ * Reads JSON values into plain maps and lists, writes them back, and gives typed access to their
+ * fields with a clear message for malformed input.
  */
 public final class Json {
-    /** The input breaks the wire's form. */
+    /** Thrown for input that does not have the expected form; the message is shown to operators. */
     public static final class MalformedException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        public MalformedException(String what) {
-            super(what);
+        public MalformedException(String message) {
+            super(message);
         }
     }
 
     private Json() {}
 
-    public static Object read(JsonParser p) throws IOException {
-        JsonToken token = expect(p.currentToken());
+    public static Object read(JsonParser parser) throws IOException {
+        JsonToken token = requireToken(parser.currentToken());
         switch (token) {
             case START_OBJECT -> {
                 Map<String, Object> map = new LinkedHashMap<>();
-                while (expect(p.nextToken()) != JsonToken.END_OBJECT) {
-                    String name = p.currentName();
-                    p.nextToken();
-                    map.put(name, read(p));
+                while (requireToken(parser.nextToken()) != JsonToken.END_OBJECT) {
+                    String name = parser.currentName();
+                    parser.nextToken();
+                    map.put(name, read(parser));
                 }
                 return map;
             }
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
-                while (expect(p.nextToken()) != JsonToken.END_ARRAY) {
-                    list.add(read(p));
+                while (requireToken(parser.nextToken()) != JsonToken.END_ARRAY) {
+                    list.add(read(parser));
                 }
                 return list;
             }
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> {
-                return p.getNumberValue();
+                return parser.getNumberValue();
             }
             case VALUE_STRING -> {
-                return p.getText();
+                return parser.getText();
             }
             default -> {
-                return token == JsonToken.VALUE_NULL ? null : (Object) p.getBooleanValue();
+                return token == JsonToken.VALUE_NULL ? null : (Object) parser.getBooleanValue();
             }
         }
     }
 
     @SuppressWarnings("unchecked")
-    public static Map<String, Object> object(Object value, String what) {
+    public static Map<String, Object> object(Object value, String description) {
         if (value instanceof Map) {
             return (Map<String, Object>) value;
         }
-        throw new MalformedException(what + " is not an object");
+        throw new MalformedException(description + " is not an object");
     }
 
     @SuppressWarnings("unchecked")
@@ -89,8 +89,8 @@
         throw new MalformedException("field " + name + " is not a text");
     }
 
-    /** A number that may be missing. */
-    public static double number(Map<String, Object> from, String name, double missing) {
+    /** Returns a number, or the default value if the field is missing. */
+    public static double number(Map<String, Object> from, String name, double defaultValue) {
         Object v = from.get(name);
         if (v instanceof Number n) {
             return n.doubleValue();
@@ -98,7 +98,7 @@
         if (v != null) {
             throw new MalformedException("field " + name + " is not a number");
         }
-        return missing;
+        return defaultValue;
     }
 
     public static String textOrNull(Map<String, Object> from, String name) {
@@ -117,7 +117,7 @@
         return in.get(name) == null ? Map.of() : object(in.get(name), name);
     }
 
-    /** Writes maps, lists, texts, numbers and flags on one line. */
+    /** Writes maps, lists, strings, numbers and booleans on one line. */
     public static String text(Object value) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
@@ -155,7 +155,7 @@
         }
     }
 
-    private static JsonToken expect(JsonToken token) {
+    private static JsonToken requireToken(JsonToken token) {
         if (token == null) {
             throw new MalformedException("the input ends inside a value");
         }
--- a/decode/src/main/java/asterpulley/decode/MergePatch.java
+++ b/decode/src/main/java/asterpulley/decode/MergePatch.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * JSON merge patch (RFC 7396): the change from one JSON value to another, in which null takes a
- * field away and a list is replaced whole. It must never change what it is given; what did not
- * change is shared between the two.
+ * JSON merge patch (RFC 7396): a patch turns one JSON value into another, null removes a field and
+ * a list is replaced as a whole. The inputs are never modified; the result shares unchanged parts
+ * with them.
  */
 public final class MergePatch {
     private MergePatch() {}
--- a/decode/src/main/java/asterpulley/decode/RoutingPolicyDecoder.java
+++ b/decode/src/main/java/asterpulley/decode/RoutingPolicyDecoder.java
@@ -6,83 +6,85 @@
 import java.util.Map;
 
 /**
- * What a relay is told of pools, read into a charter. The platform tells none: nothing of this is
- * loaded there. It must take a whole charter or none of it.
+ * Decodes the routes section of the settings into a routing policy; a relay without routes does not
+ * use this class. It returns a complete policy or throws.
  */
 public final class RoutingPolicyDecoder {
     private RoutingPolicyDecoder() {}
 
     /**
-     * {@code home}: this relay's own pool; {@code settings}: profiles and rules, as every relay is
-     * told them.
+     * Decodes the policy. {@code home} is the index of this relay's own pool, unless the JSON names
+     * one; {@code settings} holds the profiles and rules that all relays share.
      */
     public static RoutingPolicy decode(
-            Map<String, Object> in, int home, Map<String, Object> settings) {
-        RoutingPolicy c = new RoutingPolicy();
-        c.groupBy =
-                "model".equals(in.get("by"))
+            Map<String, Object> json, int home, Map<String, Object> settings) {
+        RoutingPolicy policy = new RoutingPolicy();
+        policy.groupBy =
+                "model".equals(json.get("by"))
                         ? RoutingPolicy.GroupBy.MODEL
                         : RoutingPolicy.GroupBy.ZONE;
-        Json.list(in, "pools").forEach(p -> c.pools.add(String.valueOf(p)));
-        String named = Json.textOrNull(in, "home");
-        c.homePool = named == null ? home : c.pools.indexOf(named);
-        if (c.homePool < 0 || c.homePool >= c.pools.size()) {
+        Json.list(json, "pools").forEach(profile -> policy.pools.add(String.valueOf(profile)));
+        String homeName = Json.textOrNull(json, "home");
+        policy.homePool = homeName == null ? home : policy.pools.indexOf(homeName);
+        if (policy.homePool < 0 || policy.homePool >= policy.pools.size()) {
             throw new Json.MalformedException("routes: this relay is at home in none of the pools");
         }
-        c.relaysPerPool = Math.max(1, (int) Json.number(in, "relays_per_pool", 1));
-        for (Object order : Json.list(in, "prefer")) {
-            c.poolPreferences.add(
+        policy.relaysPerPool = Math.max(1, (int) Json.number(json, "relays_per_pool", 1));
+        for (Object order : Json.list(json, "prefer")) {
+            policy.poolPreferences.add(
                     ((List<?>) order).stream().map(o -> ((Number) o).intValue()).toList());
         }
-        c.healthThresholds =
+        policy.healthThresholds =
                 new PoolHealth.Thresholds(
-                        Json.number(in, "dark_from", 0.7),
-                        Json.number(in, "back_below", 0.35),
-                        Json.number(in, "confirm_s", 0.5),
-                        Json.number(in, "calm_s", 4),
-                        Json.number(in, "longest_calm_s", 32));
-        c.overloadEnterLoad = Json.number(in, "overloaded_from", c.overloadEnterLoad);
-        c.overloadExitLoad = Json.number(in, "overloaded_below", c.overloadExitLoad);
-        c.cutOffAfterSeconds = Json.number(in, "listed_s", c.cutOffAfterSeconds);
-        c.spillShare = Json.number(in, "share", c.spillShare);
-        c.spillRatePerSecond = Json.number(in, "rate_per_s", 0);
-        c.serverCapacity = Json.number(in, "holds", c.serverCapacity);
-        c.spillMaxServerLoad = Json.number(in, "below", c.spillMaxServerLoad);
-        c.retryShare = Json.number(in, "retry_share", -1);
-        c.retryMinPerSecond = Json.number(in, "retry_least_per_s", c.retryMinPerSecond);
-        c.failbackColdShare = Json.number(in, "return_share_per_s", -1);
-        c.failbackWarmShare = Json.number(in, "return_warm_share_per_s", c.failbackWarmShare);
-        c.minStaySeconds = Json.number(in, "return_stay_s", c.minStaySeconds);
+                        Json.number(json, "dark_from", 0.7),
+                        Json.number(json, "back_below", 0.35),
+                        Json.number(json, "confirm_s", 0.5),
+                        Json.number(json, "calm_s", 4),
+                        Json.number(json, "longest_calm_s", 32));
+        policy.overloadEnterLoad = Json.number(json, "overloaded_from", policy.overloadEnterLoad);
+        policy.overloadExitLoad = Json.number(json, "overloaded_below", policy.overloadExitLoad);
+        policy.cutOffAfterSeconds = Json.number(json, "listed_s", policy.cutOffAfterSeconds);
+        policy.spillShare = Json.number(json, "share", policy.spillShare);
+        policy.spillRatePerSecond = Json.number(json, "rate_per_s", 0);
+        policy.serverCapacity = Json.number(json, "holds", policy.serverCapacity);
+        policy.spillMaxServerLoad = Json.number(json, "below", policy.spillMaxServerLoad);
+        policy.retryShare = Json.number(json, "retry_share", -1);
+        policy.retryMinPerSecond = Json.number(json, "retry_least_per_s", policy.retryMinPerSecond);
+        policy.failbackColdShare = Json.number(json, "return_share_per_s", -1);
+        policy.failbackWarmShare =
+                Json.number(json, "return_warm_share_per_s", policy.failbackWarmShare);
+        policy.minStaySeconds = Json.number(json, "return_stay_s", policy.minStaySeconds);
         List<?> profiles = Json.list(settings, "profiles");
-        List<?> spare = texts(in, "spare");
-        List<?> rush = texts(in, "spare_in_rush");
-        c.spillReservedShares = new double[profiles.size()];
-        c.credit = new double[profiles.size()];
-        c.failbackExempt = new boolean[profiles.size()];
-        c.failbackExemptInSurge = new boolean[profiles.size()];
-        Map<String, Object> kept = Json.objectOrEmpty(in, "kept");
-        c.reservedServerShares = kept.isEmpty() ? new double[0] : new double[profiles.size()];
-        Map<String, Integer> places = SettingsDecoder.indexes(settings, "profiles");
-        places.forEach(
-                (name, p) -> {
-                    c.spillReservedShares[p] =
-                            Json.number(Json.objectOrEmpty(in, "guests_kept"), name, 0);
-                    c.credit[p] =
-                            Json.number(Json.object(profiles.get(p), "a profile"), "credit", 1);
-                    c.failbackExempt[p] = spare.contains(name);
-                    c.failbackExemptInSurge[p] = rush.contains(name);
-                    if (c.reservedServerShares.length > 0) {
-                        c.reservedServerShares[p] = Json.number(kept, name, 0);
+        List<?> spare = listOrEmpty(json, "spare");
+        List<?> rush = listOrEmpty(json, "spare_in_rush");
+        policy.spillReservedShares = new double[profiles.size()];
+        policy.credit = new double[profiles.size()];
+        policy.failbackExempt = new boolean[profiles.size()];
+        policy.failbackExemptInSurge = new boolean[profiles.size()];
+        Map<String, Object> kept = Json.objectOrEmpty(json, "kept");
+        policy.reservedServerShares = kept.isEmpty() ? new double[0] : new double[profiles.size()];
+        Map<String, Integer> profileIndexes = SettingsDecoder.indexes(settings, "profiles");
+        profileIndexes.forEach(
+                (name, profile) -> {
+                    policy.spillReservedShares[profile] =
+                            Json.number(Json.objectOrEmpty(json, "guests_kept"), name, 0);
+                    policy.credit[profile] =
+                            Json.number(
+                                    Json.object(profiles.get(profile), "a profile"), "credit", 1);
+                    policy.failbackExempt[profile] = spare.contains(name);
+                    policy.failbackExemptInSurge[profile] = rush.contains(name);
+                    if (policy.reservedServerShares.length > 0) {
+                        policy.reservedServerShares[profile] = Json.number(kept, name, 0);
                     }
                 });
         Map<String, Object> rules = Json.objectOrEmpty(settings, "rules");
-        c.coldStartShare = Json.number(rules, "coldFrom", c.coldStartShare);
-        c.warmUpSeconds = Json.number(rules, "coldMs", 1000 * c.warmUpSeconds) / 1000;
-        c.fallMultiple = Json.number(rules, "fallMultiple", c.fallMultiple);
-        return c;
+        policy.coldStartShare = Json.number(rules, "coldFrom", policy.coldStartShare);
+        policy.warmUpSeconds = Json.number(rules, "coldMs", 1000 * policy.warmUpSeconds) / 1000;
+        policy.fallMultiple = Json.number(rules, "fallMultiple", policy.fallMultiple);
+        return policy;
     }
 
-    private static List<?> texts(Map<String, Object> in, String name) {
-        return in.get(name) == null ? List.of() : Json.list(in, name);
+    private static List<?> listOrEmpty(Map<String, Object> json, String name) {
+        return json.get(name) == null ? List.of() : Json.list(json, name);
     }
 }
--- a/decode/src/main/java/asterpulley/decode/SettingsDecoder.java
+++ b/decode/src/main/java/asterpulley/decode/SettingsDecoder.java
@@ -7,135 +7,146 @@
 import java.util.Map;
 
 /**
- * The settings that every relay is told, under the platform's names, read once into what the module
- * reads.
+ * Decodes the settings that every relay receives, under the platform's names, into {@link
+ * Settings}.
  */
 public final class SettingsDecoder {
     /**
-     * Marks a profile or customer that keeps its place for what stands of it, and that nothing new
-     * may name.
+     * Marks a profile or customer that keeps its index for the tunnels that still use it, but that
+     * no new tunnel may name.
      */
     public static final String RETIRED = "retired";
 
     private SettingsDecoder() {}
 
-    public static Settings decode(Map<String, Object> in) {
-        Map<String, Object> limits = Json.objectOrEmpty(in, "limits");
-        Map<String, Object> rules = Json.objectOrEmpty(in, "rules");
-        Map<String, Object> fees = Json.objectOrEmpty(in, "fees");
-        Settings s = new Settings();
-        for (Object o : Json.list(in, "profiles")) {
-            s.profiles.add(profile(Json.object(o, "a profile")));
+    public static Settings decode(Map<String, Object> json) {
+        Map<String, Object> limits = Json.objectOrEmpty(json, "limits");
+        Map<String, Object> rules = Json.objectOrEmpty(json, "rules");
+        Map<String, Object> fees = Json.objectOrEmpty(json, "fees");
+        Settings settings = new Settings();
+        for (Object o : Json.list(json, "profiles")) {
+            settings.profiles.add(decodeProfile(Json.object(o, "a profile")));
         }
-        if (in.get("tenants") instanceof List<?> tenants) {
+        if (json.get("tenants") instanceof List<?> tenants) {
             for (Object t : tenants) {
-                s.customerShares.add(Json.number(Json.object(t, "a tenant"), "share", 1));
+                settings.customerShares.add(Json.number(Json.object(t, "a tenant"), "share", 1));
             }
         }
-        s.relayCount = Math.max(1, (int) Json.number(in, "siblings", s.relayCount));
-        s.zone = (int) Json.number(in, "myZone", s.zone);
-        s.subscribesToServerList = "subscribe".equals(in.get("registryMode"));
-        s.tick = Json.number(in, "tickMs", 1000 * s.tick) / 1000;
-        s.excessCredit = Json.number(in, "excessCredit", s.excessCredit);
-        s.packetPassThrough = "pass".equals(Json.objectOrEmpty(in, "familyInfo").get("mode"));
-        s.groupsShareWork = Json.flag(Json.objectOrEmpty(in, "familyInfo"), "groups");
-        s.probesAllowed = Json.flag(limits, "probes");
-        s.maxRetryAfter =
+        settings.relayCount = Math.max(1, (int) Json.number(json, "siblings", settings.relayCount));
+        settings.zone = (int) Json.number(json, "myZone", settings.zone);
+        settings.subscribesToServerList = "subscribe".equals(json.get("registryMode"));
+        settings.tick = Json.number(json, "tickMs", 1000 * settings.tick) / 1000;
+        settings.excessCredit = Json.number(json, "excessCredit", settings.excessCredit);
+        settings.packetPassThrough =
+                "pass".equals(Json.objectOrEmpty(json, "familyInfo").get("mode"));
+        settings.groupsShareWork = Json.flag(Json.objectOrEmpty(json, "familyInfo"), "groups");
+        settings.probesAllowed = Json.flag(limits, "probes");
+        settings.maxRetryAfter =
                 Json.flag(limits, "retryAfter")
                         ? Json.number(limits, "maxRetryAfterMs", 0) / 1000
                         : 0;
-        s.maxSetupsPerTunnel = (int) Json.number(limits, "mostSetups", s.maxSetupsPerTunnel);
-        s.listPollInterval = Json.number(rules, "askEveryMs", 1000 * s.listPollInterval) / 1000;
-        s.drainGrace = Json.number(rules, "drainGraceMs", 1000 * s.drainGrace) / 1000;
-        s.coldCapacityFraction = Json.number(rules, "coldFrom", s.coldCapacityFraction);
-        s.warmUpTime = Json.number(rules, "coldMs", 1000 * s.warmUpTime) / 1000;
-        s.collapseMultiple = Json.number(rules, "fallMultiple", s.collapseMultiple);
-        s.collapseTime = Json.number(rules, "fallMs", 1000 * s.collapseTime) / 1000;
-        s.retryBudgetMinimum = placed(in, "rules", "budgetFree", 0);
-        s.retryBudgetRatio = placed(in, "rules", "furtherRatio", 0);
-        s.retryBudgetWindow = placed(in, "rules", "lookBackMs", 0) / 1000;
-        if (!(s.retryBudgetMinimum >= 0)
-                || !(s.retryBudgetRatio >= 0)
-                || !(s.retryBudgetWindow >= 0)) {
+        settings.maxSetupsPerTunnel =
+                (int) Json.number(limits, "mostSetups", settings.maxSetupsPerTunnel);
+        settings.listPollInterval =
+                Json.number(rules, "askEveryMs", 1000 * settings.listPollInterval) / 1000;
+        settings.drainGrace = Json.number(rules, "drainGraceMs", 1000 * settings.drainGrace) / 1000;
+        settings.coldCapacityFraction =
+                Json.number(rules, "coldFrom", settings.coldCapacityFraction);
+        settings.warmUpTime = Json.number(rules, "coldMs", 1000 * settings.warmUpTime) / 1000;
+        settings.collapseMultiple = Json.number(rules, "fallMultiple", settings.collapseMultiple);
+        settings.collapseTime = Json.number(rules, "fallMs", 1000 * settings.collapseTime) / 1000;
+        settings.retryBudgetMinimum = numberInSection(json, "rules", "budgetFree", 0);
+        settings.retryBudgetRatio = numberInSection(json, "rules", "furtherRatio", 0);
+        settings.retryBudgetWindow = numberInSection(json, "rules", "lookBackMs", 0) / 1000;
+        if (!(settings.retryBudgetMinimum >= 0)
+                || !(settings.retryBudgetRatio >= 0)
+                || !(settings.retryBudgetWindow >= 0)) {
             throw new Json.MalformedException(
                     "rules: budgetFree, furtherRatio and lookBackMs are 0 or above; they are "
-                            + s.retryBudgetMinimum
+                            + settings.retryBudgetMinimum
                             + ", "
-                            + s.retryBudgetRatio
+                            + settings.retryBudgetRatio
                             + " and "
-                            + 1000 * s.retryBudgetWindow);
+                            + 1000 * settings.retryBudgetWindow);
         }
-        s.crossZoneFee = Json.number(fees, "crossZone", 0);
-        s.probeFee = Json.number(fees, "probe", 0);
-        s.ninesWeight = placed(in, "scoreParts", "logLossPart", 0);
-        s.ninesForFullScore = placed(in, "scoreParts", "topNines", s.ninesForFullScore);
-        if (!(s.ninesWeight >= 0 && s.ninesWeight <= 1) || !(s.ninesForFullScore > 0)) {
+        settings.crossZoneFee = Json.number(fees, "crossZone", 0);
+        settings.probeFee = Json.number(fees, "probe", 0);
+        settings.ninesWeight = numberInSection(json, "scoreParts", "logLossPart", 0);
+        settings.ninesForFullScore =
+                numberInSection(json, "scoreParts", "topNines", settings.ninesForFullScore);
+        if (!(settings.ninesWeight >= 0 && settings.ninesWeight <= 1)
+                || !(settings.ninesForFullScore > 0)) {
             throw new Json.MalformedException(
                     "scoreParts: logLossPart is from 0 to 1, topNines above 0; they are "
-                            + s.ninesWeight
+                            + settings.ninesWeight
                             + " and "
-                            + s.ninesForFullScore);
+                            + settings.ninesForFullScore);
         }
-        return s;
+        return settings;
     }
 
-    private static double placed(Map<String, Object> in, String part, String name, double missing) {
+    private static double numberInSection(
+            Map<String, Object> json, String section, String name, double defaultValue) {
         try {
-            return Json.number(Json.objectOrEmpty(in, part), name, missing);
+            return Json.number(Json.objectOrEmpty(json, section), name, defaultValue);
         } catch (Json.MalformedException e) {
-            throw new Json.MalformedException(part + ": " + e.getMessage());
+            throw new Json.MalformedException(section + ": " + e.getMessage());
         }
     }
 
-    /** The names of a list in the settings, by their places; entries are names, or have one. */
+    /**
+     * Maps the names in a list of the settings to their indexes; entries are names, or objects with
+     * a name.
+     */
     public static Map<String, Integer> indexes(Map<String, Object> settings, String list) {
-        Map<String, Integer> places = new HashMap<>();
-        if (settings.get(list) instanceof List<?> names) {
-            for (Object o : names) {
-                Object name = o instanceof Map<?, ?> named ? named.get("name") : o;
-                places.put(String.valueOf(name), places.size());
+        Map<String, Integer> indexes = new HashMap<>();
+        if (settings.get(list) instanceof List<?> entries) {
+            for (Object entry : entries) {
+                Object name = entry instanceof Map<?, ?> named ? named.get("name") : entry;
+                indexes.put(String.valueOf(name), indexes.size());
             }
         }
-        return places;
+        return indexes;
     }
 
-    /** Of these the names that something new may use. */
+    /** Like {@link #indexes}, without the entries that are marked as retired. */
     public static Map<String, Integer> activeIndexes(Map<String, Object> settings, String list) {
-        Map<String, Integer> places = indexes(settings, list);
-        if (settings.get(list) instanceof List<?> names) {
-            names.stream()
+        Map<String, Integer> indexes = indexes(settings, list);
+        if (settings.get(list) instanceof List<?> entries) {
+            entries.stream()
                     .filter(
                             o ->
                                     o instanceof Map<?, ?> one
                                             && Boolean.TRUE.equals(one.get(RETIRED)))
-                    .forEach(o -> places.remove(((Map<?, ?>) o).get("name")));
+                    .forEach(o -> indexes.remove(((Map<?, ?>) o).get("name")));
         }
-        return places;
+        return indexes;
     }
 
-    private static Settings.Profile profile(Map<String, Object> in) {
-        Settings.Profile p = new Settings.Profile();
-        p.name = String.valueOf(in.getOrDefault("name", ""));
-        p.setupGoal = Json.number(in, "setupGoalMs", 1000 * p.setupGoal) / 1000;
-        p.clientTimeout = Json.number(in, "clientTimeoutMs", 1000 * p.clientTimeout) / 1000;
-        p.credit = Json.number(in, "credit", p.credit);
-        p.idempotencyWindow = Json.number(in, "windowMs", 0) / 1000;
-        p.repeatability =
-                switch (String.valueOf(in.get("effect"))) {
+    private static Settings.Profile decodeProfile(Map<String, Object> json) {
+        Settings.Profile profile = new Settings.Profile();
+        profile.name = String.valueOf(json.getOrDefault("name", ""));
+        profile.setupGoal = Json.number(json, "setupGoalMs", 1000 * profile.setupGoal) / 1000;
+        profile.clientTimeout =
+                Json.number(json, "clientTimeoutMs", 1000 * profile.clientTimeout) / 1000;
+        profile.credit = Json.number(json, "credit", profile.credit);
+        profile.idempotencyWindow = Json.number(json, "windowMs", 0) / 1000;
+        profile.repeatability =
+                switch (String.valueOf(json.get("effect"))) {
                     case "read_like" -> Settings.Repeatability.REPEATABLE;
                     case "idempotency_key" -> Settings.Repeatability.REFERENCED;
                     default -> Settings.Repeatability.ONCE_ONLY;
                 };
-        p.idempotencyScope =
-                switch (String.valueOf(in.get("group"))) {
+        profile.idempotencyScope =
+                switch (String.valueOf(json.get("group"))) {
                     case "all" -> Settings.IdempotencyScope.ALL;
                     case "zone" -> Settings.IdempotencyScope.ZONE;
                     default -> Settings.IdempotencyScope.CELL;
                 };
-        return p;
+        return profile;
     }
 
-    /** A load report by the names that the settings give its figures. */
+    /** Decodes a load report, whose fields have the names that the settings give them. */
     public static LoadReport decodeReport(Map<String, Object> figures) {
         LoadReport report = new LoadReport();
         report.load = Json.number(figures, "x0", Double.NaN);
--- a/decode/src/test/java/asterpulley/decode/MergePatchTest.java
+++ b/decode/src/test/java/asterpulley/decode/MergePatchTest.java
@@ -15,9 +15,9 @@
         }
     }
 
-    /** The test cases of RFC 7396, appendix A: what was, the patch, what is. */
+    /** The test cases of RFC 7396, appendix A: target, patch, result. */
     @Test
-    void patchesAsTheStandardsOwnCasesDo() throws IOException {
+    void appliesTheTestCasesOfTheStandard() throws IOException {
         String[][] cases = {
             {"{\"a\":\"b\"}", "{\"a\":\"c\"}", "{\"a\":\"c\"}"},
             {"{\"a\":\"b\"}", "{\"b\":\"c\"}", "{\"a\":\"b\",\"b\":\"c\"}"},
--- a/decode/src/test/java/asterpulley/decode/SettingsDecoderTest.java
+++ b/decode/src/test/java/asterpulley/decode/SettingsDecoderTest.java
@@ -9,19 +9,19 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The settings as they are told: what is new, what is missing, and what is wrong. */
+/** Tests new, missing and invalid settings. */
 class SettingsDecoderTest {
-    private static Settings with(Object scoreParts) {
+    private static Settings decodeWithScoreParts(Object scoreParts) {
         return SettingsDecoder.decode(
                 Map.of("profiles", List.of(Map.of("name", "live")), "scoreParts", scoreParts));
     }
 
     @Test
-    void theNewScorePartsAreReadAndOldSettingsAreAsBefore() {
-        Settings s = with(Map.of("whole", 0.1, "logLossPart", 0.3, "topNines", 2));
+    void scorePartsAreReadAndDefaultWhenAbsent() {
+        Settings s = decodeWithScoreParts(Map.of("whole", 0.1, "logLossPart", 0.3, "topNines", 2));
         assertEquals(0.3, s.ninesWeight);
         assertEquals(2, s.ninesForFullScore);
-        Settings old = with(Map.of("whole", 0.3, "worstTenant", 0.4));
+        Settings old = decodeWithScoreParts(Map.of("whole", 0.3, "worstTenant", 0.4));
         assertEquals(0, old.ninesWeight);
         assertEquals(3, old.ninesForFullScore);
         assertEquals("live", old.profiles.get(0).name);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void whatIsWrongIsToldWithItsPlace() {
+    void invalidScorePartsAreReportedWithTheirKey() {
         for (Map<String, Object> wrong :
                 List.<Map<String, Object>>of(
                         Map.of("logLossPart", "much"),
@@ -38,28 +38,31 @@
                         Map.of("topNines", 0),
                         Map.of("logLossPart", -0.1))) {
             String told =
-                    assertThrows(Json.MalformedException.class, () -> with(wrong)).getMessage();
+                    assertThrows(Json.MalformedException.class, () -> decodeWithScoreParts(wrong))
+                            .getMessage();
             assertTrue(
                     told.contains("scoreParts") && told.contains(wrong.keySet().iterator().next()),
                     told);
         }
         assertTrue(
-                assertThrows(Json.MalformedException.class, () -> with("many"))
+                assertThrows(Json.MalformedException.class, () -> decodeWithScoreParts("many"))
                         .getMessage()
                         .contains("scoreParts"));
     }
 
-    private static Settings ruled(Object rules) {
+    private static Settings decodeWithRules(Object rules) {
         return SettingsDecoder.decode(Map.of("profiles", List.of(), "rules", rules));
     }
 
     @Test
-    void aBudgetOfFurtherSetupsIsReadAndBindsNothingWhereItIsAbsent() {
-        Settings s = ruled(Map.of("budgetFree", 2.0, "furtherRatio", 0.05, "lookBackMs", 5000));
+    void retryBudgetIsReadAndUnlimitedWhenAbsent() {
+        Settings s =
+                decodeWithRules(
+                        Map.of("budgetFree", 2.0, "furtherRatio", 0.05, "lookBackMs", 5000));
         assertEquals(2, s.retryBudgetMinimum);
         assertEquals(0.05, s.retryBudgetRatio);
         assertEquals(5, s.retryBudgetWindow);
-        assertEquals(0, ruled(Map.of("fallMultiple", 2)).retryBudgetWindow);
+        assertEquals(0, decodeWithRules(Map.of("fallMultiple", 2)).retryBudgetWindow);
         for (Map<String, Object> wrong :
                 List.<Map<String, Object>>of(
                         Map.of("budgetFree", "few"),
@@ -67,7 +70,8 @@
                         Map.of("furtherRatio", -0.1),
                         Map.of("lookBackMs", List.of()))) {
             String told =
-                    assertThrows(Json.MalformedException.class, () -> ruled(wrong)).getMessage();
+                    assertThrows(Json.MalformedException.class, () -> decodeWithRules(wrong))
+                            .getMessage();
             assertTrue(
                     told.contains("rules") && told.contains(wrong.keySet().iterator().next()),
                     told);
--- a/drill/src/main/java/asterpulley/drill/Drill.java
+++ b/drill/src/main/java/asterpulley/drill/Drill.java
@@ -19,25 +19,25 @@
 import java.util.Map;
 
 /**
- * Reads batches, hands each event to its relay and writes one reply a batch. Relays share nothing
- * but this loop.
+ * Runs simulated relays on the simulator's wire: reads batches, passes each event to its relay and
+ * writes one reply per batch. Relays share nothing but this loop.
  */
 public final class Drill {
-    private static final int BANKS = 16;
+    private static final int SERVER_LIST_SLOTS = 16;
 
-    private final Map<Long, Relay> relays = new HashMap<>();
-    private final List<List<ServerEntry>> banks = new ArrayList<>();
+    private final Map<Long, SimulatedRelay> relays = new HashMap<>();
+    private final List<List<ServerEntry>> serverLists = new ArrayList<>();
     private final JsonGenerator out;
     private long batch = -1;
 
     private Drill(JsonGenerator out) {
         this.out = out;
-        for (int i = 0; i < BANKS; i++) {
-            banks.add(null);
+        for (int i = 0; i < SERVER_LIST_SLOTS; i++) {
+            serverLists.add(null);
         }
     }
 
-    /** Plays the wire to its end; returns the exit status. */
+    /** Reads the input to its end; returns the exit status. */
     public static int run(InputStream in, PrintStream stdout, PrintStream stderr)
             throws IOException {
         JsonFactory json = new JsonFactory();
@@ -50,92 +50,93 @@
             out.setRootValueSeparator(null);
             drill = new Drill(out);
             while (parser.nextToken() != null) {
-                drill.batch(Json.object(Json.read(parser), "a batch"));
+                drill.handleBatch(Json.object(Json.read(parser), "a batch"));
                 out.writeRaw('\n');
                 out.flush();
             }
             return 0;
         } catch (JsonParseException | Json.MalformedException e) {
-            String what =
+            String message =
                     e instanceof JsonParseException p
                             ? "not JSON: " + p.getOriginalMessage()
                             : e.getMessage();
-            String where =
+            String location =
                     drill == null || drill.batch < 0
                             ? "before the first batch"
                             : "batch " + drill.batch;
-            stderr.println("asterpulley drill: " + where + ": " + what);
+            stderr.println("asterpulley drill: " + location + ": " + message);
             return 1;
         }
     }
 
-    private void batch(Map<String, Object> in) throws IOException {
-        batch = Json.integer(in, "batch");
-        double now = Json.secondsFromMillis(in, "momentMs");
-        Map<Long, Relay> acting = new LinkedHashMap<>();
-        for (Object g : Json.list(in, "groups")) {
+    private void handleBatch(Map<String, Object> json) throws IOException {
+        batch = Json.integer(json, "batch");
+        double now = Json.secondsFromMillis(json, "momentMs");
+        Map<Long, SimulatedRelay> relaysWithInput = new LinkedHashMap<>();
+        for (Object g : Json.list(json, "groups")) {
             Map<String, Object> group = Json.object(g, "a group");
-            long i = Json.integer(group, "i");
+            long instance = Json.integer(group, "i");
             for (Object e : Json.list(group, "input")) {
-                event(i, now, Json.object(e, "an event"));
+                handleEvent(instance, now, Json.object(e, "an event"));
             }
-            if (relays.containsKey(i)) {
-                acting.put(i, relays.get(i));
+            if (relays.containsKey(instance)) {
+                relaysWithInput.put(instance, relays.get(instance));
             }
         }
         out.writeStartObject();
         out.writeNumberField("batch", batch);
         out.writeArrayFieldStart("groups");
-        for (Map.Entry<Long, Relay> r : acting.entrySet()) {
-            r.getValue().reply(r.getKey(), out);
+        for (Map.Entry<Long, SimulatedRelay> entry : relaysWithInput.entrySet()) {
+            entry.getValue().writeReply(entry.getKey(), out);
         }
         out.writeEndArray();
         out.writeEndObject();
     }
 
-    private void event(long i, double now, Map<String, Object> e) {
-        String op = Json.text(e, "op");
+    private void handleEvent(long instance, double now, Map<String, Object> event) {
+        String op = Json.text(event, "op");
         switch (op) {
             case "List" -> {
-                banks.set(bank(e), Wire.servers(e));
+                serverLists.set(slot(event), WireDecoder.servers(event));
                 return;
             }
             case "Enlist" -> {
                 relays.put(
-                        i,
-                        new Relay(
+                        instance,
+                        new SimulatedRelay(
                                 now,
-                                Json.integer(e, "entropy"),
+                                Json.integer(event, "entropy"),
                                 SettingsDecoder.decode(
-                                        Json.object(e.get("profileData"), "profileData"))));
+                                        Json.object(event.get("profileData"), "profileData"))));
                 return;
             }
             case "Halt" -> {
-                relays.remove(i);
+                relays.remove(instance);
                 return;
             }
             default -> {}
         }
-        Relay relay = relays.get(i);
+        SimulatedRelay relay = relays.get(instance);
         if (relay == null) {
             throw new Json.MalformedException(
-                    "event " + op + " for instance " + i + ", which is not started");
+                    "event " + op + " for instance " + instance + ", which is not started");
         }
-        List<ServerEntry> listed = null;
-        if (op.equals("Announce") && !Json.text(e, "mode").equals("X")) {
-            listed = banks.get(bank(e));
-            if (listed == null) {
-                throw new Json.MalformedException("list number " + bank(e) + " was never declared");
+        List<ServerEntry> entries = null;
+        if (op.equals("Announce") && !Json.text(event, "mode").equals("X")) {
+            entries = serverLists.get(slot(event));
+            if (entries == null) {
+                throw new Json.MalformedException(
+                        "list number " + slot(event) + " was never declared");
             }
         }
-        relay.event(now, op, e, listed);
+        relay.onEvent(now, op, event, entries);
     }
 
-    private static int bank(Map<String, Object> e) {
-        long bank = Json.integer(e, "bank");
-        if (bank < 0 || bank >= BANKS) {
-            throw new Json.MalformedException("list number " + bank + " is out of range");
+    private static int slot(Map<String, Object> event) {
+        long slot = Json.integer(event, "bank");
+        if (slot < 0 || slot >= SERVER_LIST_SLOTS) {
+            throw new Json.MalformedException("list number " + slot + " is out of range");
         }
-        return (int) bank;
+        return (int) slot;
     }
 }
--- a/drill/src/main/java/asterpulley/drill/Main.java
+++ b/drill/src/main/java/asterpulley/drill/Main.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The command line of the adapter: nothing but {@code drill}. */
+/** Command line of the simulator adapter; {@code drill} is the only command. */
 public final class Main {
     private static final String USAGE =
             """
--- a/drill/src/main/java/asterpulley/drill/Wire.java
+++ b/drill/src/main/java/asterpulley/drill/WireDecoder.java
@@ -9,35 +9,37 @@
 import java.util.List;
 import java.util.Map;
 
-/** The wire's own words, read into the module's types; what is unknown is skipped. */
-final class Wire {
-    private Wire() {}
+/**
+ * Decodes the simulator's wire format into the load balancer's types; unknown values are ignored.
+ */
+final class WireDecoder {
+    private WireDecoder() {}
 
     static List<ServerEntry> servers(Map<String, Object> event) {
         List<ServerEntry> servers = new ArrayList<>();
         for (Object o : Json.list(event, "entries")) {
-            Map<String, Object> e = Json.object(o, "a list entry");
+            Map<String, Object> entry = Json.object(o, "a list entry");
             ServerEntry.State state =
-                    switch (Json.text(e, "health")) {
+                    switch (Json.text(entry, "health")) {
                         case "Running" -> ServerEntry.State.RUNNING;
                         case "Deleted" -> ServerEntry.State.GONE;
                         default -> ServerEntry.State.DRAINING;
                     };
             servers.add(
                     new ServerEntry(
-                            Json.text(e, "backend"),
-                            (int) Json.number(e, "site", 0),
-                            (int) Json.number(e, "shape", 0),
-                            (int) Json.number(e, "cell", 0),
+                            Json.text(entry, "backend"),
+                            (int) Json.number(entry, "site", 0),
+                            (int) Json.number(entry, "shape", 0),
+                            (int) Json.number(entry, "cell", 0),
                             state,
-                            started(e)));
+                            startTime(entry)));
         }
         return servers;
     }
 
-    private static double started(Map<String, Object> entry) {
-        double at = Json.number(entry, "cameUpMs", 0) / 1000;
-        return at > 0 ? at : Double.NEGATIVE_INFINITY;
+    private static double startTime(Map<String, Object> entry) {
+        double startTime = Json.number(entry, "cameUpMs", 0) / 1000;
+        return startTime > 0 ? startTime : Double.NEGATIVE_INFINITY;
     }
 
     static Outcome outcome(String result) {
--- a/drill/src/test/java/asterpulley/drill/DrillTest.java
+++ b/drill/src/test/java/asterpulley/drill/DrillTest.java
@@ -10,10 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/**
- * The adapter's edges: what it says of malformed input, and that the same input gives the same
- * bytes.
- */
+/** Tests what the adapter reports for malformed input, and that equal input gives equal bytes. */
 class DrillTest {
     private static final String START =
             "{\"momentMs\":1000,\"batch\":1,\"later\":[{}],\"groups\":[{\"i\":0,\"input\":["
@@ -47,7 +44,7 @@
     }
 
     @Test
-    void sameInputSameBytes() throws IOException {
+    void sameInputGivesSameBytes() throws IOException {
         assertEquals(0, drill(START + ORDER.formatted("0") + ANSWER));
         String first = out;
         assertTrue(first.contains("{\"op\":\"Attempt\",\"xid\":5,"), first);
@@ -57,8 +54,7 @@
     }
 
     @Test
-    void whatAKilledInstanceHeldIsForgottenAlsoWhenItStartsAgainInTheSameBatch()
-            throws IOException {
+    void killedInstanceForgetsItsTunnelsEvenIfRestartedInTheSameBatch() throws IOException {
         String again = START.substring(START.indexOf("{\"op\":\"Enlist\""));
         String order = ORDER.formatted("0").strip();
         String batch = order.substring(0, order.length() - 4) + ",{\"op\":\"Halt\"}," + again;
@@ -71,7 +67,7 @@
     }
 
     @Test
-    void malformedInputIsToldWithItsBatch() throws IOException {
+    void malformedInputIsReportedWithItsBatch() throws IOException {
         String batch =
                 "{\"momentMs\":1004,\"batch\":2,\"groups\":[{\"i\":%s,\"input\":[{\"op\":\"%s\",\"mode\":\"F\","
                         + "\"bank\":9,\"xid\":1}]}]}\n";
@@ -92,7 +88,7 @@
     }
 
     @Test
-    void aBrokenDecisionIsToldOnTheWire() throws IOException {
+    void exceptionInTheLoadBalancerIsReportedAsPanic() throws IOException {
         assertEquals(0, drill(START + ORDER.formatted("99")));
         assertTrue(out.contains("\"op\":\"Panic\""), out);
     }
