--- a/core/src/main/java/asterpulley/DrainScheduler.java
+++ b/core/src/main/java/asterpulley/DrainScheduler.java
@@ -10,6 +10,8 @@
     public static final double STEP_SECONDS = 0.05;
 
     private final double startTime, endTime;
+
+    /** Moves that are due but not yet returned; less than one after each call. */
     private double accrued;
 
     /** Drains between the two times, in seconds on the clock of the caller of {@link #due}. */
--- a/core/src/main/java/asterpulley/LoadBalancer.java
+++ b/core/src/main/java/asterpulley/LoadBalancer.java
@@ -43,11 +43,16 @@
     private static final double OVERLOADED_LOAD_FACTOR = 0.95;
 
     /**
-     * Moves per new tunnel; the store behind the servers has some room beyond the usual rate of
-     * setups.
+     * Moves may reach this many times the rate of new tunnels; the store behind the servers has
+     * some room beyond the usual rate of setups.
      */
     private static final double MOVES_PER_ARRIVAL = 6;
 
+    /** Rate of new tunnels per second that is assumed at the least for the rate of moves. */
+    private static final double MIN_ARRIVALS_FOR_MOVES = 0.5;
+
+    private static final double MAX_MOVE_TOKENS = 10;
+
     /**
      * A draining server that closed none of its tunnels for this long leaves moving them to the
      * relays.
@@ -60,7 +65,13 @@
      */
     private static final double PROBE_COST_SHARE = 0.01;
 
-    private static final double MIN_PROBE_INTERVAL_SECONDS = 0.4, MAX_PROBE_INTERVAL_SECONDS = 3;
+    private static final double MIN_PROBE_INTERVAL_SECONDS = 0.4;
+    private static final double MAX_PROBE_INTERVAL_SECONDS = 3;
+
+    /**
+     * Each probe interval is multiplied by a random factor: this minimum plus at most this jitter.
+     */
+    private static final double PROBE_INTERVAL_JITTER_FROM = 0.9, PROBE_INTERVAL_JITTER = 0.2;
 
     /**
      * Assumed mean time between two servers that stop answering, as on the worst days in
@@ -109,8 +120,8 @@
     private static final double LOADED_LOAD_FACTOR = 0.3, EMPTY_LOAD_FACTOR = 0.1;
 
     /**
-     * Increase of the load factor that costs as much as the cross-zone fee, which is paid for all
-     * of a tunnel's life.
+     * Converts the cross-zone fee to a load factor: the fee is lost for all of a tunnel's life, and
+     * a load factor that is higher by this many times the fee loses as much.
      */
     private static final double FEE_TO_LOAD_FACTOR = 4;
 
@@ -163,6 +174,8 @@
     private static final double QUEUED_GOAL_FRACTION = 0.5;
 
     private static final double MAX_WINDOW_SETUPS = 64;
+    private static final double WINDOW_SHRINK_FACTOR = 0.7;
+    private static final double MIN_SHRINK_INTERVAL_SECONDS = 0.5;
 
     /**
      * Capacity of a small server in mean loads, assumed until this relay holds enough tunnels to
@@ -173,12 +186,63 @@
     /** Number of own tunnels at which the learned capacity weighs as much as the assumed one. */
     private static final double CAPACITY_PRIOR_TUNNELS = 10;
 
-    private static final double INITIAL_LIST_BACKOFF_SECONDS = 0.5, TICK_SECONDS = 0.1;
+    /** Models are numbered modulo this, a power of two. */
+    private static final int MODEL_SLOTS = 64;
+
+    /** Factor by which each report decays what earlier reports taught about a model. */
+    private static final double MODEL_HISTORY_KEPT = 0.97;
+
+    /** Cap on a profile's sample count, so that its mean load keeps following new reports. */
+    private static final double MAX_PROFILE_SAMPLES = 50;
+
+    /** Load reports from which a profile's load is known. */
+    private static final double MIN_PROFILE_SAMPLES = 3;
+
+    /** Smallest load in mean loads that a tunnel counts as. */
+    private static final double MIN_TUNNEL_UNITS = 0.05;
+
+    /** A server with a better chance of success than this is always used. */
+    private static final double RELIABLE_SUCCESS_CHANCE = 0.8;
+
+    /** A shared cause is suspected if setups fail at this many servers and this part of them. */
+    private static final int MIN_FAILING_SERVERS = 3;
+
+    private static final double SHARED_CAUSE_FAILING_FRACTION = 0.6;
+
+    /**
+     * A customer is over its share above this many times its share of this relay's tunnels, plus
+     * one tunnel.
+     */
+    private static final double SHARE_TOLERANCE = 1.1;
+
+    /** Weight of a setup's latency, and of the latency of a setup that timed out. */
+    private static final double LATENCY_WEIGHT = 0.1, TIMED_OUT_LATENCY_WEIGHT = 0.5;
+
+    /** A setup gets at least the mean latency plus this many deviations before it times out. */
+    private static final double TIMEOUT_DEVIATIONS = 4;
+
+    private static final double INITIAL_SETUP_LATENCY_SECONDS = 0.02;
+
+    /** Time without a full result after which tunnels are no longer declined as all full. */
+    private static final double DECLINING_HOLD_SECONDS = 1;
+
+    /** Least rate of opened tunnels per second by which the probe fee is weighed. */
+    private static final double MIN_OPEN_RATE_FOR_FEE = 0.2;
+
+    /** Load factors closer than this are equal, and one of the servers is chosen at random. */
+    private static final double TIE_TOLERANCE = 1e-9;
+
+    /** A start time in the list that is later by more than this means a restart. */
+    private static final double START_TIME_TOLERANCE_SECONDS = 1e-3;
+
+    private static final double INITIAL_LIST_BACKOFF_SECONDS = 0.5;
+    private static final double TICK_SECONDS = 0.1;
 
     /** Factor by which one tick decays the evidence on a server's health. */
     private static final double HEALTH_KEPT_PER_TICK =
             Math.pow(0.5, TICK_SECONDS / HEALTH_HALF_LIFE_SECONDS);
 
+    /** Tokens of {@link Frontend#scheduleTimer}: the regular tick, and a request for the list. */
     private static final long TICK_TOKEN = 0, WATCH_LIST_TOKEN = 1;
 
     private final Frontend frontend;
@@ -192,37 +256,92 @@
     private Settings settings;
 
     private final Map<String, Integer> indexByName = new HashMap<>();
+
+    /** The server of each open tunnel with a routing key. */
     private final Map<String, Integer> serverByKey = new HashMap<>();
-    private int serverCount, zoneCount = 1;
-    private double noHolderBaseChance = 1, largestCapacity = 2 * MIN_CAPACITY_UNITS;
+
+    private int serverCount;
+    private int zoneCount = 1;
+
+    /** Chance that no sibling holds a group at the server that comes first in the group's order. */
+    private double noHolderBaseChance = 1;
+
+    /** Largest warm capacity of all servers, in mean loads. */
+    private double largestCapacity = 2 * MIN_CAPACITY_UNITS;
+
+    // Arrays by server index.
     private String[] serverNames = {};
-    private int[] zones = {}, models = {}, cells = {}, failuresInRow = {};
-    private boolean[] running = {},
-            listed = {},
-            offline = {},
-            reportedFull = {},
-            probePending = {},
-            relievedSinceReport = {};
-    private boolean[] cordoned = {},
-            firstTunnelDue = {},
-            lastProbeUnanswered = {},
-            tunnelWasReset = {};
-    private double[] reportedLoad = {},
-            unreportedLoad = {},
-            unreportedPlacements = {},
-            ownUnits = {},
-            blindPlacements = {};
-    private double[] startedAt = {},
-            nextProbeAt = {},
-            lastReportAt = {},
-            fullUntil = {},
-            lastFailureAt = {},
-            lastSuccessAt = {};
-    private double[] successWeight = {},
-            failureWeight = {},
-            coldDither = {},
-            lastDrainActivityAt = {},
-            timedOutLatency = {};
+    private int[] zones = {};
+    private int[] models = {};
+    private int[] cells = {};
+
+    /** Unanswered probes and failed setups since the last success. */
+    private int[] failuresInRow = {};
+
+    private boolean[] running = {};
+    private boolean[] listed = {};
+    private boolean[] offline = {};
+
+    /** Refused a setup or a probe as full since its last report. */
+    private boolean[] reportedFull = {};
+
+    private boolean[] probePending = {};
+
+    /** Tunnels were moved away because of overload since the last report. */
+    private boolean[] relievedSinceReport = {};
+
+    private boolean[] cordoned = {};
+
+    /** Uncordoned and still without a new tunnel from this relay. */
+    private boolean[] firstTunnelDue = {};
+
+    private boolean[] lastProbeUnanswered = {};
+
+    /** A tunnel of this relay was reset since the last report. */
+    private boolean[] tunnelWasReset = {};
+
+    /** Load factor of the last report. */
+    private double[] reportedLoad = {};
+
+    /**
+     * Load factor that own placements and ends added or removed and that a report cannot include.
+     */
+    private double[] unreportedLoad = {};
+
+    /** Like {@link #unreportedLoad}, for placements only. */
+    private double[] unreportedPlacements = {};
+
+    /** Load of this relay's open tunnels, in mean loads. */
+    private double[] ownUnits = {};
+
+    /** Decaying load factor of own placements while loads are unknown; spreads tunnels evenly. */
+    private double[] blindPlacements = {};
+
+    private double[] startedAt = {};
+    private double[] nextProbeAt = {};
+    private double[] lastReportAt = {};
+
+    /** The server counts as full until then since its messages are slow. */
+    private double[] fullUntil = {};
+
+    private double[] lastFailureAt = {};
+    private double[] lastSuccessAt = {};
+
+    /** Decaying number of successful setups. */
+    private double[] successWeight = {};
+
+    /** Decaying number of failed setups. */
+    private double[] failureWeight = {};
+
+    /** Random fraction by which whole tunnels are rounded on a cold server. */
+    private double[] coldDither = {};
+
+    /** When draining began or the server last closed a tunnel itself; 0 if not draining. */
+    private double[] lastDrainActivityAt = {};
+
+    /** Longest wait for a setup that timed out since the last report; 0: none. */
+    private double[] timedOutLatency = {};
+
     private final List<List<Tunnel>> ownTunnels = new ArrayList<>();
     private final List<Tunnel> waitingTunnels = new ArrayList<>();
     private final List<ArrayDeque<Placement>> recentPlacements = new ArrayList<>();
@@ -233,12 +352,22 @@
      */
     private Set<String> cordonedServers = Set.of();
 
+    /** Open tunnels of this relay by group and server. */
     private final Map<String, int[]> groupTunnelCounts = new HashMap<>();
+
     private final Map<String, int[]> groupServerOrders = new HashMap<>();
 
-    private double[] profileLoad = {}, profileSamples = {};
-    private final double[] modelTunnels = new double[64], modelLoad = new double[64];
-    private int ownTunnelCount, setupsInFlight;
+    /** Mean load of a profile's tunnels, in cores. */
+    private double[] profileLoad = {};
+
+    private double[] profileSamples = {};
+
+    /** Decaying sums over reports, whose quotient is the capacity of a model's servers. */
+    private final double[] modelTunnels = new double[MODEL_SLOTS];
+
+    private final double[] modelLoad = new double[MODEL_SLOTS];
+    private int ownTunnelCount;
+    private int setupsInFlight;
 
     /**
      * Open tunnels by customer. Index 0 counts tunnels of no configured customer, which have no
@@ -246,23 +375,44 @@
      */
     private int[] customerTunnelCounts = {};
 
-    private double setupLatency = 0.02, setupLatencyDeviation = 0.02;
-    private double arrivalRate = 1,
-            arrivalRateAt,
-            listBackoff = INITIAL_LIST_BACKOFF_SECONDS,
-            initialWindow = 1,
-            setupWindow = 1,
-            windowShrunkAt;
-    private double openRate = 1, openRateAt, allFullAt;
-    private boolean declining,
-            sharedCauseSuspected,
-            tunnelCountsReported,
-            loadReported,
-            loadUnknown;
+    private double setupLatency = INITIAL_SETUP_LATENCY_SECONDS;
+    private double setupLatencyDeviation = INITIAL_SETUP_LATENCY_SECONDS;
+
+    /** Decaying rate of new tunnels per second, as of the time below. */
+    private double arrivalRate = 1;
+
+    private double arrivalRateAt;
+    private double listBackoff = INITIAL_LIST_BACKOFF_SECONDS;
+    private double initialWindow = 1;
+
+    /** Limit on concurrent setups. */
+    private double setupWindow = 1;
+
+    private double windowShrunkAt;
+
+    /** Decaying rate of opened tunnels per second, as of the time below. */
+    private double openRate = 1;
+
+    private double openRateAt;
+    private double allFullAt;
+
+    /** Tunnels are declined because all servers are full. */
+    private boolean declining;
+
+    private boolean sharedCauseSuspected;
+    private boolean tunnelCountsReported;
+    private boolean loadReported;
+
+    /** No report contained a load so far, although probes were answered or are not allowed. */
+    private boolean loadUnknown;
+
+    /** Token bucket for moves. */
     private double moveTokens = 5;
 
+    /** The load that an own setup or the end of an own tunnel added to a server. */
     private record Placement(double placedAt, double loadStep, double units) {}
 
+    /** Starts deciding: subscribes to the server list if it must, and schedules the first tick. */
     public LoadBalancer(Settings settings, long seed, Frontend frontend) {
         this.frontend = frontend;
         this.random = new Random(seed);
@@ -301,8 +451,24 @@
         private final double acceptedAt, deadline;
         private final Settings.Profile profile;
         private int setupCount, mayHaveRunOn;
-        private int pendingServer = -1, openServer = -1;
-        private boolean resolved, moving, mayHaveRun, probedForRoom;
+
+        /** Server of the pending setup, or -1. */
+        private int pendingServer = -1;
+
+        /** Server on which the tunnel is open, or -1. */
+        private int openServer = -1;
+
+        /** No further setup is sent: it is open, answered or canceled. */
+        private boolean resolved;
+
+        private boolean moving;
+
+        /** A failed setup may have had an effect on the server. */
+        private boolean mayHaveRun;
+
+        /** Full servers were probed once for this tunnel. */
+        private boolean probedForRoom;
+
         private double mayHaveRunAt, sentAt, units, openedAt;
         private final BitSet triedServers = new BitSet(), awaitedProbes = new BitSet();
 
@@ -338,6 +504,7 @@
             return resolved && pendingServer < 0 && openServer < 0;
         }
 
+        /** Reports that the pending setup opened the tunnel after {@code latency} seconds. */
         public void onOpened(int setupNumber, double latency) {
             if (pendingServer < 0) {
                 return;
@@ -351,15 +518,17 @@
             openRate = decayedRate(openRate, openRateAt) + 1 / RATE_DECAY_SECONDS;
             openRateAt = frontend.now();
             recordSuccess(server, latency <= QUEUED_GOAL_FRACTION * profile.setupGoal);
-            recordLatency(latency, 0.1);
+            recordLatency(latency, LATENCY_WEIGHT);
             resumeWaiting();
         }
 
+        /** Reports the load that the open tunnel causes on its server, in cores. */
         public void onLoad(double cores) {
             if (openServer < 0) {
                 return;
             }
-            profileSamples[profileIndex] = Math.min(50, profileSamples[profileIndex] + 1);
+            profileSamples[profileIndex] =
+                    Math.min(MAX_PROFILE_SAMPLES, profileSamples[profileIndex] + 1);
             profileLoad[profileIndex] +=
                     (cores - profileLoad[profileIndex]) / profileSamples[profileIndex];
             double newUnits = toUnits(profileIndex, cores);
@@ -384,6 +553,10 @@
             }
         }
 
+        /**
+         * Reports the end of the pending setup or of the open tunnel. A failed setup is retried if
+         * that is safe, unless {@code last} rules out further setups.
+         */
         public void onEnded(int setupNumber, Outcome outcome, double latency, boolean last) {
             if (openServer >= 0) {
                 int server = openServer;
@@ -457,6 +630,15 @@
 
     // ---- Tunnels
 
+    /**
+     * Accepts a client's tunnel and sends its first setup, queues it, or answers it.
+     *
+     * @param customerIndex index of the customer, or a negative number if none is named
+     * @param group tunnels of one group share work on a server; may be null
+     * @param key identifies a tunnel whose packets may arrive at several relays; may be null
+     * @param timeBudget seconds that the client still waits; 0: the profile's client timeout
+     * @param midFlow whether the tunnel with this key is already in progress
+     */
     public Tunnel openTunnel(
             long id,
             int profileIndex,
@@ -587,7 +769,8 @@
         }
         // Leaves time for a retry within the goal, but never less than setups currently take.
         double goalLeft = tunnel.acceptedAt + tunnel.profile.setupGoal - now;
-        double earlyTimeout = Math.max(goalLeft / 2, setupLatency + 4 * setupLatencyDeviation);
+        double earlyTimeout =
+                Math.max(goalLeft / 2, setupLatency + TIMEOUT_DEVIATIONS * setupLatencyDeviation);
         // A server that just answered a probe is alive, so a slow setup there is caused by
         // something behind all servers and a retry elsewhere would not help.
         boolean answeredRecently = now - lastReportAt[server] < MIN_PROBE_INTERVAL_SECONDS;
@@ -665,7 +848,8 @@
             }
             // An unreliable server is chosen with its probability of success, so that it still gets
             // an occasional tunnel.
-            if (successChance(server) > 0.8 || random.nextDouble() < successChance(server)) {
+            if (successChance(server) > RELIABLE_SUCCESS_CHANCE
+                    || random.nextDouble() < successChance(server)) {
                 noteAllFull(false);
                 return server;
             }
@@ -768,11 +952,11 @@
                     firstTunnelDue[server] && lastReportAt[server] > startedAt[server]
                             ? -1
                             : factor;
-            if (factor >= lowestFactor + 1e-9
+            if (factor >= lowestFactor + TIE_TOLERANCE
                     || !frontend.isEligible(tunnel, server, serverNames[server])) {
                 continue;
             }
-            if (factor < lowestFactor - 1e-9) {
+            if (factor < lowestFactor - TIE_TOLERANCE) {
                 lowestFactor = factor;
                 bestServer = server;
                 ties = 1;
@@ -806,16 +990,16 @@
                         && i < serverCount
                         && tunnel.awaitedProbes.cardinality() < MAX_PROBED_CANDIDATES;
                 i++) {
-            int k = order[i];
-            if (isAvailable(k)
-                    && reportedLoad[k] < FULL_LOAD_FACTOR
-                    && estimatedLoadFactor(k) >= FULL_LOAD_FACTOR
-                    && now - lastReportAt[k] > MIN_PROBE_INTERVAL_SECONDS) {
-                probe(k);
-                tunnel.awaitedProbes.set(k);
+            int candidate = order[i];
+            if (isAvailable(candidate)
+                    && reportedLoad[candidate] < FULL_LOAD_FACTOR
+                    && estimatedLoadFactor(candidate) >= FULL_LOAD_FACTOR
+                    && now - lastReportAt[candidate] > MIN_PROBE_INTERVAL_SECONDS) {
+                probe(candidate);
+                tunnel.awaitedProbes.set(candidate);
             }
         }
-        for (int k = 0; server >= 0 && k < MAX_PROBED_CANDIDATES; k++) {
+        for (int i = 0; server >= 0 && i < MAX_PROBED_CANDIDATES; i++) {
             if (now - lastReportAt[server] > STALE_REPORT_SECONDS) {
                 probe(server);
                 tunnel.awaitedProbes.set(server);
@@ -865,12 +1049,12 @@
     private void noteAllFull(boolean allFull) {
         double now = frontend.now();
         allFullAt = allFull ? now : allFullAt;
-        if (allFull != declining && (allFull || now - allFullAt > 1)) {
+        if (allFull != declining && (allFull || now - allFullAt > DECLINING_HOLD_SECONDS)) {
             declining = allFull;
             frontend.log(
                     (allFull ? "all full: declining, " : "room again, ")
                             + serverCount
-                            + " servers, own "
+                            + " servers, own tunnels "
                             + ownTunnelCount);
         }
     }
@@ -879,7 +1063,7 @@
         return settings.excessCredit < 1
                 && tunnel.customerIndex > 0
                 && customerTunnelCounts[tunnel.customerIndex]
-                        > 1.1
+                        > SHARE_TOLERANCE
                                         * settings.customerShares.get(tunnel.customerIndex - 1)
                                         * ownTunnelCount
                                 + 1;
@@ -950,7 +1134,7 @@
                         keys[server] = (long) (hash ^ hash >>> 13) << 32 | server;
                     }
                     Arrays.sort(keys);
-                    return Arrays.stream(keys).mapToInt(k -> (int) k).toArray();
+                    return Arrays.stream(keys).mapToInt(key -> (int) key).toArray();
                 });
     }
 
@@ -961,9 +1145,9 @@
             weightedLoad += profileSamples[profile] * profileLoad[profile];
             samples += profileSamples[profile];
         }
-        return weightedLoad <= 0 || profileSamples[profileIndex] < 3
+        return weightedLoad <= 0 || profileSamples[profileIndex] < MIN_PROFILE_SAMPLES
                 ? 1
-                : Math.max(0.05, cores * samples / weightedLoad);
+                : Math.max(MIN_TUNNEL_UNITS, cores * samples / weightedLoad);
     }
 
     /**
@@ -975,7 +1159,7 @@
     }
 
     private double warmCapacity(int server) {
-        int modelSlot = models[server] & 63;
+        int modelSlot = models[server] & (MODEL_SLOTS - 1);
         double learnedWeight =
                 tunnelCountsReported
                         ? 1
@@ -1016,9 +1200,12 @@
         double sentUnits =
                 recentPlacements.get(server).stream()
                         .mapToDouble(
-                                p ->
-                                        p.placedAt > now - settings.collapseTime * p.units
-                                                ? p.units
+                                placement ->
+                                        placement.placedAt
+                                                        > now
+                                                                - settings.collapseTime
+                                                                        * placement.units
+                                                ? placement.units
                                                 : 0)
                         .sum();
         double unreportedUnits = Math.max(0, unreportedLoad[server] * capacity(server)),
@@ -1041,7 +1228,7 @@
 
     /** Returns this relay's equal share of the mean loads at which a cold server collapses now. */
     private double coldShare(int server) {
-        int modelSlot = models[server] & 63;
+        int modelSlot = models[server] & (MODEL_SLOTS - 1);
         double relativeCapacity =
                 tunnelCountsReported && modelLoad[modelSlot] > 0.5
                         ? modelTunnels[modelSlot] / modelLoad[modelSlot] / MIN_CAPACITY_UNITS
@@ -1072,12 +1259,12 @@
         recentPlacements
                 .get(server)
                 .removeIf(
-                        p ->
-                                p.placedAt
+                        placement ->
+                                placement.placedAt
                                         < frontend.now()
                                                 - Math.max(
                                                         MAX_REPORT_LAG_SECONDS,
-                                                        settings.collapseTime * p.units));
+                                                        settings.collapseTime * placement.units));
         recentPlacements.get(server).add(new Placement(frontend.now(), loadStep, units));
     }
 
@@ -1097,8 +1284,9 @@
      * Shrinks the setup window, at most twice a second; it grows again as setups succeed in time.
      */
     private void shrinkWindow() {
-        if (frontend.now() - windowShrunkAt > 0.5) {
-            setupWindow = Math.max(1, Math.min(setupWindow, setupsInFlight + 1) * 0.7);
+        if (frontend.now() - windowShrunkAt > MIN_SHRINK_INTERVAL_SECONDS) {
+            setupWindow =
+                    Math.max(1, Math.min(setupWindow, setupsInFlight + 1) * WINDOW_SHRINK_FACTOR);
             windowShrunkAt = frontend.now();
         }
     }
@@ -1155,7 +1343,9 @@
             failingCount += triedRecently && lastFailureAt[server] > lastSuccessAt[server] ? 1 : 0;
         }
         boolean wasSuspected = sharedCauseSuspected;
-        sharedCauseSuspected = failingCount >= 3 && failingCount >= 0.6 * triedCount;
+        sharedCauseSuspected =
+                failingCount >= MIN_FAILING_SERVERS
+                        && failingCount >= SHARED_CAUSE_FAILING_FRACTION * triedCount;
         if (sharedCauseSuspected != wasSuspected) {
             frontend.log(
                     "shared cause "
@@ -1181,7 +1371,7 @@
                             + serverNames[server]
                             + " after "
                             + failuresInRow[server]
-                            + " silences, own "
+                            + " failures in a row, own tunnels "
                             + ownTunnels.get(server).size());
         }
     }
@@ -1255,7 +1445,7 @@
         return tunnel.profile.credit * (isOverShare(tunnel) ? settings.excessCredit : 1) + 1e-6;
     }
 
-    // ---- Seeks
+    // ---- Probes
 
     /** Reports the result of a probe. */
     public void onProbeResult(String serverName, Outcome outcome, LoadReport report) {
@@ -1265,7 +1455,10 @@
         int server = indexByName.get(serverName);
         probePending[server] = false;
         nextProbeAt[server] =
-                frontend.now() + probeInterval(server) * (0.9 + 0.2 * random.nextDouble());
+                frontend.now()
+                        + probeInterval(server)
+                                * (PROBE_INTERVAL_JITTER_FROM
+                                        + PROBE_INTERVAL_JITTER * random.nextDouble());
         recordProbe(server, outcome, report);
         resumeWaiting();
     }
@@ -1305,7 +1498,7 @@
         if (timedOutLatency[server] > 0) {
             // A setup timed out there, yet the server answers probes: setups take that long,
             // probably on any server.
-            recordLatency(timedOutLatency[server], 0.5);
+            recordLatency(timedOutLatency[server], TIMED_OUT_LATENCY_WEIGHT);
             timedOutLatency[server] = 0;
         }
         failuresInRow[server] = 0;
@@ -1355,13 +1548,13 @@
                 loadSum += hasReport ? reportedLoad[server] : 0;
             }
         }
-        modelTunnels[model & 63] =
-                0.97 * modelTunnels[model & 63]
+        modelTunnels[model & (MODEL_SLOTS - 1)] =
+                MODEL_HISTORY_KEPT * modelTunnels[model & (MODEL_SLOTS - 1)]
                         + (tunnelCount >= 0
                                 ? tunnelCount
                                 : ownUnitsOfModel * settings.relayCount / serversOfModel);
-        modelLoad[model & 63] =
-                0.97 * modelLoad[model & 63]
+        modelLoad[model & (MODEL_SLOTS - 1)] =
+                MODEL_HISTORY_KEPT * modelLoad[model & (MODEL_SLOTS - 1)]
                         + (tunnelCount >= 0 ? loadFactor : loadSum / reportingServers);
     }
 
@@ -1376,7 +1569,9 @@
         }
         // The fee is weighed against opened tunnels only: retries of declined clients do not pay
         // for probes.
-        double fee = settings.probeFee / Math.max(0.2, decayedRate(openRate, openRateAt));
+        double fee =
+                settings.probeFee
+                        / Math.max(MIN_OPEN_RATE_FOR_FEE, decayedRate(openRate, openRateAt));
         double interval =
                 Math.max(
                         (usedServers + (serverCount - usedServers) / UNUSED_PROBE_INTERVAL_FACTOR)
@@ -1402,6 +1597,7 @@
                 || failuresInRow[server] > 0;
     }
 
+    /** Handles a timer that was set with {@link Frontend#scheduleTimer}. */
     public void onTimer(long token) {
         double now = frontend.now();
         if (token == WATCH_LIST_TOKEN) {
@@ -1411,8 +1607,11 @@
         frontend.scheduleTimer(TICK_SECONDS, TICK_TOKEN);
         moveTokens =
                 Math.min(
-                        10,
-                        moveTokens + TICK_SECONDS * MOVES_PER_ARRIVAL * Math.max(0.5, arrivalRate));
+                        MAX_MOVE_TOKENS,
+                        moveTokens
+                                + TICK_SECONDS
+                                        * MOVES_PER_ARRIVAL
+                                        * Math.max(MIN_ARRIVALS_FOR_MOVES, arrivalRate));
         largestCapacity = 0;
         for (int server = 0; server < serverCount; server++) {
             decay(server, now);
@@ -1425,8 +1624,9 @@
         resumeWaiting();
     }
 
-    // ---- The list
+    // ---- Server list
 
+    /** Applies entries of the server list; {@code whole} says that servers not named are gone. */
     public void onServerList(List<ServerEntry> entries, boolean whole) {
         boolean[] named = new boolean[serverCount + entries.size()];
         for (ServerEntry entry : entries) {
@@ -1444,7 +1644,7 @@
                                     ? lastDrainActivityAt[server]
                                     : frontend.now();
             listed[server] = entry.state() != ServerEntry.State.GONE;
-            if (entry.startedAt() > startedAt[server] + 1e-3) {
+            if (entry.startedAt() > startedAt[server] + START_TIME_TOLERANCE_SECONDS) {
                 resetAfterRestart(server, entry.startedAt());
             }
         }
@@ -1496,7 +1696,7 @@
         listBackoff = Math.min(maxBackoff, 2 * listBackoff);
     }
 
-    // ---- Over an upgrade
+    // ---- State handed over in an upgrade
 
     /**
      * Returns what this instance has learned about servers and profiles, for the process that takes
@@ -1529,7 +1729,7 @@
         return true;
     }
 
-    // ---- What operators leave out
+    // ---- Cordoned servers
 
     /** Replaces the set of cordoned servers; it holds until the next call. */
     public void setCordonedServers(Set<String> serverNamesToCordon) {
@@ -1553,14 +1753,15 @@
                 frontend.log(
                         (cordoned[server] ? "cordoned " : "uncordoned ")
                                 + serverNames[server]
-                                + ", own "
+                                + ", own tunnels "
                                 + ownTunnels.get(server).size()
-                                + ", left out "
+                                + ", cordoned in total "
                                 + cordonedServers.size());
             }
         }
     }
 
+    /** Returns the cordoned servers, including those that are not listed. */
     public Set<String> cordonedServers() {
         return cordonedServers;
     }
--- a/core/src/main/java/asterpulley/RetryLimiter.java
+++ b/core/src/main/java/asterpulley/RetryLimiter.java
@@ -21,6 +21,7 @@
         this.settings = settings;
     }
 
+    /** Records a tunnel that was accepted now; it raises the budget of the window. */
     void recordTunnel(double now) {
         if (settings.retryBudgetWindow > 0) {
             tunnelTimes.add(now);
--- a/core/src/main/java/asterpulley/ServerEntry.java
+++ b/core/src/main/java/asterpulley/ServerEntry.java
@@ -6,6 +6,7 @@
  */
 public record ServerEntry(
         String name, int zone, int model, int cell, State state, double startedAt) {
+    /** State of a server according to the list. */
     public enum State {
         RUNNING,
         DRAINING,
--- a/core/src/main/java/asterpulley/Settings.java
+++ b/core/src/main/java/asterpulley/Settings.java
@@ -8,9 +8,13 @@
  * missing. Times are in seconds.
  */
 public final class Settings {
+    /** Whether a setup that may have run can be sent again. */
     public enum Repeatability {
+        /** Always. */
         REPEATABLE,
+        /** On servers that recognize it, within the idempotency window. */
         REFERENCED,
+        /** Never. */
         ONCE_ONLY
     }
 
@@ -21,28 +25,50 @@
         CELL
     }
 
+    /** A class of tunnels with common requirements. */
     public static final class Profile {
         public String name = "";
+
+        /** Time within which a tunnel should be opened. */
         public double setupGoal = 0.5;
+
+        /** Time after which the client gives up. */
         public double clientTimeout = 2;
+
+        /** Value of a tunnel in the service's result. */
         public double credit = 1;
+
         public Repeatability repeatability = Repeatability.ONCE_ONLY;
         public IdempotencyScope idempotencyScope = IdempotencyScope.CELL;
+
+        /** How long servers remember a referenced tunnel. */
         public double idempotencyWindow;
     }
 
     public final List<Profile> profiles = new ArrayList<>();
+
+    /** Each customer's share of the service. */
     public final List<Double> customerShares = new ArrayList<>();
+
+    /** Number of relays that share the servers, including this one. */
     public int relayCount = 1;
+
+    /** This relay's zone. */
     public int zone;
+
+    /** The relay must request the server list; otherwise it is pushed. */
     public boolean subscribesToServerList;
+
     public boolean probesAllowed;
 
     /** Longest advice to clients on when to retry; 0: none is given. */
     public double maxRetryAfter;
 
     public int maxSetupsPerTunnel = 1;
+
+    /** Resolution of the frontend's clock. */
     public double tick = 0.001;
+
     public double listPollInterval = 10;
 
     /**
@@ -51,9 +77,17 @@
      */
     public double drainGrace = 0.5;
 
+    /**
+     * Fraction of its capacity that a server has when it starts; it grows over the warm-up time.
+     */
     public double coldCapacityFraction = 0.1;
+
     public double warmUpTime = 20;
+
+    /** Multiple of its capacity at which a server collapses. */
     public double collapseMultiple = 2;
+
+    /** How long a server withstands a load above {@link #collapseMultiple}. */
     public double collapseTime = 1;
 
     /**
@@ -62,17 +96,22 @@
      */
     public double retryBudgetMinimum, retryBudgetRatio, retryBudgetWindow;
 
+    /** Cost of a tunnel whose server is in another zone. */
     public double crossZoneFee;
+
+    /** Cost of a probe. */
     public double probeFee;
+
+    /** Part of its credit that a tunnel beyond its customer's share earns. */
     public double excessCredit = 1;
 
-    /**
-     * Weight of the availability score, which counts the nines of the served share, and the number
-     * of nines that earns it in full.
-     */
+    /** Weight of the score that counts the nines of the served share. */
     public double ninesWeight;
 
+    /** Number of nines that earns that score in full. */
     public double ninesForFullScore = 3;
+
+    /** Tunnels of a group share work if they are on the same server. */
     public boolean groupsShareWork;
 
     /** Packets pass through, so that a tunnel can change relays while it is open. */
--- a/decode/src/main/java/asterpulley/decode/Json.java
+++ b/decode/src/main/java/asterpulley/decode/Json.java
@@ -28,6 +28,7 @@
 
     private Json() {}
 
+    /** Reads the value that starts at the parser's current token. */
     public static Object read(JsonParser parser) throws IOException {
         JsonToken token = requireToken(parser.currentToken());
         switch (token) {
@@ -59,6 +60,7 @@
         }
     }
 
+    /** Casts a value to an object; the description names it in the message if it is none. */
     @SuppressWarnings("unchecked")
     public static Map<String, Object> object(Object value, String description) {
         if (value instanceof Map) {
@@ -67,6 +69,7 @@
         throw new MalformedException(description + " is not an object");
     }
 
+    /** Returns a list that must be present. */
     @SuppressWarnings("unchecked")
     public static List<Object> list(Map<String, Object> from, String name) {
         if (from.get(name) instanceof List<?> list) {
@@ -75,6 +78,7 @@
         throw new MalformedException("field " + name + " is not a list");
     }
 
+    /** Returns a number that must be present, truncated to a whole one. */
     public static long integer(Map<String, Object> from, String name) {
         if (from.get(name) instanceof Number n) {
             return n.longValue();
@@ -82,6 +86,7 @@
         throw new MalformedException("field " + name + " is not a number");
     }
 
+    /** Returns a string that must be present. */
     public static String text(Map<String, Object> from, String name) {
         if (from.get(name) instanceof String s) {
             return s;
@@ -91,30 +96,34 @@
 
     /** Returns a number, or the default value if the field is missing. */
     public static double number(Map<String, Object> from, String name, double defaultValue) {
-        Object v = from.get(name);
-        if (v instanceof Number n) {
+        Object value = from.get(name);
+        if (value instanceof Number n) {
             return n.doubleValue();
         }
-        if (v != null) {
+        if (value != null) {
             throw new MalformedException("field " + name + " is not a number");
         }
         return defaultValue;
     }
 
+    /** Returns a string, or null if the field is missing. */
     public static String textOrNull(Map<String, Object> from, String name) {
         return from.get(name) == null ? null : text(from, name);
     }
 
+    /** Returns true only if the field is present and true. */
     public static boolean flag(Map<String, Object> from, String name) {
         return Boolean.TRUE.equals(from.get(name));
     }
 
+    /** Converts a field in milliseconds to seconds; 0 if it is missing. */
     public static double secondsFromMillis(Map<String, Object> from, String name) {
         return number(from, name, 0) / 1000;
     }
 
-    public static Map<String, Object> objectOrEmpty(Map<String, Object> in, String name) {
-        return in.get(name) == null ? Map.of() : object(in.get(name), name);
+    /** Returns an object, or an empty map if the field is missing. */
+    public static Map<String, Object> objectOrEmpty(Map<String, Object> from, String name) {
+        return from.get(name) == null ? Map.of() : object(from.get(name), name);
     }
 
     /** Writes maps, lists, strings, numbers and booleans on one line. */
--- a/decode/src/main/java/asterpulley/decode/MergePatch.java
+++ b/decode/src/main/java/asterpulley/decode/MergePatch.java
@@ -11,6 +11,7 @@
 public final class MergePatch {
     private MergePatch() {}
 
+    /** Returns the target with the patch applied. */
     public static Object apply(Object target, Object patch) {
         if (!(patch instanceof Map<?, ?> changes)) {
             return patch;
--- a/decode/src/main/java/asterpulley/decode/RoutingPolicyDecoder.java
+++ b/decode/src/main/java/asterpulley/decode/RoutingPolicyDecoder.java
@@ -23,7 +23,7 @@
                 "model".equals(json.get("by"))
                         ? RoutingPolicy.GroupBy.MODEL
                         : RoutingPolicy.GroupBy.ZONE;
-        Json.list(json, "pools").forEach(profile -> policy.pools.add(String.valueOf(profile)));
+        Json.list(json, "pools").forEach(pool -> policy.pools.add(String.valueOf(pool)));
         String homeName = Json.textOrNull(json, "home");
         policy.homePool = homeName == null ? home : policy.pools.indexOf(homeName);
         if (policy.homePool < 0 || policy.homePool >= policy.pools.size()) {
@@ -32,7 +32,7 @@
         policy.relaysPerPool = Math.max(1, (int) Json.number(json, "relays_per_pool", 1));
         for (Object order : Json.list(json, "prefer")) {
             policy.poolPreferences.add(
-                    ((List<?>) order).stream().map(o -> ((Number) o).intValue()).toList());
+                    ((List<?>) order).stream().map(pool -> ((Number) pool).intValue()).toList());
         }
         policy.healthThresholds =
                 new PoolHealth.Thresholds(
@@ -61,8 +61,9 @@
         policy.credit = new double[profiles.size()];
         policy.failbackExempt = new boolean[profiles.size()];
         policy.failbackExemptInSurge = new boolean[profiles.size()];
-        Map<String, Object> kept = Json.objectOrEmpty(json, "kept");
-        policy.reservedServerShares = kept.isEmpty() ? new double[0] : new double[profiles.size()];
+        Map<String, Object> reservedShares = Json.objectOrEmpty(json, "kept");
+        policy.reservedServerShares =
+                reservedShares.isEmpty() ? new double[0] : new double[profiles.size()];
         Map<String, Integer> profileIndexes = SettingsDecoder.indexes(settings, "profiles");
         profileIndexes.forEach(
                 (name, profile) -> {
@@ -74,7 +75,7 @@
                     policy.failbackExempt[profile] = spare.contains(name);
                     policy.failbackExemptInSurge[profile] = rush.contains(name);
                     if (policy.reservedServerShares.length > 0) {
-                        policy.reservedServerShares[profile] = Json.number(kept, name, 0);
+                        policy.reservedServerShares[profile] = Json.number(reservedShares, name, 0);
                     }
                 });
         Map<String, Object> rules = Json.objectOrEmpty(settings, "rules");
--- a/decode/src/main/java/asterpulley/decode/SettingsDecoder.java
+++ b/decode/src/main/java/asterpulley/decode/SettingsDecoder.java
@@ -19,17 +19,19 @@
 
     private SettingsDecoder() {}
 
+    /** Decodes the settings; throws {@link Json.MalformedException} if a value is invalid. */
     public static Settings decode(Map<String, Object> json) {
         Map<String, Object> limits = Json.objectOrEmpty(json, "limits");
         Map<String, Object> rules = Json.objectOrEmpty(json, "rules");
         Map<String, Object> fees = Json.objectOrEmpty(json, "fees");
         Settings settings = new Settings();
-        for (Object o : Json.list(json, "profiles")) {
-            settings.profiles.add(decodeProfile(Json.object(o, "a profile")));
+        for (Object profile : Json.list(json, "profiles")) {
+            settings.profiles.add(decodeProfile(Json.object(profile, "a profile")));
         }
         if (json.get("tenants") instanceof List<?> tenants) {
-            for (Object t : tenants) {
-                settings.customerShares.add(Json.number(Json.object(t, "a tenant"), "share", 1));
+            for (Object tenant : tenants) {
+                settings.customerShares.add(
+                        Json.number(Json.object(tenant, "a tenant"), "share", 1));
             }
         }
         settings.relayCount = Math.max(1, (int) Json.number(json, "siblings", settings.relayCount));
@@ -85,6 +87,7 @@
         return settings;
     }
 
+    /** Like {@link Json#number}, with the section in the message if it is malformed. */
     private static double numberInSection(
             Map<String, Object> json, String section, String name, double defaultValue) {
         try {
--- a/drill/src/main/java/asterpulley/drill/Drill.java
+++ b/drill/src/main/java/asterpulley/drill/Drill.java
@@ -23,6 +23,7 @@
  * writes one reply per batch. Relays share nothing but this loop.
  */
 public final class Drill {
+    /** Number of server lists that a simulation can declare and refer to. */
     private static final int SERVER_LIST_SLOTS = 16;
 
     private final Map<Long, SimulatedRelay> relays = new HashMap<>();
@@ -73,11 +74,11 @@
         batch = Json.integer(json, "batch");
         double now = Json.secondsFromMillis(json, "momentMs");
         Map<Long, SimulatedRelay> relaysWithInput = new LinkedHashMap<>();
-        for (Object g : Json.list(json, "groups")) {
-            Map<String, Object> group = Json.object(g, "a group");
+        for (Object entry : Json.list(json, "groups")) {
+            Map<String, Object> group = Json.object(entry, "a group");
             long instance = Json.integer(group, "i");
-            for (Object e : Json.list(group, "input")) {
-                handleEvent(instance, now, Json.object(e, "an event"));
+            for (Object event : Json.list(group, "input")) {
+                handleEvent(instance, now, Json.object(event, "an event"));
             }
             if (relays.containsKey(instance)) {
                 relaysWithInput.put(instance, relays.get(instance));
--- a/drill/src/main/java/asterpulley/drill/Main.java
+++ b/drill/src/main/java/asterpulley/drill/Main.java
@@ -6,7 +6,7 @@
 public final class Main {
     private static final String USAGE =
             """
-            usage: drill     decide on a simulator's wire: batches on standard input, replies on standard output
+            usage: drill     decide for a simulator: batches on standard input, replies on standard output
                    --help    print this
             """;
 
--- a/drill/src/main/java/asterpulley/drill/SimulatedRelay.java
+++ b/drill/src/main/java/asterpulley/drill/SimulatedRelay.java
@@ -35,6 +35,12 @@
         this.loadBalancer = new LoadBalancer(settings, seed, this);
     }
 
+    /**
+     * Handles one event. An exception of the load balancer is reported on the wire, and the relay
+     * ignores all later events.
+     *
+     * @param entries the announced server list, or null if the announcement failed
+     */
     void onEvent(double time, String op, Map<String, Object> event, List<ServerEntry> entries) {
         now = time;
         if (crashed) {
@@ -42,12 +48,12 @@
         }
         try {
             dispatch(op, event, entries);
-        } catch (Json.MalformedException m) {
-            throw m;
-        } catch (RuntimeException bug) {
+        } catch (Json.MalformedException e) {
+            throw e;
+        } catch (RuntimeException e) {
             crashed = true;
             StringWriter trace = new StringWriter();
-            bug.printStackTrace(new PrintWriter(trace));
+            e.printStackTrace(new PrintWriter(trace));
             addOrder("Panic", o -> o.writeStringField("bodyText", trace.toString()));
         }
     }
@@ -137,6 +143,7 @@
         return (int) Json.number(event, "account", -1);
     }
 
+    /** Writes the orders of this batch and clears them. */
     void writeReply(long instance, JsonGenerator out) throws IOException {
         if (orders.isEmpty()) {
             return;
