--- a/core/src/test/java/asterpulley/DrainSchedulerTest.java
+++ b/core/src/test/java/asterpulley/DrainSchedulerTest.java
@@ -20,13 +20,13 @@
             double now = step * DrainScheduler.STEP_SECONDS;
             openCount += Math.abs(now - 2) < DrainScheduler.STEP_SECONDS / 2 ? arrivals : 0;
             int due = scheduler.due(now, openCount);
-            assertTrue(due >= 0 && due <= openCount, "never more than stand");
-            assertTrue(now >= 1 - 1e-9 || due == 0, "nobody before the time");
+            assertTrue(due >= 0 && due <= openCount, "never more than are open");
+            assertTrue(now >= 1 - 1e-9 || due == 0, "none before the start time");
             openCount -= due;
             most = Math.max(most, due + previousDue);
             previousDue = due;
         }
-        assertEquals(0, openCount, "nobody is left behind");
+        assertEquals(0, openCount, "all are moved by the end");
         return most;
     }
 
@@ -36,7 +36,7 @@
         assertTrue(maxMovedPerTwoSteps(3, 0) <= 2);
         assertTrue(
                 maxMovedPerTwoSteps(100, 0) <= 12,
-                "100 over 2 s are 5 a tenth of a second, and at least one a step");
+                "100 over 2 s are 5 per tenth of a second, and at least one per step");
         assertTrue(maxMovedPerTwoSteps(2000, 0) <= 110);
     }
 
--- a/core/src/test/java/asterpulley/FleetSimulation.java
+++ b/core/src/test/java/asterpulley/FleetSimulation.java
@@ -43,6 +43,7 @@
         }
     }
 
+    /** A simulated server. */
     final class Server {
         final String name;
         final double capacity;
@@ -148,6 +149,7 @@
         }
     }
 
+    /** A client with at most one tunnel. */
     final class Client {
         final int profile;
         final double units;
@@ -163,8 +165,16 @@
     private final class SimulatedRelay implements Frontend {
         private final Map<LoadBalancer.Tunnel, Client> clients = new HashMap<>();
         private final Map<String, Double> knownStartTimes = new HashMap<>();
+
+        /** Share of the clients that this relay gets; one relay in ten gets far more. */
         private final double weight = random.nextDouble() < 0.1 ? 4 : 0.5 + random.nextDouble();
+
         private LoadBalancer loadBalancer;
+
+        /**
+         * Client of the tunnel that is being opened; the handle is not known before the first
+         * setup.
+         */
         private Client connectingClient;
 
         private Client clientOf(LoadBalancer.Tunnel tunnel) {
--- a/core/src/test/java/asterpulley/LearnedStateTest.java
+++ b/core/src/test/java/asterpulley/LearnedStateTest.java
@@ -91,20 +91,20 @@
     @Test
     void successorKnowsServerCapacity() {
         RecordingFrontend frontend = new RecordingFrontend();
-        LoadBalancer old = loadBalancer(frontend);
+        LoadBalancer predecessor = loadBalancer(frontend);
         LoadReport report = new LoadReport();
         report.load = 0.5;
         report.openTunnels = 100;
         for (int i = 0; i < 5; i++) {
-            old.onProbeResult("a", Outcome.OK, report);
+            predecessor.onProbeResult("a", Outcome.OK, report);
         }
-        double[] learned = old.exportLearnedState();
-        LoadBalancer next = loadBalancer(new RecordingFrontend());
-        assertTrue(next.importLearnedState(learned));
-        assertArrayEquals(learned, next.exportLearnedState());
+        double[] learned = predecessor.exportLearnedState();
+        LoadBalancer successor = loadBalancer(new RecordingFrontend());
+        assertTrue(successor.importLearnedState(learned));
+        assertArrayEquals(learned, successor.exportLearnedState());
         assertTrue(
                 placedTunnels(null) < 15,
-                "25 mean loads fill it as far as it knows: " + placedTunnels(null));
+                "a capacity of 25 mean loads is assumed: " + placedTunnels(null));
         assertEquals(30, placedTunnels(learned));
     }
 
--- a/core/src/test/java/asterpulley/RetryLimiterTest.java
+++ b/core/src/test/java/asterpulley/RetryLimiterTest.java
@@ -39,7 +39,12 @@
                 long tunnels = tunnelTimes.stream().filter(time -> time > windowStart).count();
                 assertTrue(
                         retries <= minimum + ratio * tunnels + 1e-9,
-                        retries + " of " + minimum + " and " + tunnels);
+                        retries
+                                + " retries with a minimum of "
+                                + minimum
+                                + " and "
+                                + tunnels
+                                + " tunnels");
             }
         }
     }
@@ -87,7 +92,12 @@
                                         <= settings.retryBudgetMinimum
                                                 + settings.retryBudgetRatio * tunnels
                                                 + 1e-9,
-                        retries + " of " + settings.retryBudgetMinimum + " and " + tunnels);
+                        retries
+                                + " retries with a minimum of "
+                                + settings.retryBudgetMinimum
+                                + " and "
+                                + tunnels
+                                + " tunnels");
             }
         }
     }
--- a/core/src/test/java/asterpulley/ScenarioRunner.java
+++ b/core/src/test/java/asterpulley/ScenarioRunner.java
@@ -45,6 +45,7 @@
         settings.maxRetryAfter = 1;
     }
 
+    /** Plays one line; those that start with a time are events. */
     void playLine(String line) throws ReflectiveOperationException {
         String[] words = line.trim().split("\\s+");
         if (words[0].matches("[0-9.]+")) {
@@ -57,6 +58,7 @@
         }
     }
 
+    /** Applies a line without a time: a setting, profile or server, or an expectation. */
     private void declare(String[] words, Map<String, String> arguments)
             throws ReflectiveOperationException {
         switch (words[0]) {
@@ -97,7 +99,7 @@
                     servers.computeIfAbsent(words[1], k -> new HashMap<>()).putAll(arguments);
             case "setups" -> setupsOpen = words[1].equals("open");
             case "expect" -> expect(words);
-            default -> throw new AssertionError("unknown word " + words[0]);
+            default -> throw new AssertionError("unknown declaration " + words[0]);
         }
     }
 
@@ -201,31 +203,36 @@
                             loadBalancer.listedServerCount(words[1].equals("avoided"))
                                     == Integer.parseInt(words[2]),
                             loadBalancer.listedServerCount(false)
-                                    + " members, avoided "
+                                    + " servers listed, unavailable "
                                     + loadBalancer.listedServerCount(true));
-            case "watches" -> checkBound(watchCount, words[2], words[3], watchCount + " watches");
+            case "watches" ->
+                    checkBound(watchCount, words[2], words[3], watchCount + " list requests");
             case "sent", "sought" -> {
-                int sent =
+                int count =
                         (words[1].equals("sent") ? sentCounts : probeCounts)
                                 .getOrDefault(words[2], 0);
                 checkBound(
-                        sent, words[3], words[4], "sent " + sentCounts + ", sought " + probeCounts);
+                        count,
+                        words[3],
+                        words[4],
+                        "setups sent " + sentCounts + ", probes " + probeCounts);
             }
-            case "moved" -> checkBound(moveCount, words[2], words[3], "moved " + moveCount);
+            case "moved" -> checkBound(moveCount, words[2], words[3], "tunnels moved " + moveCount);
             case "sought-all" -> {
                 int probes = probeCounts.values().stream().mapToInt(Integer::intValue).sum();
-                checkBound(probes, words[2], words[3], "sought " + probeCounts);
+                checkBound(probes, words[2], words[3], "probes " + probeCounts);
             }
             case "further" -> {
                 int retries = setupCounts.values().stream().mapToInt(count -> count - 1).sum();
-                checkBound(retries, words[2], words[3], "further setups " + retries);
+                checkBound(retries, words[2], words[3], "retries " + retries);
             }
             case "patience" ->
                     check(
                             setupTimeouts.get(Long.parseLong(words[2]))
                                     >= Double.parseDouble(words[4]),
-                            "is " + setupTimeouts);
-            case "over" -> check(tunnels.get(Long.parseLong(words[2])).isFinished(), "not over");
+                            "setup timeouts are " + setupTimeouts);
+            case "over" ->
+                    check(tunnels.get(Long.parseLong(words[2])).isFinished(), "not finished");
             default -> {
                 String actual = lastResults.getOrDefault(Long.parseLong(words[2]), "nothing");
                 String expected =
@@ -302,7 +309,7 @@
                 timeout > 0
                         && setupCounts.merge(tunnel.id, 1, Integer::sum)
                                 <= settings.maxSetupsPerTunnel,
-                "setups or time-out wrong");
+                "too many setups, or no timeout");
         if (setupsOpen) {
             schedule(0.02, () -> tunnel.onOpened(0, 0.02));
         }
@@ -311,7 +318,7 @@
     @Override
     public void decline(LoadBalancer.Tunnel tunnel, double retryAfter) {
         recordResult(tunnel, "decline");
-        check(settings.maxRetryAfter == 0 || retryAfter > 0, "no time to come back");
+        check(settings.maxRetryAfter == 0 || retryAfter > 0, "declined without a retry time");
     }
 
     @Override
--- a/core/src/test/java/asterpulley/SettingsUpdateTest.java
+++ b/core/src/test/java/asterpulley/SettingsUpdateTest.java
@@ -16,12 +16,12 @@
 class SettingsUpdateTest {
     private final RecordingFrontend frontend = new RecordingFrontend();
 
-    private static Settings settings(Settings.Repeatability... kinds) {
+    private static Settings settings(Settings.Repeatability... repeatabilities) {
         Settings settings = new Settings();
         settings.maxSetupsPerTunnel = 4;
-        for (Settings.Repeatability kind : kinds) {
+        for (Settings.Repeatability repeatability : repeatabilities) {
             Settings.Profile profile = new Settings.Profile();
-            profile.repeatability = kind;
+            profile.repeatability = repeatability;
             profile.idempotencyScope = Settings.IdempotencyScope.ALL;
             profile.idempotencyWindow = 1;
             settings.profiles.add(profile);
@@ -48,32 +48,32 @@
                         settings(
                                 Settings.Repeatability.ONCE_ONLY,
                                 Settings.Repeatability.REPEATABLE));
-        LoadBalancer.Tunnel once = loadBalancer.openTunnel(1, 0, 0, null, null, 0, false);
-        LoadBalancer.Tunnel again = loadBalancer.openTunnel(2, 1, 0, null, null, 0, false);
+        LoadBalancer.Tunnel onceOnly = loadBalancer.openTunnel(1, 0, 0, null, null, 0, false);
+        LoadBalancer.Tunnel repeatable = loadBalancer.openTunnel(2, 1, 0, null, null, 0, false);
         loadBalancer.updateSettings(
                 settings(Settings.Repeatability.REPEATABLE, Settings.Repeatability.ONCE_ONLY));
         assertEquals(2, frontend.setups.size());
-        once.onEnded(0, Outcome.TIMED_OUT, 0.1, false);
-        assertEquals(1, frontend.failed, "once only: it may have run");
-        again.onEnded(0, Outcome.TIMED_OUT, 0.1, false);
-        assertEquals(3, frontend.setups.size(), "repeatable: it goes again");
+        onceOnly.onEnded(0, Outcome.TIMED_OUT, 0.1, false);
+        assertEquals(1, frontend.failed, "once-only: closed with error since it may have run");
+        repeatable.onEnded(0, Outcome.TIMED_OUT, 0.1, false);
+        assertEquals(3, frontend.setups.size(), "repeatable: it is retried");
         loadBalancer
                 .openTunnel(3, 0, 0, null, null, 0, false)
                 .onEnded(0, Outcome.TIMED_OUT, 0.1, false);
-        assertEquals(5, frontend.setups.size(), "that profile is repeatable now");
+        assertEquals(5, frontend.setups.size(), "the first profile is repeatable now");
         loadBalancer
                 .openTunnel(4, 1, 0, null, null, 0, false)
                 .onEnded(0, Outcome.TIMED_OUT, 0.1, false);
-        assertEquals(2, frontend.failed, "and that one once only");
+        assertEquals(2, frontend.failed, "the second profile is once-only now");
     }
 
     @Test
     void lowerSetupLimitAppliesToTunnelsInProgress() {
         LoadBalancer loadBalancer = loadBalancer(settings(Settings.Repeatability.REPEATABLE));
         LoadBalancer.Tunnel tunnel = loadBalancer.openTunnel(1, 0, 0, null, null, 0, false);
-        Settings fewer = settings(Settings.Repeatability.REPEATABLE);
-        fewer.maxSetupsPerTunnel = 1;
-        loadBalancer.updateSettings(fewer);
+        Settings singleSetup = settings(Settings.Repeatability.REPEATABLE);
+        singleSetup.maxSetupsPerTunnel = 1;
+        loadBalancer.updateSettings(singleSetup);
         tunnel.onEnded(0, Outcome.RESET, 0.1, false);
         assertEquals(1, frontend.setups.size());
         assertEquals(1, frontend.declined);
@@ -85,7 +85,7 @@
         loadBalancer
                 .openTunnel(1, 0, 0, null, null, 0, false)
                 .onEnded(0, Outcome.RESET, 0.1, false);
-        assertEquals(2, frontend.setups.size(), "none is told yet");
+        assertEquals(2, frontend.setups.size(), "no budget is configured yet");
         Settings noRetries = settings(Settings.Repeatability.REPEATABLE);
         noRetries.retryBudgetWindow = 5;
         loadBalancer.updateSettings(noRetries);
@@ -93,7 +93,7 @@
                 .openTunnel(2, 0, 0, null, null, 0, false)
                 .onEnded(0, Outcome.RESET, 0.1, false);
         assertEquals(3, frontend.setups.size());
-        assertEquals(1, frontend.declined, "the budget is of none");
+        assertEquals(1, frontend.declined, "the budget allows no retries");
     }
 
     @Test
@@ -103,7 +103,7 @@
         LoadBalancer loadBalancer = loadBalancer(manyRelays);
         loadBalancer.openTunnel(1, 0, 0, null, null, 0, false);
         loadBalancer.openTunnel(2, 0, 0, null, null, 0, false);
-        assertEquals(1, frontend.setups.size(), "a part of 64 of six setups");
+        assertEquals(1, frontend.setups.size(), "six setups shared by 64 relays");
         loadBalancer.updateSettings(settings(Settings.Repeatability.REPEATABLE));
         loadBalancer.openTunnel(3, 0, 0, null, null, 0, false);
         assertEquals(2, frontend.setups.size());
@@ -158,7 +158,10 @@
         loadBalancer.openTunnel(20, 0, 2, null, null, 0, false);
         assertEquals(setups + 1, frontend.setups.size(), "the new customer has room in its share");
         loadBalancer.openTunnel(21, 0, -1, null, null, 0, false);
-        assertEquals(setups + 2, frontend.setups.size(), "who names none has no share to be over");
+        assertEquals(
+                setups + 2,
+                frontend.setups.size(),
+                "a tunnel of no customer has no share to exceed");
         loadBalancer.openTunnel(22, 0, 0, null, null, 0, false);
         assertEquals(setups + 2, frontend.setups.size(), "the first customer is over its share");
         assertTrue(frontend.declined == 1);
--- a/core/src/test/java/asterpulley/SetupWindowTest.java
+++ b/core/src/test/java/asterpulley/SetupWindowTest.java
@@ -108,7 +108,7 @@
                 simulation.advanceTo(WARM_UP_SECONDS + 32);
                 String figures =
                         String.format(
-                                "%d relays, seed %d: %d declined while it was quick; then %d opened, %d timed out, longest queue %.2f s",
+                                "%d relays, seed %d: %d declined while the store was fast; then %d opened, %d timed out, longest queue %.2f s",
                                 relays,
                                 seed,
                                 declined,
--- a/core/src/test/java/asterpulley/WarmUpLimitTest.java
+++ b/core/src/test/java/asterpulley/WarmUpLimitTest.java
@@ -144,24 +144,24 @@
                 coldStart
                         + " "
                         + rule
-                        + " fee "
+                        + " probe fee "
                         + simulation.settings.probeFee
-                        + " life "
+                        + " mean tunnel seconds "
                         + simulation.meanTunnelSeconds
-                        + " refresh "
+                        + " report refresh seconds "
                         + simulation.reportRefreshSeconds
-                        + (highLoad ? " full" : "")
-                        + (hasHeavyTunnels ? " heavy" : "")
-                        + (probesRefused ? " refused" : "")
+                        + (highLoad ? " high load" : "")
+                        + (hasHeavyTunnels ? " heavy tunnels" : "")
+                        + (probesRefused ? " probes refused" : "")
                         + " capacity "
                         + capacity
-                        + " quiet "
+                        + " quiet seconds "
                         + quietSeconds
                         + " seed "
                         + seed);
     }
 
-    @ParameterizedTest(name = "{0} relays, held told: {1}")
+    @ParameterizedTest(name = "{0} relays, tunnel counts reported: {1}")
     @CsvSource({
         "1,true,30,0.5,0.4",
         "20,true,30,0.5,0.4",
@@ -193,7 +193,7 @@
                     if (window.excessOverRule() > 0) {
                         violations.add(
                                 String.format(
-                                        "%s was sent %.1f from %.3f on, bears %.1f, %.2f roots more: %s",
+                                        "%s received %.1f units from %.3f s on, limit %.1f, exceeded by %.2f roots: %s",
                                         window.server(),
                                         window.sentUnits(),
                                         window.startedAt(),
@@ -206,17 +206,18 @@
         }
         String figures =
                 String.format(
-                        "%d of %d servers broken, worst %.2f roots above N, mean of sent/N in the worst window %.2f, "
+                        "%d of %d servers above the limit, worst %.2f roots above N, mean of sent/N in the worst window %.2f, "
                                 + "mean load after the burst %.2f",
                         violations.size(),
                         servers,
                         worstRoots,
                         shareSum / servers,
                         loadSum / servers);
-        System.out.printf("%d relays, held told %b: %s%n", relays, reportsTunnelCounts, figures);
+        System.out.printf(
+                "%d relays, tunnel counts reported %b: %s%n", relays, reportsTunnelCounts, figures);
         assertEquals(List.of(), violations, figures);
         assertTrue(
                 shareSum / servers >= minMeanShare && loadSum / servers >= minMeanLoad,
-                "hardly filled: " + figures);
+                "not filled enough: " + figures);
     }
 }
--- a/decode/src/test/java/asterpulley/decode/MergePatchTest.java
+++ b/decode/src/test/java/asterpulley/decode/MergePatchTest.java
@@ -7,6 +7,7 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
+/** Tests {@link MergePatch} with the cases of the RFC. */
 class MergePatchTest {
     private static Object json(String text) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
@@ -35,10 +36,13 @@
             {"[1,2]", "{\"a\":\"b\",\"c\":null}", "{\"a\":\"b\"}"},
             {"{}", "{\"a\":{\"bb\":{\"ccc\":null}}}", "{\"a\":{\"bb\":{}}}"}
         };
-        for (String[] one : cases) {
-            Object was = json(one[0]);
-            assertEquals(json(one[2]), MergePatch.apply(was, json(one[1])), String.join(" ", one));
-            assertEquals(json(one[0]), was, "what it was given is as it was");
+        for (String[] testCase : cases) {
+            Object target = json(testCase[0]);
+            assertEquals(
+                    json(testCase[2]),
+                    MergePatch.apply(target, json(testCase[1])),
+                    String.join(" ", testCase));
+            assertEquals(json(testCase[0]), target, "the target is not modified");
         }
     }
 }
--- a/decode/src/test/java/asterpulley/decode/SettingsDecoderTest.java
+++ b/decode/src/test/java/asterpulley/decode/SettingsDecoderTest.java
@@ -18,13 +18,14 @@
 
     @Test
     void scorePartsAreReadAndDefaultWhenAbsent() {
-        Settings s = decodeWithScoreParts(Map.of("whole", 0.1, "logLossPart", 0.3, "topNines", 2));
-        assertEquals(0.3, s.ninesWeight);
-        assertEquals(2, s.ninesForFullScore);
-        Settings old = decodeWithScoreParts(Map.of("whole", 0.3, "worstTenant", 0.4));
-        assertEquals(0, old.ninesWeight);
-        assertEquals(3, old.ninesForFullScore);
-        assertEquals("live", old.profiles.get(0).name);
+        Settings settings =
+                decodeWithScoreParts(Map.of("whole", 0.1, "logLossPart", 0.3, "topNines", 2));
+        assertEquals(0.3, settings.ninesWeight);
+        assertEquals(2, settings.ninesForFullScore);
+        Settings withoutNewParts = decodeWithScoreParts(Map.of("whole", 0.3, "worstTenant", 0.4));
+        assertEquals(0, withoutNewParts.ninesWeight);
+        assertEquals(3, withoutNewParts.ninesForFullScore);
+        assertEquals("live", withoutNewParts.profiles.get(0).name);
         assertEquals(0, SettingsDecoder.decode(Map.of("profiles", List.of())).ninesWeight);
     }
 
@@ -37,12 +38,13 @@
                         Map.of("logLossPart", 1.5),
                         Map.of("topNines", 0),
                         Map.of("logLossPart", -0.1))) {
-            String told =
+            String message =
                     assertThrows(Json.MalformedException.class, () -> decodeWithScoreParts(wrong))
                             .getMessage();
             assertTrue(
-                    told.contains("scoreParts") && told.contains(wrong.keySet().iterator().next()),
-                    told);
+                    message.contains("scoreParts")
+                            && message.contains(wrong.keySet().iterator().next()),
+                    message);
         }
         assertTrue(
                 assertThrows(Json.MalformedException.class, () -> decodeWithScoreParts("many"))
@@ -56,12 +58,12 @@
 
     @Test
     void retryBudgetIsReadAndUnlimitedWhenAbsent() {
-        Settings s =
+        Settings settings =
                 decodeWithRules(
                         Map.of("budgetFree", 2.0, "furtherRatio", 0.05, "lookBackMs", 5000));
-        assertEquals(2, s.retryBudgetMinimum);
-        assertEquals(0.05, s.retryBudgetRatio);
-        assertEquals(5, s.retryBudgetWindow);
+        assertEquals(2, settings.retryBudgetMinimum);
+        assertEquals(0.05, settings.retryBudgetRatio);
+        assertEquals(5, settings.retryBudgetWindow);
         assertEquals(0, decodeWithRules(Map.of("fallMultiple", 2)).retryBudgetWindow);
         for (Map<String, Object> wrong :
                 List.<Map<String, Object>>of(
@@ -69,12 +71,12 @@
                         Map.of("lookBackMs", true),
                         Map.of("furtherRatio", -0.1),
                         Map.of("lookBackMs", List.of()))) {
-            String told =
+            String message =
                     assertThrows(Json.MalformedException.class, () -> decodeWithRules(wrong))
                             .getMessage();
             assertTrue(
-                    told.contains("rules") && told.contains(wrong.keySet().iterator().next()),
-                    told);
+                    message.contains("rules") && message.contains(wrong.keySet().iterator().next()),
+                    message);
         }
     }
 }
--- a/drill/src/test/java/asterpulley/drill/DrillTest.java
+++ b/drill/src/test/java/asterpulley/drill/DrillTest.java
@@ -31,15 +31,15 @@
     private String err;
 
     private int drill(String input) throws IOException {
-        ByteArrayOutputStream o = new ByteArrayOutputStream();
-        ByteArrayOutputStream e = new ByteArrayOutputStream();
+        ByteArrayOutputStream stdout = new ByteArrayOutputStream();
+        ByteArrayOutputStream stderr = new ByteArrayOutputStream();
         int status =
                 Drill.run(
                         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
-                        new PrintStream(o),
-                        new PrintStream(e));
-        out = o.toString(StandardCharsets.UTF_8);
-        err = e.toString(StandardCharsets.UTF_8);
+                        new PrintStream(stdout),
+                        new PrintStream(stderr));
+        out = stdout.toString(StandardCharsets.UTF_8);
+        err = stderr.toString(StandardCharsets.UTF_8);
         return status;
     }
 
@@ -79,9 +79,10 @@
             {batch.formatted("0", "Announce"), "list number 9 was never declared"},
             {batch.formatted("4", "Withdrawn"), "instance 4, which is not started"}
         };
-        for (String[] c : cases) {
-            assertEquals(1, drill(START + c[0]), c[0]);
-            assertTrue(err.startsWith("asterpulley drill: batch ") && err.contains(c[1]), err);
+        for (String[] testCase : cases) {
+            assertEquals(1, drill(START + testCase[0]), testCase[0]);
+            assertTrue(
+                    err.startsWith("asterpulley drill: batch ") && err.contains(testCase[1]), err);
             assertEquals(1, err.lines().count());
             assertEquals(1, out.lines().count(), out);
         }
