--- a/core/src/main/java/asterpulley/DrainScheduler.java
+++ b/core/src/main/java/asterpulley/DrainScheduler.java
@@ -11,7 +11,7 @@
 
     private final double startTime, endTime;
 
-    /** Moves that are due but not yet returned; less than one after each call. */
+    /** Moves that are due but not yet returned. */
     private double accrued;
 
     /** Drains between the two times, in seconds on the clock of the caller of {@link #due}. */
--- a/core/src/main/java/asterpulley/LoadBalancer.java
+++ b/core/src/main/java/asterpulley/LoadBalancer.java
@@ -51,6 +51,7 @@
     /** Rate of new tunnels per second that is assumed at the least for the rate of moves. */
     private static final double MIN_ARRIVALS_FOR_MOVES = 0.5;
 
+    private static final double INITIAL_MOVE_TOKENS = 5;
     private static final double MAX_MOVE_TOKENS = 10;
 
     /**
@@ -74,8 +75,8 @@
     private static final double PROBE_INTERVAL_JITTER_FROM = 0.9, PROBE_INTERVAL_JITTER = 0.2;
 
     /**
-     * Assumed mean time between two servers that stop answering, as on the worst days in
-     * production.
+     * Assumed mean time between two servers that stop answering; operators have seen this on their
+     * worst days.
      */
     private static final double SECONDS_BETWEEN_SILENT_SERVERS = 300;
 
@@ -143,6 +144,9 @@
      */
     private static final double NO_HOLDER_CHANCE_PER_RANK = 0.35;
 
+    /** Chance that one relay of the zone does not hold a group at the group's first server. */
+    private static final double NO_HOLDER_CHANCE_PER_RELAY = 0.25;
+
     /** An own placement is extrapolated to at most this many siblings. */
     private static final double MAX_SIBLINGS_EXTRAPOLATED = 4;
 
@@ -178,8 +182,8 @@
     private static final double MIN_SHRINK_INTERVAL_SECONDS = 0.5;
 
     /**
-     * Capacity of a small server in mean loads, assumed until this relay holds enough tunnels to
-     * learn it.
+     * Capacity of a small server in mean loads: the least that is assumed of any server, and what
+     * is assumed until this relay holds enough tunnels to learn it.
      */
     private static final double MIN_CAPACITY_UNITS = 25;
 
@@ -204,7 +208,10 @@
     /** A server with a better chance of success than this is always used. */
     private static final double RELIABLE_SUCCESS_CHANCE = 0.8;
 
-    /** A shared cause is suspected if setups fail at this many servers and this part of them. */
+    /**
+     * A shared cause is suspected if setups fail at no fewer than this many servers, and at no less
+     * than this part of those tried recently.
+     */
     private static final int MIN_FAILING_SERVERS = 3;
 
     private static final double SHARED_CAUSE_FAILING_FRACTION = 0.6;
@@ -236,6 +243,11 @@
     private static final double START_TIME_TOLERANCE_SECONDS = 1e-3;
 
     private static final double INITIAL_LIST_BACKOFF_SECONDS = 0.5;
+    private static final double MAX_LIST_BACKOFF_SECONDS = 3;
+
+    /** With more relays than this per second of backoff, each requests a failed list less often. */
+    private static final double RELAYS_PER_BACKOFF_SECOND = 40;
+
     private static final double TICK_SECONDS = 0.1;
 
     /** Factor by which one tick decays the evidence on a server's health. */
@@ -371,7 +383,7 @@
 
     /**
      * Open tunnels by customer. Index 0 counts tunnels of no configured customer, which have no
-     * share and use up nobody's.
+     * share and do not count against any.
      */
     private int[] customerTunnelCounts = {};
 
@@ -407,9 +419,12 @@
     private boolean loadUnknown;
 
     /** Token bucket for moves. */
-    private double moveTokens = 5;
+    private double moveTokens = INITIAL_MOVE_TOKENS;
 
-    /** The load that an own setup or the end of an own tunnel added to a server. */
+    /**
+     * The load that an own setup added to a server, or that the end of an own tunnel took away
+     * (then with no units).
+     */
     private record Placement(double placedAt, double loadStep, double units) {}
 
     /** Starts deciding: subscribes to the server list if it must, and schedules the first tick. */
@@ -458,7 +473,7 @@
         /** Server on which the tunnel is open, or -1. */
         private int openServer = -1;
 
-        /** No further setup is sent: it is open, answered or canceled. */
+        /** No further setup is sent: it is open, answered or cancelled. */
         private boolean resolved;
 
         private boolean moving;
@@ -683,6 +698,7 @@
         return tunnel;
     }
 
+    /** Adds an open tunnel to its server's accounts. */
     private void attach(Tunnel tunnel, int server) {
         tunnel.openServer = server;
         tunnel.openedAt = tunnel.setupCount == 0 ? Double.NEGATIVE_INFINITY : frontend.now();
@@ -719,6 +735,7 @@
                 (a, b) -> a.length > server ? a : Arrays.copyOf(a, server + 1));
     }
 
+    /** Removes an open tunnel from its server's accounts. */
     private void detach(Tunnel tunnel) {
         int server = tunnel.openServer;
         tunnel.openServer = -1;
@@ -1059,6 +1076,7 @@
         }
     }
 
+    /** Returns true if the tunnel's customer has more than its share of this relay's tunnels. */
     private boolean isOverShare(Tunnel tunnel) {
         return settings.excessCredit < 1
                 && tunnel.customerIndex > 0
@@ -1071,6 +1089,7 @@
 
     // ---- Servers
 
+    /** Returns true if the server may get new tunnels: in rotation and not offline. */
     private boolean isAvailable(int server) {
         return isInRotation(server) && !offline[server];
     }
@@ -1108,6 +1127,7 @@
                                 * unreportedPlacements[server]);
     }
 
+    /** Returns by how much this tunnel would raise the server's load factor. */
     private double loadStep(int server, Tunnel tunnel) {
         double groupUnits =
                 tunnel.group != null && tunnelCountsOfGroup(tunnel.group, server)[server] == 0
@@ -1173,6 +1193,7 @@
                 learnedWeight * learnedCapacity + (1 - learnedWeight) * MIN_CAPACITY_UNITS);
     }
 
+    /** Returns the fraction of its warm capacity that the server has at this time. */
     private double warmUpFraction(int server, double now) {
         double age = now - startedAt[server];
         return age >= settings.warmUpTime
@@ -1302,6 +1323,7 @@
         setupLatency += weight * (latency - setupLatency);
     }
 
+    /** Estimates the chance that a setup at the server succeeds. */
     private double successChance(int server) {
         return (1 + successWeight[server]) / (1 + successWeight[server] + failureWeight[server]);
     }
@@ -1441,6 +1463,7 @@
         relievedSinceReport[server] = !evacuate;
     }
 
+    /** Returns the credit at stake when this tunnel is moved; never 0. */
     private double moveCost(Tunnel tunnel) {
         return tunnel.profile.credit * (isOverShare(tunnel) ? settings.excessCredit : 1) + 1e-6;
     }
@@ -1591,6 +1614,7 @@
                         : interval * UNUSED_PROBE_INTERVAL_FACTOR);
     }
 
+    /** Returns true if this relay needs the server's state often. */
     private boolean isUsed(int server) {
         return !ownTunnels.get(server).isEmpty()
                 || reportedFull[server]
@@ -1662,7 +1686,8 @@
         for (int server = 0; server < serverCount; server++) {
             serversInRotation += isInRotation(server) ? 1 : 0;
         }
-        noHolderBaseChance = Math.pow(0.25, (double) settings.relayCount / zoneCount);
+        noHolderBaseChance =
+                Math.pow(NO_HOLDER_CHANCE_PER_RELAY, (double) settings.relayCount / zoneCount);
         initialWindow =
                 Math.max(
                         1,
@@ -1678,16 +1703,16 @@
      * Schedules another request for the server list with increasing delay; the first after a call
      * that timed out follows at once since the timeout itself took time.
      */
-    public void onServerListFailed(boolean silent) {
+    public void onServerListFailed(boolean timedOut) {
         // A pushed list applies from the return of the discovery service on, so the delay stays
         // within the drain grace; a list that is polled applies soon after it is asked for.
         double maxBackoff =
                 Math.min(
-                        Math.max(1, settings.relayCount / 40.0),
-                        Math.min(3, settings.listPollInterval / 2));
+                        Math.max(1, settings.relayCount / RELAYS_PER_BACKOFF_SECOND),
+                        Math.min(MAX_LIST_BACKOFF_SECONDS, settings.listPollInterval / 2));
         maxBackoff = settings.subscribesToServerList ? maxBackoff : settings.drainGrace / 2;
         double delay =
-                !silent
+                !timedOut
                         ? listBackoff
                         : listBackoff == INITIAL_LIST_BACKOFF_SECONDS
                                 ? 0
@@ -1792,6 +1817,7 @@
         return count;
     }
 
+    /** Forgets what applied to the server's previous process and schedules a probe. */
     private void resetAfterRestart(int server, double startTime) {
         startedAt[server] = startTime;
         coldDither[server] = random.nextDouble();
@@ -1801,6 +1827,7 @@
         nextProbeAt[server] = Math.min(nextProbeAt[server], frontend.now());
     }
 
+    /** Adds a server that was not listed before and returns its index. */
     private int addServer(String serverName) {
         if (serverCount == serverNames.length) {
             int newLength = Math.max(8, 2 * serverCount);
--- a/core/src/test/java/asterpulley/WarmUpLimitTest.java
+++ b/core/src/test/java/asterpulley/WarmUpLimitTest.java
@@ -76,7 +76,7 @@
         boolean hasHeavyTunnels =
                 wantHeavyTunnels
                         && capacity * (highLoad ? 0.75 : 0.4) * WARM_SERVERS * 0.2 > 6 * relays;
-        for (int p = 0; p < (hasHeavyTunnels ? 2 : 1); p++) {
+        for (int i = 0; i < (hasHeavyTunnels ? 2 : 1); i++) {
             Settings.Profile profile = new Settings.Profile();
             profile.repeatability = Settings.Repeatability.REPEATABLE;
             simulation.settings.profiles.add(profile);
