--- a/decode/src/main/java/asterpulley/decode/Json.java
+++ b/decode/src/main/java/asterpulley/decode/Json.java
@@ -13,60 +13,63 @@
 import java.util.Map;
 
 /**
- * JSON values read into plain maps and lists and written back, and their fields taken with a plain
- * message for what is malformed.
+ * Reads JSON values into plain maps and lists, writes them back, and gives typed access to their
+ * fields with a clear message for malformed input.
  */
 public final class Json {
-    /** The input breaks the wire's form. */
+    /** Thrown for input that does not have the expected form; the message is shown to operators. */
     public static final class MalformedException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        public MalformedException(String what) {
-            super(what);
+        public MalformedException(String message) {
+            super(message);
         }
     }
 
     private Json() {}
 
-    public static Object read(JsonParser p) throws IOException {
-        JsonToken token = expect(p.currentToken());
+    /** Reads the value that starts at the parser's current token. */
+    public static Object read(JsonParser parser) throws IOException {
+        JsonToken token = requireToken(parser.currentToken());
         switch (token) {
             case START_OBJECT -> {
                 Map<String, Object> map = new LinkedHashMap<>();
-                while (expect(p.nextToken()) != JsonToken.END_OBJECT) {
-                    String name = p.currentName();
-                    p.nextToken();
-                    map.put(name, read(p));
+                while (requireToken(parser.nextToken()) != JsonToken.END_OBJECT) {
+                    String name = parser.currentName();
+                    parser.nextToken();
+                    map.put(name, read(parser));
                 }
                 return map;
             }
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
-                while (expect(p.nextToken()) != JsonToken.END_ARRAY) {
-                    list.add(read(p));
+                while (requireToken(parser.nextToken()) != JsonToken.END_ARRAY) {
+                    list.add(read(parser));
                 }
                 return list;
             }
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> {
-                return p.getNumberValue();
+                return parser.getNumberValue();
             }
             case VALUE_STRING -> {
-                return p.getText();
+                return parser.getText();
             }
             default -> {
-                return token == JsonToken.VALUE_NULL ? null : (Object) p.getBooleanValue();
+                return token == JsonToken.VALUE_NULL ? null : (Object) parser.getBooleanValue();
             }
         }
     }
 
+    /** Casts a value to an object; the description names it in the message if it is none. */
     @SuppressWarnings("unchecked")
-    public static Map<String, Object> object(Object value, String what) {
+    public static Map<String, Object> object(Object value, String description) {
         if (value instanceof Map) {
             return (Map<String, Object>) value;
         }
-        throw new MalformedException(what + " is not an object");
+        throw new MalformedException(description + " is not an object");
     }
 
+    /** Returns a list that must be present. */
     @SuppressWarnings("unchecked")
     public static List<Object> list(Map<String, Object> from, String name) {
         if (from.get(name) instanceof List<?> list) {
@@ -75,6 +78,7 @@
         throw new MalformedException("field " + name + " is not a list");
     }
 
+    /** Returns a number that must be present, truncated to a whole one. */
     public static long integer(Map<String, Object> from, String name) {
         if (from.get(name) instanceof Number n) {
             return n.longValue();
@@ -82,6 +86,7 @@
         throw new MalformedException("field " + name + " is not a number");
     }
 
+    /** Returns a string that must be present. */
     public static String text(Map<String, Object> from, String name) {
         if (from.get(name) instanceof String s) {
             return s;
@@ -89,35 +94,39 @@
         throw new MalformedException("field " + name + " is not a text");
     }
 
-    /** A number that may be missing. */
-    public static double number(Map<String, Object> from, String name, double missing) {
-        Object v = from.get(name);
-        if (v instanceof Number n) {
+    /** Returns a number, or the default value if the field is missing. */
+    public static double number(Map<String, Object> from, String name, double defaultValue) {
+        Object value = from.get(name);
+        if (value instanceof Number n) {
             return n.doubleValue();
         }
-        if (v != null) {
+        if (value != null) {
             throw new MalformedException("field " + name + " is not a number");
         }
-        return missing;
+        return defaultValue;
     }
 
+    /** Returns a string, or null if the field is missing. */
     public static String textOrNull(Map<String, Object> from, String name) {
         return from.get(name) == null ? null : text(from, name);
     }
 
+    /** Returns true only if the field is present and true. */
     public static boolean flag(Map<String, Object> from, String name) {
         return Boolean.TRUE.equals(from.get(name));
     }
 
+    /** Converts a field in milliseconds to seconds; 0 if it is missing. */
     public static double secondsFromMillis(Map<String, Object> from, String name) {
         return number(from, name, 0) / 1000;
     }
 
-    public static Map<String, Object> objectOrEmpty(Map<String, Object> in, String name) {
-        return in.get(name) == null ? Map.of() : object(in.get(name), name);
+    /** Returns an object, or an empty map if the field is missing. */
+    public static Map<String, Object> objectOrEmpty(Map<String, Object> from, String name) {
+        return from.get(name) == null ? Map.of() : object(from.get(name), name);
     }
 
-    /** Writes maps, lists, texts, numbers and flags on one line. */
+    /** Writes maps, lists, strings, numbers and booleans on one line. */
     public static String text(Object value) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
@@ -155,7 +164,7 @@
         }
     }
 
-    private static JsonToken expect(JsonToken token) {
+    private static JsonToken requireToken(JsonToken token) {
         if (token == null) {
             throw new MalformedException("the input ends inside a value");
         }
--- a/drill/src/main/java/asterpulley/drill/Main.java
+++ b/drill/src/main/java/asterpulley/drill/Main.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** The command line of the adapter: nothing but {@code drill}. */
+/** Command line of the simulator adapter; {@code drill} is the only command. */
 public final class Main {
     private static final String USAGE =
             """
-            usage: drill     decide on a simulator's wire: batches on standard input, replies on standard output
+            usage: drill     decide for a simulator: batches on standard input, replies on standard output
                    --help    print this
             """;
 
--- a/drill/src/test/java/asterpulley/drill/DrillTest.java
+++ b/drill/src/test/java/asterpulley/drill/DrillTest.java
@@ -10,10 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/**
- * The adapter's edges: what it says of malformed input, and that the same input gives the same
- * bytes.
- */
+/** Tests what the adapter reports for malformed input, and that equal input gives equal bytes. */
 class DrillTest {
     private static final String START =
             "{\"momentMs\":1000,\"batch\":1,\"later\":[{}],\"groups\":[{\"i\":0,\"input\":["
@@ -34,20 +31,20 @@
     private String err;
 
     private int drill(String input) throws IOException {
-        ByteArrayOutputStream o = new ByteArrayOutputStream();
-        ByteArrayOutputStream e = new ByteArrayOutputStream();
+        ByteArrayOutputStream stdout = new ByteArrayOutputStream();
+        ByteArrayOutputStream stderr = new ByteArrayOutputStream();
         int status =
                 Drill.run(
                         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
-                        new PrintStream(o),
-                        new PrintStream(e));
-        out = o.toString(StandardCharsets.UTF_8);
-        err = e.toString(StandardCharsets.UTF_8);
+                        new PrintStream(stdout),
+                        new PrintStream(stderr));
+        out = stdout.toString(StandardCharsets.UTF_8);
+        err = stderr.toString(StandardCharsets.UTF_8);
         return status;
     }
 
     @Test
-    void sameInputSameBytes() throws IOException {
+    void sameInputGivesSameBytes() throws IOException {
         assertEquals(0, drill(START + ORDER.formatted("0") + ANSWER));
         String first = out;
         assertTrue(first.contains("{\"op\":\"Attempt\",\"xid\":5,"), first);
@@ -57,8 +54,7 @@
     }
 
     @Test
-    void whatAKilledInstanceHeldIsForgottenAlsoWhenItStartsAgainInTheSameBatch()
-            throws IOException {
+    void killedInstanceForgetsItsTunnelsEvenIfRestartedInTheSameBatch() throws IOException {
         String again = START.substring(START.indexOf("{\"op\":\"Enlist\""));
         String order = ORDER.formatted("0").strip();
         String batch = order.substring(0, order.length() - 4) + ",{\"op\":\"Halt\"}," + again;
@@ -71,7 +67,7 @@
     }
 
     @Test
-    void malformedInputIsToldWithItsBatch() throws IOException {
+    void malformedInputIsReportedWithItsBatch() throws IOException {
         String batch =
                 "{\"momentMs\":1004,\"batch\":2,\"groups\":[{\"i\":%s,\"input\":[{\"op\":\"%s\",\"mode\":\"F\","
                         + "\"bank\":9,\"xid\":1}]}]}\n";
@@ -83,16 +79,17 @@
             {batch.formatted("0", "Announce"), "list number 9 was never declared"},
             {batch.formatted("4", "Withdrawn"), "instance 4, which is not started"}
         };
-        for (String[] c : cases) {
-            assertEquals(1, drill(START + c[0]), c[0]);
-            assertTrue(err.startsWith("asterpulley drill: batch ") && err.contains(c[1]), err);
+        for (String[] testCase : cases) {
+            assertEquals(1, drill(START + testCase[0]), testCase[0]);
+            assertTrue(
+                    err.startsWith("asterpulley drill: batch ") && err.contains(testCase[1]), err);
             assertEquals(1, err.lines().count());
             assertEquals(1, out.lines().count(), out);
         }
     }
 
     @Test
-    void aBrokenDecisionIsToldOnTheWire() throws IOException {
+    void exceptionInTheLoadBalancerIsReportedAsPanic() throws IOException {
         assertEquals(0, drill(START + ORDER.formatted("99")));
         assertTrue(out.contains("\"op\":\"Panic\""), out);
     }
