--- a/core/src/test/java/asterpulley/WarmUpLimitTest.java
+++ b/core/src/test/java/asterpulley/WarmUpLimitTest.java
@@ -150,9 +150,9 @@
                         + simulation.meanTunnelSeconds
                         + " report refresh seconds "
                         + simulation.reportRefreshSeconds
-                        + (highLoad ? " high load" : "")
-                        + (hasHeavyTunnels ? " heavy tunnels" : "")
-                        + (probesRefused ? " probes refused" : "")
+                        + (highLoad ? " full" : "")
+                        + (hasHeavyTunnels ? " heavy" : "")
+                        + (probesRefused ? " refused" : "")
                         + " capacity "
                         + capacity
                         + " quiet seconds "
