--- a/bench/src/main/java/asterpulley/bench/DecisionBenchmark.java
+++ b/bench/src/main/java/asterpulley/bench/DecisionBenchmark.java
@@ -123,7 +123,7 @@
     private LoadReport report;
     private long lastId;
 
-    /** Creates a new decision module with its servers entries and a load report from each. */
+    /** Creates a new decision module with its server list and a load report from each server. */
     @Setup(Level.Iteration)
     public void setUpFleet() {
         RoutingPolicy policy = new RoutingPolicy();
--- a/bench/src/main/java/asterpulley/bench/SizeCost.java
+++ b/bench/src/main/java/asterpulley/bench/SizeCost.java
@@ -209,8 +209,8 @@
     }
 
     /**
-     * The same where the decision module chose the servers, and so has ordered the fleet for each
-     * group: bytes a group with open tunnels, and after all of them have ended.
+     * Retained heap bytes a group where the decision module chose the servers, and so has ordered
+     * the fleet for each group: with an open tunnel in each group, and after all have ended.
      */
     static double[] bytesPerPlacedGroup(int servers, int groups) {
         CountingHost host = new CountingHost();
--- a/cli/src/main/java/asterpulley/cli/RoutesCommand.java
+++ b/cli/src/main/java/asterpulley/cli/RoutesCommand.java
@@ -39,7 +39,7 @@
     /** Time of the trial: the decision module takes times at and before 0 for never. */
     private static final double NOW = 1e6;
 
-    /** Unanswered probes after which the decision module regards a server as silent. */
+    /** Unanswered probes in a row after which the decision module takes a server offline. */
     private static final int PROBES_TO_SILENCE = 3;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
--- a/cli/src/test/java/asterpulley/cli/CommandTest.java
+++ b/cli/src/test/java/asterpulley/cli/CommandTest.java
@@ -372,7 +372,10 @@
         }
     }
 
-    /** Retries until a place that has just become free is known to the relay. */
+    /**
+     * Repeats the open request, since the relay learns a little later that a closed tunnel has made
+     * room for another spilled one.
+     */
     private static void openWhenFree(int port, int id) throws IOException {
         String answer = "";
         for (int i = 0; i < 100 && !answer.startsWith("UP"); i++) {
--- a/files/src/main/java/asterpulley/files/PoolsReader.java
+++ b/files/src/main/java/asterpulley/files/PoolsReader.java
@@ -22,7 +22,8 @@
 
     /**
      * Reads the tables; null if the file has no {@code [spill]}. Zones, models and profiles are all
-     * those of the file; the pools are its zones or its models.
+     * those of the file; the pools are its zones or its models. {@code relaysPerPool} and {@code
+     * serverCapacity} stand in for a missing {@code relays_per_pool} and {@code holds}.
      */
     public static Map<String, Object> read(
             TomlSection root,
--- a/relay/src/test/java/asterpulley/serve/ConfigTest.java
+++ b/relay/src/test/java/asterpulley/serve/ConfigTest.java
@@ -170,7 +170,7 @@
     }
 
     /**
-     * Applies {@code edit} to each field in turn, calls {@code then} with the field's name, and
+     * Applies {@code edit} to each field in turn, calls {@code action} with the field's name, and
      * undoes the edit.
      */
     private static void forEachField(
--- a/relay/src/test/java/asterpulley/serve/DiscoveryRecoveryTest.java
+++ b/relay/src/test/java/asterpulley/serve/DiscoveryRecoveryTest.java
@@ -50,6 +50,7 @@
         DOWN,
         /** The response is 503. */
         REFUSES,
+        /** The connection is reset once the request has been read. */
         RESETS,
         /** There is no response. */
         SILENT,
@@ -57,6 +58,7 @@
         CUT,
         /** The listen backlog is full: connections are neither established nor refused. */
         FULL,
+        /** The response is not valid JSON. */
         MALFORMED,
         /** The request waits for its turn at a {@link SharedWorker}. */
         LATE,
--- a/relay/src/test/java/asterpulley/serve/OperatorApiTest.java
+++ b/relay/src/test/java/asterpulley/serve/OperatorApiTest.java
@@ -24,6 +24,8 @@
 
 /**
  * Calls the operator API and compares its answers and effects with what clients and backends saw.
+ * Guards against calls that report success without an effect or have an effect after they failed,
+ * and against callers that hold up clients or one another.
  */
 @Timeout(60)
 class OperatorApiTest extends RelayFixture {
@@ -381,6 +383,7 @@
         }
     }
 
+    /** An operator cordons a backend before restarting it, so its tunnels have to move first. */
     @Test
     void cordonMovesTunnelsOffTheBackend() throws Exception {
         Backend one = new Backend();
@@ -462,6 +465,8 @@
         healthChecker.send("PING\r\n");
         assertEquals("NO", healthChecker.readLine());
         assertEquals(503, call("GET", "health").status);
+        // Clients still arrive after the failed health check, until the load balancer in front of
+        // the relays has noticed it.
         TestConnection lateClient = connectClient("chat", 2000);
         backend.openNextTunnel();
         assertEquals(
--- a/relay/src/test/java/asterpulley/serve/ProbeFilterTest.java
+++ b/relay/src/test/java/asterpulley/serve/ProbeFilterTest.java
@@ -8,7 +8,8 @@
 
 /**
  * Probes of a backend's load in conflict with other events: their timeout, the next probe, and the
- * close of an idle probe connection.
+ * close of an idle probe connection. Guards against an event of one probe that ends the next, and
+ * against a backend that is blamed for closing an idle connection.
  */
 @Timeout(60)
 class ProbeFilterTest extends RelayFixture {
--- a/relay/src/test/java/asterpulley/serve/RunScriptTest.java
+++ b/relay/src/test/java/asterpulley/serve/RunScriptTest.java
@@ -9,7 +9,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Runs the operators' start script with a fake {@code java} that only prints its arguments. */
+/**
+ * Runs the operators' start script with a fake {@code java} that only prints its arguments. Guards
+ * against a heap that does not fit into the configured memory, and against a script that needs
+ * programs other than the shell and java.
+ */
 class RunScriptTest {
     @TempDir Path folder;
 
--- a/relay/src/test/java/asterpulley/serve/ServerListChangeTest.java
+++ b/relay/src/test/java/asterpulley/serve/ServerListChangeTest.java
@@ -9,7 +9,8 @@
 
 /**
  * Sudden changes on real sockets: a server list that replaces most servers, a burst of clients, and
- * a start with an empty list while discovery refuses requests.
+ * a start with an empty list while discovery refuses requests. Guards against tunnels that still go
+ * to removed servers, and against clients that are declined although they can be served.
  */
 class ServerListChangeTest extends RelayFixture {
     private void assertTunnelsOpen(int tunnels) throws Exception {
--- a/relay/src/test/java/asterpulley/serve/ServerListWatchTest.java
+++ b/relay/src/test/java/asterpulley/serve/ServerListWatchTest.java
@@ -10,7 +10,8 @@
 
 /**
  * The long poll for the server list under faults: silent and refused requests, a change of address
- * while a request is pending, and a start with an outdated list.
+ * while a request is pending, and a start with an outdated list. Guards against relays that read a
+ * change after it counts as known to them, or that use the list of an address they have left.
  */
 @Timeout(60)
 class ServerListWatchTest extends RelayFixture {
@@ -39,6 +40,10 @@
         assertEquals(1, counterValue("list_failures"));
     }
 
+    /**
+     * After a move to another address, a change counts as known to the relay within 4 s, even if
+     * the first request there stays silent.
+     */
     @Test
     void retriesSilentRequestWithinFourSecondsAfterAMove() throws Exception {
         Backend one = new Backend();
--- a/relay/src/test/java/asterpulley/serve/SettingsUpdateTest.java
+++ b/relay/src/test/java/asterpulley/serve/SettingsUpdateTest.java
@@ -19,7 +19,8 @@
 
 /**
  * Settings that a service changes while tunnels are open: applied, refused, caught up after a
- * disconnect, and restored after a restart.
+ * disconnect, and restored after a restart. Guards against changes that are applied in part, late
+ * or not at all, and against a relay that asks a failing service without a pause.
  */
 @Timeout(60)
 class SettingsUpdateTest extends RelayFixture {
--- a/relay/src/test/java/asterpulley/serve/StateFilesTest.java
+++ b/relay/src/test/java/asterpulley/serve/StateFilesTest.java
@@ -18,7 +18,8 @@
 
 /**
  * Tests the files that processes of one relay share: complete, truncated, with foreign content, and
- * missing.
+ * missing. Guards against cordons that are lost or made up, against failures on files that cannot
+ * be read or written, and against a dead process that is taken for the successor.
  */
 class StateFilesTest {
     @TempDir Path folder;
--- a/relay/src/test/java/asterpulley/settings/ActiveSettingsTest.java
+++ b/relay/src/test/java/asterpulley/settings/ActiveSettingsTest.java
@@ -480,6 +480,8 @@
                 List.of(1.0, 0.2),
                 active.settings().customerShares,
                 "a removed customer has no share to exceed");
+        // "chat" is only in the relay's own file. The service's document does not name it, so it
+        // counts as removed.
         assertEquals(0.3, active.settings().profiles.get(0).setupGoal, "with its last values");
         active.received(
                 changesAnswer(1, 2, 2, map("profiles", map("pay", null, "chat", map("credit", 5)))),
