--- a/relay/src/test/java/asterpulley/serve/StubSettingsService.java
+++ b/relay/src/test/java/asterpulley/serve/StubSettingsService.java
@@ -130,9 +130,10 @@
 
         private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-        /** The paths of all requests, and the bodies of all responses. */
+        /** The paths of all requests, with their queries. */
         final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
 
+        /** The bodies of all responses, and scripted responses as they are. */
         final List<String> responses = new CopyOnWriteArrayList<>();
 
         /**
