--- a/relay/src/main/java/asterpulley/door/OperatorHttpServer.java
+++ b/relay/src/main/java/asterpulley/door/OperatorHttpServer.java
@@ -34,9 +34,9 @@
 
 /**
  * The HTTP server for operators, on an address of its own, with one request per connection. Callers
- * that have not sent a complete request wait in a bounded set, from which the one that has been
- * silent for longest is dropped first. It makes no decisions, acts only on complete requests, and
- * never lets a caller delay another.
+ * that have not sent a complete request wait in a bounded set. If it is full, a caller that was
+ * answered already is dropped for a new one, else the one that has waited longest. It makes no
+ * decisions, acts only on complete requests, and never lets a caller delay another.
  */
 public final class OperatorHttpServer extends BaseFilter {
     /** Descriptors reserved for operators: one for the listening socket, the others for callers. */
--- a/relay/src/main/java/asterpulley/line/ClientRequestFilter.java
+++ b/relay/src/main/java/asterpulley/line/ClientRequestFilter.java
@@ -69,8 +69,8 @@
             return ctx.getStopAction();
         }
         String line = LineAssembler.of(peer).nextLine(in);
-        // A client waits for the answer to its line: one that sends more behind it is no
-        // client, and nothing of it is used.
+        // A client sends nothing after its line until it has the answer. If more bytes follow, the
+        // line is refused as malformed and the rest is discarded.
         boolean malformed =
                 LineAssembler.of(peer).isTooLong()
                         || line != null
--- a/relay/src/main/java/asterpulley/line/ForwardingFilter.java
+++ b/relay/src/main/java/asterpulley/line/ForwardingFilter.java
@@ -20,8 +20,8 @@
  */
 public final class ForwardingFilter extends BaseFilter {
     /**
-     * If one side has ended and nothing is transferred for this long, the tunnel holds sockets for
-     * nobody.
+     * If one side has ended and nothing is transferred for this long, the tunnel holds sockets that
+     * nobody uses.
      */
     private static final double HALF_CLOSED_TIMEOUT_SECONDS = 10;
 
@@ -44,8 +44,8 @@
     private static final double SLOW_LINE_SECONDS = 0.1;
 
     /**
-     * How long to wait, before a move, for a backend to complete a line. It may not hold the client
-     * back for longer.
+     * How long a move waits for the backend to complete a line that it has sent in part; a line may
+     * not be held back for longer than this.
      */
     private static final double PARTIAL_LINE_TIMEOUT_SECONDS = 0.8;
 
@@ -97,8 +97,9 @@
         } else if (!tunnel.established && (tunnel.finished || !fromClient)) {
             ((Buffer) message).tryDispose();
         } else if (!tunnel.established) {
-            // A client waits for its answer: one that sends before it is no client, and no
-            // backend should have to read that.
+            // A client sends nothing until it has its answer. What a peer sends earlier is not
+            // valid
+            // and must not reach a backend.
             ((Buffer) message).tryDispose();
             registry.count("early_words");
             loadBalancerFilter.abort(tunnel);
--- a/relay/src/main/java/asterpulley/line/ProbeFilter.java
+++ b/relay/src/main/java/asterpulley/line/ProbeFilter.java
@@ -20,17 +20,17 @@
 
 /**
  * The connections on which backends are asked for their load: one for each backend, kept between
- * probes because a new connection costs the backend processor time and a socket. Each probe must
- * end in exactly one result, which is reported and never interpreted here.
+ * probes because a new connection costs the backend work and capacity. Each probe must end in
+ * exactly one result, which is reported and never interpreted here.
  */
 public final class ProbeFilter extends BaseFilter {
     /**
-     * A connection unused for this long belongs to a backend that nobody probes any more, or to a
+     * A connection unused for this long belongs to a backend that is no longer probed, or to a
      * machine that fell silent.
      */
     private static final double UNUSED_TIMEOUT_SECONDS = 60;
 
-    /** Applies if there are no profiles. */
+    /** How long a backend may take to answer a probe if there are no profiles with a setup goal. */
     private static final double DEFAULT_ANSWER_TIMEOUT_SECONDS = 0.5;
 
     /** One backend's connection and the probe in progress on it. */
--- a/relay/src/main/java/asterpulley/line/SetupFilter.java
+++ b/relay/src/main/java/asterpulley/line/SetupFilter.java
@@ -99,7 +99,7 @@
         }
         switch (tunnel.client.peek()) {
             case END_OF_INPUT -> {
-                // It left in this very pass over the sockets, or while this process was
+                // The client left in this very pass over the sockets, or while this process was
                 // suspended.
                 registry.count("left_before_answer");
                 tunnel.clientEnded = true;
@@ -113,7 +113,7 @@
                 return;
             }
             default -> {
-                // It waits, as a client does.
+                // The client waits for its answer, as it should.
             }
         }
         peer.tunnel = tunnel;
@@ -174,8 +174,8 @@
         registry.recordOpened(tunnel);
         tunnel.client.send(LineCodec.encode(line));
         if (tunnel.clientEnded) {
-            // The client ended its output behind its line and nothing more: pass that on to the
-            // backend; the client still gets its answer.
+            // The client only ended its output after its request and still reads: the backend's
+            // input is ended too, and the client gets its answer.
             peer.shutdownOutput();
         }
         loadBalancerFilter.tunnelOpened(tunnel);
--- a/relay/src/main/java/asterpulley/list/DiscoveryWatcher.java
+++ b/relay/src/main/java/asterpulley/list/DiscoveryWatcher.java
@@ -21,7 +21,7 @@
  * One long poll waits at discovery at all times, and the next is sent as soon as the last is
  * answered, so that the watch never lapses. A list that discovery has replaced is never kept; a
  * list is never dropped because discovery fails or changes its address; and after a failure the
- * next call is made only when the decision module asks for it.
+ * next call is made only when the load balancer asks for it.
  */
 public final class DiscoveryWatcher implements LongPollClient.Callback {
     private static final Logger LOG = Logger.getLogger("asterpulley.list.Discovery");
@@ -37,15 +37,16 @@
     private static final double NO_WAIT_SECONDS = 1e-3;
 
     /**
-     * A change that a silent call misses counts as known to this relay so long after the wait of
-     * that call, whether or not it arrived; where the call may not wait, so long after this relay
-     * was given another address. By then the call must have been replaced by a new one.
+     * If discovery falls silent on a call, a change counts as known to this relay the first of
+     * these times after the end of that call's wait, whether or not it arrived. For a call that may
+     * not wait, it counts as known the second of these times after this relay was given another
+     * address. By then a new call must have replaced the silent one.
      */
     private static final double DEEMED_KNOWN_AFTER_WAIT_SECONDS = 2,
             DEEMED_KNOWN_AFTER_MOVE_SECONDS = 4;
 
     /**
-     * Whatever a call failed on, a change counts as known to this relay so long after discovery
+     * Whatever a call failed on, a change counts as known to this relay this long after discovery
      * became reachable again, which may be just after a call was lost. Within this time the lost
      * call must be given up, a pause must end, and a new call must be answered.
      */
@@ -80,7 +81,7 @@
 
     /**
      * The version of the last answer, and the highest of all answers since the address was set or
-     * an answer was last waited for.
+     * an answer last needed no pause before the next call.
      */
     private long version, highestVersion;
 
@@ -147,7 +148,7 @@
     }
 
     /**
-     * Called by the decision module: makes the first call, or the next one after a failure or after
+     * Called by the load balancer: makes the first call, or the next one after a failure or after
      * the watch was given up.
      */
     public void watch() {
@@ -243,7 +244,7 @@
 
     /**
      * Makes the next call: at once after an answer, or later by a pause that still keeps the watch
-     * up, or when the decision module asks for it.
+     * up, or when the load balancer asks for it.
      */
     private void scheduleNextCall(double pause) {
         if (pause > 0) {
--- a/relay/src/main/java/asterpulley/net/Addresses.java
+++ b/relay/src/main/java/asterpulley/net/Addresses.java
@@ -3,7 +3,10 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 
-/** Parses and formats addresses: a numeric IP address and a port. It must never look up a name. */
+/**
+ * Parses and formats addresses: a numeric IP address and a port. It must never look up a name,
+ * since the relay's surroundings have no names to look up.
+ */
 public final class Addresses {
     private Addresses() {}
 
--- a/relay/src/main/java/asterpulley/net/AdmissionFilter.java
+++ b/relay/src/main/java/asterpulley/net/AdmissionFilter.java
@@ -10,11 +10,14 @@
 /**
  * Second filter of the client chain: owns the relay's own capacity, which is its sockets. A tunnel
  * needs two, and some stay in reserve so that new clients can always be accepted and told when to
- * come back. It must never judge backends, which is up to the load balancer, and never decline a
+ * try again. It must never judge backends, which is up to the load balancer, and never decline a
  * complete request while enough idle connections can make room for it.
  */
 public final class AdmissionFilter extends BaseFilter {
-    /** Whatever else uses up the machine's descriptors may have released them by then. */
+    /**
+     * How long a descriptor shortage lowers the limit. Other processes, which use up the machine's
+     * descriptors, may have released some by then.
+     */
     private static final double SHORTAGE_SECONDS = 5;
 
     /** The reserve is one socket in this many, but no fewer than the minimum. */
--- a/relay/src/main/java/asterpulley/net/ClientListener.java
+++ b/relay/src/main/java/asterpulley/net/ClientListener.java
@@ -32,7 +32,10 @@
         ATTRIBUTE.set(listening, this);
     }
 
-    /** Whether this is the clients' address; others may be listened on as well. */
+    /**
+     * Whether this is the clients' address; the relay may also listen on another, such as the
+     * operators'.
+     */
     static boolean isClientListener(Connection<?> listening) {
         return ATTRIBUTE.isSet(listening);
     }
--- a/relay/src/main/java/asterpulley/net/IdleConnections.java
+++ b/relay/src/main/java/asterpulley/net/IdleConnections.java
@@ -239,8 +239,9 @@
     }
 
     /**
-     * Nothing of its request was sent on, so the client may as well come again; a peer that has its
-     * answer needs none.
+     * Declines the request that is still awaited, without advice on when to retry: nothing of it
+     * was sent to a backend, so the client may safely send it again. A peer that already has its
+     * answer gets no other.
      */
     private void declineIfAwaiting(PeerConnection connection) {
         if (connection.awaitingRequest) {
--- a/relay/src/main/java/asterpulley/net/LongPollClient.java
+++ b/relay/src/main/java/asterpulley/net/LongPollClient.java
@@ -30,7 +30,7 @@
  * either callback.
  */
 public final class LongPollClient extends BaseFilter {
-    /** Told how each request ended. */
+    /** Is notified of how each request ended. */
     public interface Callback {
         /**
          * The whole body of a response with status 200. The connection stays open for the next
@@ -114,9 +114,9 @@
     }
 
     /**
-     * Asks for what is newer than a version and lets the server wait so long for it; with {@link
-     * #NO_VERSION}, asks for everything at once. Fails as timed out if there is no complete
-     * response within {@code timeout} seconds from now.
+     * Asks for what is newer than a version and lets the server wait up to {@code wait} seconds for
+     * it; with {@link #NO_VERSION}, asks for everything at once. Fails as timed out if there is no
+     * complete response within {@code timeout} seconds from now.
      */
     public void request(long version, double wait, double timeout) {
         int number = ++currentRequest;
--- a/relay/src/main/java/asterpulley/net/PeerConnection.java
+++ b/relay/src/main/java/asterpulley/net/PeerConnection.java
@@ -56,8 +56,8 @@
     private final IdleConnections idleConnections;
 
     /**
-     * When the connection was created, or when the last message arrived, such as a health check of
-     * the front-end balancer.
+     * When the connection was created, or when bytes last arrived on it while it had no tunnel: a
+     * request, part of one, or a health check of the front-end balancer.
      */
     public double lastRequestAt;
 
--- a/relay/src/main/java/asterpulley/net/SocketFilter.java
+++ b/relay/src/main/java/asterpulley/net/SocketFilter.java
@@ -111,7 +111,10 @@
         return peer != null && peer.markLost() ? ctx.getInvokeAction() : ctx.getStopAction();
     }
 
-    /** A filter that throws ends its connection; the tunnel is told as of any broken one. */
+    /**
+     * Closes the connection on which a filter threw an exception; its tunnel is notified as of any
+     * broken connection.
+     */
     @Override
     public void exceptionOccurred(FilterChainContext ctx, Throwable error) {
         LOG.log(Level.SEVERE, "a filter failed", error);
--- a/relay/src/main/java/asterpulley/net/TunnelProtocol.java
+++ b/relay/src/main/java/asterpulley/net/TunnelProtocol.java
@@ -28,7 +28,8 @@
     void move(TunnelContext tunnel);
 
     /**
-     * Answers that the tunnel is declined, to be tried again after so many seconds (0: no advice).
+     * Answers that the tunnel is declined, to be tried again after {@code retryAfter} seconds (0:
+     * no advice).
      */
     void decline(PeerConnection client, double retryAfter);
 
--- a/relay/src/main/java/asterpulley/net/TunnelRegistry.java
+++ b/relay/src/main/java/asterpulley/net/TunnelRegistry.java
@@ -164,7 +164,9 @@
         }
     }
 
-    /** Final answer: declined, to be tried again after so many seconds (0: no advice). */
+    /**
+     * Final answer: declined, to be tried again after {@code retryAfter} seconds (0: no advice).
+     */
     public void decline(TunnelContext tunnel, double retryAfter) {
         if (recordFinalAnswer(tunnel, Answer.DECLINED)) {
             tunnel.protocol.decline(tunnel.client, retryAfter);
--- a/relay/src/main/java/asterpulley/serve/Config.java
+++ b/relay/src/main/java/asterpulley/serve/Config.java
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Reads a configuration from the content of a file of any form. */
+    /** Reads a configuration from the content of a file of any form, by the platform's names. */
     static Config of(Map<String, Object> document) {
         return new Config(document);
     }
@@ -154,7 +154,7 @@
 
     /**
      * Returns whether the new configuration changes something that only a restart can apply: the
-     * decision module and the names are set up once.
+     * load balancer and the names are set up once.
      */
     boolean requiresRestart(Config newConfig) {
         return !settingsDocument.equals(newConfig.settingsDocument)
--- a/relay/src/main/java/asterpulley/serve/ControlPlane.java
+++ b/relay/src/main/java/asterpulley/serve/ControlPlane.java
@@ -26,15 +26,15 @@
 
 /**
  * The parts of a relay that make decisions, independent of its clients' protocol: the watch on the
- * server list and, where a service sends them, on the settings, the probes, the decision module
- * with its filter, and admission. A protocol frontend (the line protocol in {@link RelayInstance},
- * or one without sockets) builds on it. It has no access to client connections.
+ * server list and, where a service sends them, on the settings, the probes, the load balancer with
+ * its filter, and admission. A protocol frontend (the line protocol in {@link RelayInstance}, or
+ * one without sockets) builds on it. It has no access to client connections.
  */
 public final class ControlPlane {
     public final EventLoop loop;
     public final TunnelRegistry registry;
 
-    /** Calls the decision module and carries out its decisions. */
+    /** Calls the load balancer and carries out its decisions. */
     public final LoadBalancerFilter decisions;
 
     public final AdmissionFilter admission;
@@ -135,7 +135,10 @@
                                 stateFiles);
     }
 
-    /** Creates a control plane from the content of a configuration, without state files. */
+    /**
+     * Creates a control plane from the content of a configuration, by the platform's names, without
+     * state files.
+     */
     public static ControlPlane of(
             Map<String, Object> document,
             TunnelProtocol protocol,
@@ -169,7 +172,8 @@
     }
 
     /**
-     * @param onSettingsServiceHeard run once the settings service was heard, if there is one
+     * @param onSettingsServiceHeard run once the settings service has answered, if there is one;
+     *     see {@link SettingsWatcher#start}
      */
     void start(Runnable onSettingsServiceHeard) {
         if (config.hasPools()) {
--- a/relay/src/main/java/asterpulley/serve/GracefulShutdown.java
+++ b/relay/src/main/java/asterpulley/serve/GracefulShutdown.java
@@ -49,8 +49,8 @@
     private static final double MOVES_DONE_BEFORE_END_SECONDS = 0.4;
 
     /**
-     * The clients of a quiesced relay are moved once the platform's front has noticed that it is
-     * quiesced, and all before the time at which the operation counts as failed.
+     * The clients of a quiesced relay are moved once the platform's front-end balancer has noticed
+     * that it is quiesced, and all before the time at which the operation counts as failed.
      */
     private static final double QUIESCE_MOVES_FROM_SECONDS = 0.4, QUIESCE_MOVES_UNTIL_SECONDS = 2.8;
 
--- a/relay/src/main/java/asterpulley/serve/RelayInstance.java
+++ b/relay/src/main/java/asterpulley/serve/RelayInstance.java
@@ -47,8 +47,8 @@
     private static final Logger GRIZZLY_LOG = Logger.getLogger("org.glassfish.grizzly");
 
     /**
-     * Operators' callers may send anything, which needs no stack trace; the relay's own filters log
-     * their errors themselves.
+     * Callers of the operator API may send anything, and an invalid request needs no stack trace in
+     * the log; the relay's own filters log their errors themselves.
      */
     private static final Logger FILTER_CHAIN_LOG =
             Logger.getLogger("org.glassfish.grizzly.filterchain");
@@ -62,8 +62,8 @@
     private static final double SLOW_READER_MEMORY_SHARE = 0.1;
 
     /**
-     * The share of the memory reserved for buffers, also if the process has more than the
-     * configured memory.
+     * The share of the configured memory that is reserved for buffers, also if the process has more
+     * memory than is configured.
      */
     private static final double POOLED_MEMORY_SHARE = 0.03;
 
@@ -105,7 +105,7 @@
     private final CountDownLatch listCurrent = new CountDownLatch(1),
             settingsServiceHeard = new CountDownLatch(1);
 
-    /** Null if no service sends settings. Then those of the file count, from a start. */
+    /** Null if no service sends settings. Then those of the file apply, as read at the start. */
     private final SettingsWatcher settingsWatcher;
 
     /** Guarded by {@link #terminated}, like the listener until it is open. */
@@ -190,7 +190,7 @@
                         .add(loadBalancer)
                         .add(forwardingFilter)
                         .build());
-        // Timers and the decision module start as the first task of the event loop.
+        // Timers and the load balancer start as the first task of the event loop.
         transport.start();
         CountDownLatch loopStarted = new CountDownLatch(1);
         loop.submit(
--- a/relay/src/main/java/asterpulley/serve/SettingsWatcher.java
+++ b/relay/src/main/java/asterpulley/serve/SettingsWatcher.java
@@ -27,9 +27,9 @@
 
     /**
      * How long a call may wait for news, when it is given up, and the longest delay of the next
-     * call after a failure. A change has to become active within 13 s; after a call that was lost
-     * just before the service became reachable again, that takes the last two of these times and a
-     * connection.
+     * call after a failure. A change has to become active within 13 s. If a call was lost just
+     * before the service became reachable again, a change waits for that call's timeout, the
+     * longest delay and a new connection.
      */
     private static final double POLL_WAIT_SECONDS = 4,
             CALL_TIMEOUT_SECONDS = 5.5,
@@ -42,7 +42,7 @@
 
     /**
      * Delay between an answer and the next call, so that changes made meanwhile arrive in one
-     * answer and are applied at once.
+     * answer and are applied together.
      */
     private static final double CALL_SPACING_SECONDS = 0.05;
 
@@ -110,8 +110,8 @@
     }
 
     /**
-     * @param onServiceHeard run once, when the service was heard, whatever it sent, or when a call
-     *     failed and settings of the service are active
+     * @param onServiceHeard run once, when the service has answered, whatever it sent, or when a
+     *     call failed and settings of the service, stored by a previous process, are active
      */
     void start(Runnable onServiceHeard) {
         this.onServiceHeard = onServiceHeard;
--- a/relay/src/main/java/asterpulley/serve/StateFiles.java
+++ b/relay/src/main/java/asterpulley/serve/StateFiles.java
@@ -20,7 +20,8 @@
  * The files by which the processes of one relay share state: the cordoned servers, which process
  * serves, the learned values, and the active settings if a service sends them. They are small, and
  * on the platform they are in memory. Each is written whole (a new file, then a rename) or not at
- * all. An unreadable file is reported by its name and never keeps a relay from starting.
+ * all. An unreadable file never keeps a relay from starting; for cordons and settings the log names
+ * it.
  */
 final class StateFiles {
     private static final Logger LOG = Logger.getLogger("asterpulley.serve.Kept");
@@ -41,8 +42,8 @@
     }
 
     /**
-     * Returns the cordoned servers; empty if there is no file. Of a truncated file the complete
-     * lines count: a cordon that stays by mistake can be lifted.
+     * Returns the cordoned servers; empty if there is no file or it cannot be read. Of a truncated
+     * file the complete lines count: a cordon that stays by mistake can be lifted.
      */
     Optional<Set<String>> cordons() {
         Set<String> servers = new TreeSet<>();
--- a/relay/src/main/java/asterpulley/settings/ActiveSettings.java
+++ b/relay/src/main/java/asterpulley/settings/ActiveSettings.java
@@ -46,8 +46,9 @@
     }
 
     /**
-     * How an answer was handled; counters have these names in lower case. GAP: changes before those
-     * in the answer are missing.
+     * How an answer was handled; counters have these names in lower case. SAME: it contained no
+     * other version than the one known. STALE: its version is older than the active one. GAP:
+     * changes between the version known here and those in the answer are missing.
      */
     public enum Kind {
         IN_FORCE,
@@ -438,7 +439,7 @@
     }
 
     /**
-     * Returns the active settings for the decision module. The object is never changed after it was
+     * Returns the active settings for the load balancer. The object is never changed after it was
      * returned.
      */
     public Settings settings() {
--- a/relay/src/main/java/asterpulley/settings/SettingsSchema.java
+++ b/relay/src/main/java/asterpulley/settings/SettingsSchema.java
@@ -17,7 +17,7 @@
 
     private static final double MAX_DURATION_MS = 3.6e6;
 
-    /** What the decoder uses for a profile that does not say. */
+    /** What the decoder uses for a profile that does not set these. */
     private static final double DEFAULT_SETUP_GOAL_MS = 500, DEFAULT_CLIENT_TIMEOUT_MS = 2000;
 
     /**
@@ -223,8 +223,9 @@
     }
 
     /**
-     * Returns the entries by name, whether they are given as a list or as an object. The value is
-     * null for an entry that is not an object.
+     * Returns the entries by name, whether they are given as a list or as an object. An entry that
+     * is not an object has the value null if it is a member of an object; in a list it counts as a
+     * name without settings.
      */
     @SuppressWarnings("unchecked")
     static Map<String, Map<String, Object>> entriesByName(Object entries) {
