--- a/relay/src/main/java/asterpulley/line/LineCodec.java
+++ b/relay/src/main/java/asterpulley/line/LineCodec.java
@@ -149,10 +149,15 @@
                         afterTimeout);
     }
 
+    /**
+     * The line that declines a tunnel, to be tried again after {@code retryAfter} seconds (0: no
+     * advice).
+     */
     public static String busy(double retryAfter) {
         return retryAfter > 0 ? "BUSY " + Math.round(retryAfter * 1000) : "BUSY";
     }
 
+    /** Whether a backend's line says that the tunnel is open. */
     public static boolean isOpened(String line) {
         return line.startsWith("UP ");
     }
@@ -181,6 +186,7 @@
         }
     }
 
+    /** What the answer to a probe says of the backend. */
     public static Outcome probeOutcome(String line) {
         return line.startsWith(PONG)
                 ? Outcome.OK
--- a/relay/src/main/java/asterpulley/line/ProbeFilter.java
+++ b/relay/src/main/java/asterpulley/line/ProbeFilter.java
@@ -137,6 +137,7 @@
         return true;
     }
 
+    /** Asks a server for its load, unless a probe of it is in progress. */
     public void probe(String serverName) {
         BackendProbe probe = probesByServer.computeIfAbsent(serverName, BackendProbe::new);
         if (probe.awaitingAnswer) {
--- a/relay/src/main/java/asterpulley/line/SetupFilter.java
+++ b/relay/src/main/java/asterpulley/line/SetupFilter.java
@@ -50,6 +50,10 @@
         this.filterChain = filterChain;
     }
 
+    /**
+     * Starts to connect to this server for the tunnel; the setup is given up after {@code timeout}
+     * seconds.
+     */
     public void startSetup(TunnelContext tunnel, String serverName, double timeout) {
         int setupNumber = ++tunnel.setupCount;
         tunnel.serverName = serverName;
--- a/relay/src/main/java/asterpulley/net/LoadBalancerFilter.java
+++ b/relay/src/main/java/asterpulley/net/LoadBalancerFilter.java
@@ -292,6 +292,7 @@
                 });
     }
 
+    /** The backend has reported the load of this tunnel. */
     public void loadReported(TunnelContext tunnel, double cores) {
         if (poolRouter != null) {
             poolRouter.tunnelLoadReported(tunnel.id, cores);
@@ -308,6 +309,7 @@
         }
     }
 
+    /** A probe has ended; the report is empty if the server sent none. */
     public void probeFinished(String serverName, Outcome outcome, LoadReport report) {
         if (poolRouter != null) {
             poolRouter.probeFinished(serverName, outcome, report, eventLoop.now());
@@ -378,14 +380,23 @@
         return loadBalancer.cordonedServers();
     }
 
+    /** Whether this server was ever listed or is cordoned. */
     public boolean isKnown(String server) {
         return loadBalancer.isKnown(server);
     }
 
-    public int listedServerCount(boolean onlyAvoided) {
-        return loadBalancer.listedServerCount(onlyAvoided);
+    /**
+     * The number of listed servers, or with {@code onlyUnavailable} of those that get no new
+     * tunnels from this relay for now.
+     */
+    public int listedServerCount(boolean onlyUnavailable) {
+        return loadBalancer.listedServerCount(onlyUnavailable);
     }
 
+    /**
+     * A call for the server list failed; the load balancer decides when to make the next one.
+     * {@code timedOut}: the call took long before it failed, so the next may follow sooner.
+     */
     public void serverListFailed(boolean timedOut) {
         callLoadBalancer(() -> loadBalancer.onServerListFailed(timedOut));
     }
--- a/relay/src/main/java/asterpulley/net/Termination.java
+++ b/relay/src/main/java/asterpulley/net/Termination.java
@@ -29,6 +29,7 @@
         CLIENT_LEFT
     }
 
+    /** What this end means for the load balancer. */
     public Outcome outcome() {
         boolean sent = progress.compareTo(Progress.SENT) >= 0;
         return switch (cause) {
--- a/relay/src/main/java/asterpulley/net/TunnelContext.java
+++ b/relay/src/main/java/asterpulley/net/TunnelContext.java
@@ -39,10 +39,13 @@
     /** What the backend sent as the reason for the end; null if it sent none. */
     public Termination.Cause backendEndCause;
 
+    /** Whether the client is to be told, or was told, to connect elsewhere. */
     public boolean moving;
+
+    /** Which sides have ended their output. */
     public boolean clientEnded, backendEnded;
 
-    /** When bytes last arrived from either side. */
+    /** When bytes last arrived from either side, or one side ended. */
     public double lastActivityAt;
 
     /**
--- a/relay/src/main/java/asterpulley/serve/SettingsWatcher.java
+++ b/relay/src/main/java/asterpulley/serve/SettingsWatcher.java
@@ -110,8 +110,9 @@
     }
 
     /**
-     * @param onServiceHeard run once, when the service has answered, whatever it sent, or when a
-     *     call failed and settings of the service, stored by a previous process, are active
+     * @param onServiceHeard run once, when the service has sent a well-formed answer, whatever its
+     *     result, or when a call failed and settings of the service, stored by a previous process,
+     *     are active
      */
     void start(Runnable onServiceHeard) {
         this.onServiceHeard = onServiceHeard;
