--- a/relay/src/main/java/asterpulley/list/DiscoveryWatcher.java
+++ b/relay/src/main/java/asterpulley/list/DiscoveryWatcher.java
@@ -22,6 +22,10 @@
  * answered, so that the watch never lapses. A list that discovery has replaced is never kept; a
  * list is never dropped because discovery fails or changes its address; and after a failure the
  * next call is made only when the load balancer asks for it.
+ *
+ * <p>The platform defines when a change at discovery counts as known to a relay, whether or not the
+ * relay has received it; from then on the relay has to follow it. The times below keep calls short
+ * enough for that.
  */
 public final class DiscoveryWatcher implements LongPollClient.Callback {
     private static final Logger LOG = Logger.getLogger("asterpulley.list.Discovery");
--- a/relay/src/main/java/asterpulley/net/AdmissionFilter.java
+++ b/relay/src/main/java/asterpulley/net/AdmissionFilter.java
@@ -62,7 +62,8 @@
 
     /**
      * The sockets that tunnels, probes and new clients may use together. The limit may change while
-     * tunnels are open: those above a lower one leave by themselves, and none are added meanwhile.
+     * tunnels are open: if it is lowered, tunnels above it are left to end by themselves, and none
+     * are added meanwhile.
      */
     public void setSocketLimit(int sockets) {
         configuredLimit = sockets;
--- a/relay/src/main/java/asterpulley/net/TunnelRegistry.java
+++ b/relay/src/main/java/asterpulley/net/TunnelRegistry.java
@@ -183,7 +183,8 @@
     }
 
     /**
-     * Counts the final answer. False, and to be dropped, if the tunnel has one already or is gone.
+     * Counts the final answer. False if the tunnel has one already or is gone: a second answer is
+     * not sent.
      */
     private boolean recordFinalAnswer(TunnelContext tunnel, Answer answer) {
         if (tunnel == null || tunnel.answered) {
--- a/relay/src/main/java/asterpulley/serve/Config.java
+++ b/relay/src/main/java/asterpulley/serve/Config.java
@@ -43,7 +43,7 @@
 
     /**
      * The service that sends settings at run time; null if there is none, as on the platform, and
-     * the settings of the file count.
+     * the settings of the file apply.
      */
     final InetSocketAddress settingsServiceAddress;
 
--- a/relay/src/main/java/asterpulley/serve/RelayInstance.java
+++ b/relay/src/main/java/asterpulley/serve/RelayInstance.java
@@ -215,7 +215,8 @@
     /**
      * Returns whether the configured server list may be older than what counts as known to this
      * relay. That is so if another process of this relay may have served meanwhile, and if the list
-     * is pushed, since everything that was pushed then counts from the first moment of a process.
+     * is pushed, since everything that was pushed then counts as known from the first moment of a
+     * process.
      */
     private boolean mustCatchUp() {
         return config.discoveryAddress != null
