--- a/relay/src/main/java/asterpulley/line/SetupFilter.java
+++ b/relay/src/main/java/asterpulley/line/SetupFilter.java
@@ -50,6 +50,10 @@
         this.filterChain = filterChain;
     }
 
+    /**
+     * Starts to connect to this server for the tunnel; the setup is given up after {@code timeout}
+     * seconds.
+     */
     public void startSetup(TunnelContext tunnel, String serverName, double timeout) {
         int setupNumber = ++tunnel.setupCount;
         tunnel.serverName = serverName;
@@ -99,7 +103,7 @@
         }
         switch (tunnel.client.peek()) {
             case END_OF_INPUT -> {
-                // It left in this very pass over the sockets, or while this process was
+                // The client left in this very pass over the sockets, or while this process was
                 // suspended.
                 registry.count("left_before_answer");
                 tunnel.clientEnded = true;
@@ -113,7 +117,7 @@
                 return;
             }
             default -> {
-                // It waits, as a client does.
+                // The client waits for its answer, as it should.
             }
         }
         peer.tunnel = tunnel;
@@ -174,8 +178,8 @@
         registry.recordOpened(tunnel);
         tunnel.client.send(LineCodec.encode(line));
         if (tunnel.clientEnded) {
-            // The client ended its output behind its line and nothing more: pass that on to the
-            // backend; the client still gets its answer.
+            // The client only ended its output after its request and still reads: the backend's
+            // input is ended too, and the client gets its answer.
             peer.shutdownOutput();
         }
         loadBalancerFilter.tunnelOpened(tunnel);
--- a/relay/src/main/java/asterpulley/net/TunnelRegistry.java
+++ b/relay/src/main/java/asterpulley/net/TunnelRegistry.java
@@ -164,7 +164,9 @@
         }
     }
 
-    /** Final answer: declined, to be tried again after so many seconds (0: no advice). */
+    /**
+     * Final answer: declined, to be tried again after {@code retryAfter} seconds (0: no advice).
+     */
     public void decline(TunnelContext tunnel, double retryAfter) {
         if (recordFinalAnswer(tunnel, Answer.DECLINED)) {
             tunnel.protocol.decline(tunnel.client, retryAfter);
@@ -181,7 +183,8 @@
     }
 
     /**
-     * Counts the final answer. False, and to be dropped, if the tunnel has one already or is gone.
+     * Counts the final answer. False if the tunnel has one already or is gone: a second answer is
+     * not sent.
      */
     private boolean recordFinalAnswer(TunnelContext tunnel, Answer answer) {
         if (tunnel == null || tunnel.answered) {
