--- a/core/src/main/java/asterpulley/LoadBalancer.java
+++ b/core/src/main/java/asterpulley/LoadBalancer.java
@@ -43,7 +43,7 @@
     private static final double OVERLOADED_LOAD_FACTOR = 0.95;
 
     /**
-     * Moves may reach this many times the rate of new tunnels; the store behind the servers has
+     * Moves may add up to this many times the rate of new tunnels; the store behind the servers has
      * some room beyond the usual rate of setups.
      */
     private static final double MOVES_PER_ARRIVAL = 6;
@@ -62,7 +62,8 @@
 
     /**
      * Share of the service's result that regular probes may cost, and the bounds of the interval
-     * that follows from it.
+     * that follows from it for servers in use. The upper bound grows with the probe fee; see {@link
+     * #probeInterval}.
      */
     private static final double PROBE_COST_SHARE = 0.01;
 
@@ -75,8 +76,8 @@
     private static final double PROBE_INTERVAL_JITTER_FROM = 0.9, PROBE_INTERVAL_JITTER = 0.2;
 
     /**
-     * Assumed mean time between two servers that stop answering; operators have seen this on their
-     * worst days.
+     * Assumed mean time until a server stops answering, as operators have seen it on their worst
+     * days.
      */
     private static final double SECONDS_BETWEEN_SILENT_SERVERS = 300;
 
@@ -121,8 +122,8 @@
     private static final double LOADED_LOAD_FACTOR = 0.3, EMPTY_LOAD_FACTOR = 0.1;
 
     /**
-     * Converts the cross-zone fee to a load factor: the fee is lost for all of a tunnel's life, and
-     * a load factor that is higher by this many times the fee loses as much.
+     * Converts the cross-zone fee to a load factor: the fee is paid for all of a tunnel's life, and
+     * a load factor that is higher by this many times the fee costs as much.
      */
     private static final double FEE_TO_LOAD_FACTOR = 4;
 
@@ -193,7 +194,7 @@
     /** Models are numbered modulo this, a power of two. */
     private static final int MODEL_SLOTS = 64;
 
-    /** Factor by which each report decays what earlier reports taught about a model. */
+    /** What remains of a model's earlier reports in its sums at each new report. */
     private static final double MODEL_HISTORY_KEPT = 0.97;
 
     /** Cap on a profile's sample count, so that its mean load keeps following new reports. */
@@ -205,7 +206,7 @@
     /** Smallest load in mean loads that a tunnel counts as. */
     private static final double MIN_TUNNEL_UNITS = 0.05;
 
-    /** A server with a better chance of success than this is always used. */
+    /** A server with a better chance of success than this is used without a random draw. */
     private static final double RELIABLE_SUCCESS_CHANCE = 0.8;
 
     /**
@@ -230,7 +231,7 @@
 
     private static final double INITIAL_SETUP_LATENCY_SECONDS = 0.02;
 
-    /** Time without a full result after which tunnels are no longer declined as all full. */
+    /** The declining mode ends if no search during this time has found all servers full. */
     private static final double DECLINING_HOLD_SECONDS = 1;
 
     /** Least rate of opened tunnels per second by which the probe fee is weighed. */
@@ -245,7 +246,10 @@
     private static final double INITIAL_LIST_BACKOFF_SECONDS = 0.5;
     private static final double MAX_LIST_BACKOFF_SECONDS = 3;
 
-    /** With more relays than this per second of backoff, each requests a failed list less often. */
+    /**
+     * The longest backoff is one second for each this many relays, so that a larger fleet does not
+     * request a failed list more often in total.
+     */
     private static final double RELAYS_PER_BACKOFF_SECOND = 40;
 
     private static final double TICK_SECONDS = 0.1;
@@ -559,8 +563,8 @@
             if (openServer >= 0) {
                 fullUntil[openServer] =
                         Math.max(fullUntil[openServer], frontend.now() + SLOW_MESSAGE_HOLD_SECONDS);
-                // A delay this long is more than overload: the server may have stopped responding
-                // while its tunnels wait.
+                // A delay this long means more than overload: the server may have stopped
+                // responding while its tunnels wait.
                 nextProbeAt[openServer] =
                         messageSeconds > MAX_REPORT_LAG_SECONDS
                                 ? Math.min(nextProbeAt[openServer], frontend.now())
@@ -775,7 +779,7 @@
         }
         int server = noSetupNow ? -1 : pickServer(tunnel);
         if (server < 0) {
-            // The frontend widens the selection pool by pool: a tunnel is given up only after all
+            // The frontend opens routes in turn, so a tunnel is given up only after all of them
             // were tried.
             if (!noSetupNow && frontend.widenSelection(tunnel)) {
                 place(tunnel);
@@ -1242,8 +1246,8 @@
                         Math.min(share / 2, fillLimit) - sentUnits,
                         share * (0.5 - reportedLoad[server] / settings.collapseMultiple)
                                 - unreportedUnits);
-        // Rounds to whole tunnels with a random dither, so that the shares of many relays still add
-        // up.
+        // Each relay can only send whole tunnels. The random dither decides whether its share is
+        // rounded up or down, so that the shares of many relays still add up.
         return units * (1 - coldDither[server]) <= room;
     }
 
@@ -1446,8 +1450,8 @@
             if (moveTokens < 1) {
                 return;
             }
-            // Moves a small share with a matching probability: if every relay moved at least one
-            // tunnel, they would empty the server.
+            // A relay with few tunnels here moves its part with a matching probability: if every
+            // relay moved at least one tunnel, together they would empty the server.
             if (random.nextDouble() * tunnel.units >= unitsToMove) {
                 break;
             }
@@ -1519,8 +1523,8 @@
             offline[server] = false;
         }
         if (timedOutLatency[server] > 0) {
-            // A setup timed out there, yet the server answers probes: setups take that long,
-            // probably on any server.
+            // A setup timed out there, yet the server answers probes: setups take that long at
+            // present, on any server.
             recordLatency(timedOutLatency[server], TIMED_OUT_LATENCY_WEIGHT);
             timedOutLatency[server] = 0;
         }
@@ -1544,7 +1548,8 @@
             }
             if (running[server] && !isCold(server, now)) {
                 tunnelCountsReported |= report.openTunnels >= 0;
-                // An empty report, like none at all, says nothing about what fills a server.
+                // A report of almost no load, like the state before the first report, says nothing
+                // about what fills a server.
                 if (currentLoad >= EMPTY_LOAD_FACTOR) {
                     learnCapacity(models[server], report.openTunnels, currentLoad);
                 }
@@ -1601,8 +1606,8 @@
                                 * fee
                                 / PROBE_COST_SHARE,
                         serverCount / MAX_PROBES_PER_SECOND);
-        // The cost of probes and the cost of noticing a silent server half an interval late are
-        // minimal in sum at this root.
+        // At this root the sum of two costs is least: that of the probes, and that of a server
+        // which stops answering and is noticed half an interval later on average.
         double maxInterval =
                 Math.max(
                         MAX_PROBE_INTERVAL_SECONDS,
--- a/decode/src/main/java/asterpulley/decode/RoutingPolicyDecoder.java
+++ b/decode/src/main/java/asterpulley/decode/RoutingPolicyDecoder.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Decodes the routes section of the settings into a routing policy; a relay without routes does not
- * use this class. It returns a complete policy or throws.
+ * Decodes the routes section of the settings into a routing policy. The platform's settings have no
+ * such section, so this class is not loaded there. It returns a complete policy or throws.
  */
 public final class RoutingPolicyDecoder {
     private RoutingPolicyDecoder() {}
--- a/routes/src/main/java/asterpulley/routes/Pool.java
+++ b/routes/src/main/java/asterpulley/routes/Pool.java
@@ -6,16 +6,16 @@
  * tells them apart. A pool has exactly one condition at a time, and every condition can be left.
  */
 public final class Pool {
-    /**
-     * {@code CUT_OFF}: silent to this relay while the server list still names it; {@code UNLISTED}:
-     * the list names no running server of it.
-     */
+    /** What is wrong with the pool, if anything; see {@link PoolHealth.State}. */
     public enum Condition {
         SOUND,
         SUSPECT,
         DARK,
+        /** Silent to this relay for long, while the server list still names its servers. */
         CUT_OFF,
+        /** The server list names no running server of the pool. */
         UNLISTED,
+        /** Healthy, but its mean load is too high. */
         OVERLOADED,
         RETURNING;
 
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Whether the pool is unavailable, for whatever reason: only servers that answer again are
-     * tried.
+     * Whether the pool is unavailable, for whatever reason: at home only servers that have answered
+     * since are still used, and tunnels from other pools get none.
      */
     public boolean isUnavailable() {
         return health.isUnavailable();
@@ -126,7 +126,7 @@
         return health.isFlapping();
     }
 
-    /** When its current health state began. */
+    /** When the current health state began; {@link Condition#CUT_OFF} counts as unavailable. */
     double since() {
         return health.since();
     }
--- a/routes/src/main/java/asterpulley/routes/PoolHealth.java
+++ b/routes/src/main/java/asterpulley/routes/PoolHealth.java
@@ -7,14 +7,15 @@
  * does not flap. Every state can be left.
  */
 public final class PoolHealth {
-    /**
-     * Healthy; most servers are silent, but not for long yet; unavailable; servers answer again,
-     * but not for long yet.
-     */
+    /** What the pool's silent servers say about it. */
     public enum State {
+        /** Healthy. */
         SOUND,
+        /** Most servers are silent, but not for long enough yet. */
         SUSPECT,
+        /** Unavailable. */
         DARK,
+        /** Some servers answer again, but not for long enough yet to count as healthy. */
         RETURNING
     }
 
@@ -56,7 +57,7 @@
         return state;
     }
 
-    /** Whether the pool is unavailable: only servers that answer again are tried. */
+    /** Whether the pool is unavailable: only servers that have answered since are still used. */
     public boolean isUnavailable() {
         return state == State.DARK;
     }
--- a/routes/src/main/java/asterpulley/routes/PoolRouter.java
+++ b/routes/src/main/java/asterpulley/routes/PoolRouter.java
@@ -15,10 +15,10 @@
 
 /**
  * Connects a relay to its {@link RoutingTable}: maps server names and tunnel ids to the table's
- * indexes, records the events of servers and tunnels in the order in which they happen, and answers
- * the questions of the decision module. Real relays and simulated ones in virtual time use the same
- * class. Decisions are left to {@link RoutingTable} and {@link FailbackScheduler}; a closed tunnel
- * is forgotten at once.
+ * indexes, records the events of servers and tunnels in the order in which they happen, and tells
+ * the {@link asterpulley.LoadBalancer} which servers a tunnel may use. Real relays and simulated
+ * ones in virtual time use the same class. Decisions are left to {@link RoutingTable} and {@link
+ * FailbackScheduler}; a closed tunnel is forgotten at once.
  */
 public final class PoolRouter {
     /** A running mean weighs its past as at most this many samples. */
@@ -43,10 +43,8 @@
     private final Consumer<String> log, incrementCounter;
     private final Map<String, Integer> indexByName = new HashMap<>();
 
-    /**
-     * Table index by the decision module's own server number; -1 where it was not looked up yet.
-     */
-    private int[] indexByModuleNumber = {};
+    /** Table index by the load balancer's own server index; -1 where it was not looked up yet. */
+    private int[] indexByBalancerIndex = {};
 
     private final List<String> serverNames = new ArrayList<>();
     private final Map<Long, RoutedTunnel> tunnels = new HashMap<>();
@@ -202,20 +200,20 @@
     }
 
     /**
-     * Whether this tunnel may use that server now. {@code moduleNumber} is the decision module's
-     * own number for the server.
+     * Whether this tunnel may use that server now. {@code balancerIndex} is the load balancer's own
+     * index of the server.
      */
-    public boolean mayUse(long id, int moduleNumber, String server, double now) {
-        if (moduleNumber >= indexByModuleNumber.length) {
-            int oldLength = indexByModuleNumber.length;
-            indexByModuleNumber =
-                    Arrays.copyOf(indexByModuleNumber, Math.max(moduleNumber + 1, 2 * oldLength));
-            Arrays.fill(indexByModuleNumber, oldLength, indexByModuleNumber.length, -1);
+    public boolean mayUse(long id, int balancerIndex, String server, double now) {
+        if (balancerIndex >= indexByBalancerIndex.length) {
+            int oldLength = indexByBalancerIndex.length;
+            indexByBalancerIndex =
+                    Arrays.copyOf(indexByBalancerIndex, Math.max(balancerIndex + 1, 2 * oldLength));
+            Arrays.fill(indexByBalancerIndex, oldLength, indexByBalancerIndex.length, -1);
         }
-        if (indexByModuleNumber[moduleNumber] < 0) {
-            indexByModuleNumber[moduleNumber] = indexByName.getOrDefault(server, -1);
+        if (indexByBalancerIndex[balancerIndex] < 0) {
+            indexByBalancerIndex[balancerIndex] = indexByName.getOrDefault(server, -1);
         }
-        return verdict(id, indexByModuleNumber[moduleNumber], now) == RouteVerdict.OPEN;
+        return verdict(id, indexByBalancerIndex[balancerIndex], now) == RouteVerdict.OPEN;
     }
 
     /** Whether this tunnel may use that server now and, if not, why. */
--- a/routes/src/main/java/asterpulley/routes/RoutingPolicy.java
+++ b/routes/src/main/java/asterpulley/routes/RoutingPolicy.java
@@ -58,7 +58,7 @@
     public double[] reservedServerShares = {}, credit = {};
 
     /**
-     * Load from which the decision module regards a server as full; reserved shares are held back
+     * Load from which the load balancer regards a server as full; reserved shares are held back
      * below it.
      */
     public double fullLoad = 0.8;
--- a/routes/src/main/java/asterpulley/routes/RoutingTable.java
+++ b/routes/src/main/java/asterpulley/routes/RoutingTable.java
@@ -5,7 +5,7 @@
 
 /**
  * The pools and servers of one relay's fleet, and which of them a tunnel may use in which tier. The
- * table narrows what the decision module may choose from and chooses no server itself: home first,
+ * table narrows what the load balancer may choose from and chooses no server itself: home first,
  * other pools within the spill limits, and no unavailable pool. Servers are dense indexes. It does
  * no I/O and reads no clock; callers pass the time in seconds.
  */
@@ -347,7 +347,7 @@
 
     /**
      * Reported load, plus the effect of tunnels that came and went since. An unknown load counts as
-     * empty, as in the decision module.
+     * empty, as in the load balancer.
      */
     private double estimatedLoad(int server, double now) {
         double lastReported = Double.isNaN(reportedLoad[server]) ? 0 : reportedLoad[server];
