--- a/core/src/main/java/asterpulley/LoadBalancer.java
+++ b/core/src/main/java/asterpulley/LoadBalancer.java
@@ -76,8 +76,8 @@
     private static final double PROBE_INTERVAL_JITTER_FROM = 0.9, PROBE_INTERVAL_JITTER = 0.2;
 
     /**
-     * Assumed mean time until a server stops answering, as operators have seen it on their worst
-     * days.
+     * Assumed mean time after which one more of all servers stops answering, as operators have seen
+     * it on their worst days.
      */
     private static final double SECONDS_BETWEEN_SILENT_SERVERS = 300;
 
@@ -244,11 +244,14 @@
     private static final double START_TIME_TOLERANCE_SECONDS = 1e-3;
 
     private static final double INITIAL_LIST_BACKOFF_SECONDS = 0.5;
+
+    /** Keeps the backoff within the time after which a relay counts as notified of the list. */
     private static final double MAX_LIST_BACKOFF_SECONDS = 3;
 
     /**
-     * The longest backoff is one second for each this many relays, so that a larger fleet does not
-     * request a failed list more often in total.
+     * The longest backoff grows by one second for each this many relays, up to {@link
+     * #MAX_LIST_BACKOFF_SECONDS}, so that each relay of a large fleet requests a failed list less
+     * often.
      */
     private static final double RELAYS_PER_BACKOFF_SECOND = 40;
 
@@ -1106,6 +1109,7 @@
         return running[server] && !cordoned[server];
     }
 
+    /** Returns true if the server has no room for new tunnels, by reports or by estimate. */
     private boolean isFull(int server) {
         return reportedFull[server]
                 || frontend.now() < fullUntil[server]
@@ -1182,6 +1186,7 @@
         return warmCapacity(server) * warmUpFraction(server, frontend.now());
     }
 
+    /** Returns how many mean loads fill the server once it is warm. */
     private double warmCapacity(int server) {
         int modelSlot = models[server] & (MODEL_SLOTS - 1);
         double learnedWeight =
@@ -1619,7 +1624,7 @@
                         : interval * UNUSED_PROBE_INTERVAL_FACTOR);
     }
 
-    /** Returns true if this relay needs the server's state often. */
+    /** Returns true if this relay has tunnels on the server, or last saw it full or failing. */
     private boolean isUsed(int server) {
         return !ownTunnels.get(server).isEmpty()
                 || reportedFull[server]
@@ -1709,8 +1714,9 @@
      * that timed out follows at once since the timeout itself took time.
      */
     public void onServerListFailed(boolean timedOut) {
-        // A pushed list applies from the return of the discovery service on, so the delay stays
-        // within the drain grace; a list that is polled applies soon after it is asked for.
+        // With a pushed list the relay counts as notified from the return of the discovery service
+        // on, so the delay stays within the drain grace. With a list that the relay must request,
+        // it counts as notified soon after that return.
         double maxBackoff =
                 Math.min(
                         Math.max(1, settings.relayCount / RELAYS_PER_BACKOFF_SECOND),
--- a/core/src/main/java/asterpulley/Outcome.java
+++ b/core/src/main/java/asterpulley/Outcome.java
@@ -3,6 +3,7 @@
 /** How a setup or a probe ended. */
 public enum Outcome {
     OK(false),
+    /** Any other failure. */
     FAILED(false),
     /** Refused by the server as full. */
     FULL(true),
--- a/core/src/main/java/asterpulley/ServerEntry.java
+++ b/core/src/main/java/asterpulley/ServerEntry.java
@@ -1,8 +1,9 @@
 package asterpulley;
 
 /**
- * A server as the server list describes it. {@code startedAt} is in seconds on the frontend's
- * clock, or negative infinity if unknown.
+ * A server as the server list describes it. {@code zone}, {@code cell} and {@code model} (of its
+ * machine) are numbers. {@code startedAt} is in seconds on the frontend's clock, or negative
+ * infinity if unknown.
  */
 public record ServerEntry(
         String name, int zone, int model, int cell, State state, double startedAt) {
--- a/core/src/main/java/asterpulley/Settings.java
+++ b/core/src/main/java/asterpulley/Settings.java
@@ -56,7 +56,7 @@
     /** This relay's zone. */
     public int zone;
 
-    /** The relay must request the server list; otherwise it is pushed. */
+    /** The relay must subscribe to the server list; otherwise the list is pushed unasked. */
     public boolean subscribesToServerList;
 
     public boolean probesAllowed;
--- a/core/src/test/java/asterpulley/FleetSimulation.java
+++ b/core/src/test/java/asterpulley/FleetSimulation.java
@@ -106,8 +106,9 @@
         }
 
         /**
-         * Returns the limit for one window: the collapse multiple of the warm capacity, spread
-         * evenly over the warm-up.
+         * Returns the limit for one window: the part of the collapse time if the collapse multiple
+         * of the warm capacity is spread evenly over the warm-up, but at most the load at which the
+         * server collapses at this time.
          */
         private double sendLimit(double at) {
             return settings.collapseMultiple
@@ -166,14 +167,14 @@
         private final Map<LoadBalancer.Tunnel, Client> clients = new HashMap<>();
         private final Map<String, Double> knownStartTimes = new HashMap<>();
 
-        /** Share of the clients that this relay gets; one relay in ten gets far more. */
+        /** Relative weight of this relay's traffic; about one relay in ten gets far more. */
         private final double weight = random.nextDouble() < 0.1 ? 4 : 0.5 + random.nextDouble();
 
         private LoadBalancer loadBalancer;
 
         /**
-         * Client of the tunnel that is being opened; the handle is not known before the first
-         * setup.
+         * Client of the tunnel that is being opened; the load balancer sends the first setup before
+         * it returns the tunnel's handle.
          */
         private Client connectingClient;
 
--- a/core/src/test/java/asterpulley/WarmUpLimitTest.java
+++ b/core/src/test/java/asterpulley/WarmUpLimitTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Limits what all relays of a fleet together send to a server that warms up. In no window of the
- * configured collapse time may it get more than N + 2 sqrt(N) + 2 mean loads, where N is the
- * collapse multiple of its warm capacity spread evenly over its warm-up; yet it must be filled.
- * Each seed draws the settings, the servers, how they became cold, what the siblings hold and when
- * a burst arrives.
+ * Tests the limit on what all relays of a fleet together send to a server that warms up. In no
+ * window of the configured collapse time may it get more than N + 2 sqrt(N) + 2 mean loads, where N
+ * is the collapse multiple of its warm capacity spread evenly over its warm-up; yet it must be
+ * filled. Each seed draws the settings, the servers, how they became cold, what the siblings hold
+ * and when a burst arrives.
  */
 class WarmUpLimitTest {
     /** How servers become cold. */
@@ -118,7 +118,7 @@
         cold.forEach(server -> server.probesRefused = probesRefused);
         double started = simulation.now();
         simulation.advanceTo(started + quietSeconds);
-        double capacityUnits =
+        double collapseUnits =
                 cold.stream()
                         .mapToDouble(
                                 server ->
@@ -126,7 +126,7 @@
                                                 * server.capacity
                                                 * server.warmUpFraction(simulation.now()))
                         .sum();
-        simulation.addClients((int) (3 * capacityUnits + 6 * capacity), 2);
+        simulation.addClients((int) (3 * collapseUnits + 6 * capacity), 2);
         simulation.advanceTo(started + quietSeconds + 4);
         double load =
                 cold.stream()
