--- a/core/src/main/java/asterpulley/LoadBalancer.java
+++ b/core/src/main/java/asterpulley/LoadBalancer.java
@@ -323,7 +323,8 @@
     private double[] reportedLoad = {};
 
     /**
-     * Load factor that own placements and ends added or removed and that a report cannot include.
+     * Load factor that tunnels placed or ended by this relay added or removed, and that the last
+     * report probably does not include yet.
      */
     private double[] unreportedLoad = {};
 
@@ -1227,6 +1228,8 @@
         }
         // During the warm-up, new tunnels may add up to the warm capacity times the collapse
         // multiple; at most half the load at which the server collapses may be open at once.
+        // A placement counts for the collapse time, and longer in proportion if it is heavier than
+        // a mean load.
         double sentUnits =
                 recentPlacements.get(server).stream()
                         .mapToDouble(
--- a/core/src/main/java/asterpulley/RetryLimiter.java
+++ b/core/src/main/java/asterpulley/RetryLimiter.java
@@ -33,8 +33,9 @@
         if (!(settings.retryBudgetWindow > 0)) {
             return Double.POSITIVE_INFINITY;
         }
-        // Another observer may see a setup one tick earlier or later, so the window is taken
-        // strictly on both sides.
+        // Whoever checks the budget from outside may see a setup a tick earlier or later than this
+        // relay. The window is therefore stricter: tunnels leave it early and retries leave it
+        // late.
         double windowStart = now - settings.retryBudgetWindow, slack = 2 * settings.tick;
         while (!tunnelTimes.isEmpty() && tunnelTimes.peek() <= windowStart + slack) {
             tunnelTimes.poll();
--- a/core/src/test/java/asterpulley/FleetSimulation.java
+++ b/core/src/test/java/asterpulley/FleetSimulation.java
@@ -106,9 +106,9 @@
         }
 
         /**
-         * Returns the limit for one window: the part of the collapse time if the collapse multiple
-         * of the warm capacity is spread evenly over the warm-up, but at most the load at which the
-         * server collapses at this time.
+         * Returns the limit for one window of the collapse time. The collapse multiple of the warm
+         * capacity is spread evenly over the warm-up; the limit is the part within the window, but
+         * at most the load at which the server collapses at this time.
          */
         private double sendLimit(double at) {
             return settings.collapseMultiple
--- a/routes/src/main/java/asterpulley/routes/SurgeDetector.java
+++ b/routes/src/main/java/asterpulley/routes/SurgeDetector.java
@@ -18,12 +18,14 @@
         startedAt = decayedAt = now;
     }
 
+    /** Counts one tunnel of the profile. */
     void tunnelArrived(double now) {
         decay(now);
         shortRate += 1 / SHORT_WINDOW_SECONDS;
         longRate += 1 / LONG_WINDOW_SECONDS;
     }
 
+    /** Whether tunnels of the profile arrive in a surge now. */
     boolean isActive(double now) {
         decay(now);
         // Soon after the start the long average covers only part of its window, so it is scaled up.
