--- a/cli/src/main/java/asterpulley/cli/LabCommand.java
+++ b/cli/src/main/java/asterpulley/cli/LabCommand.java
@@ -5,11 +5,11 @@
 import asterpulley.lab.fleet.FleetLab;
 import asterpulley.lab.fleet.FleetPlan;
 import asterpulley.lab.fleet.FleetReader;
-import asterpulley.lab.model.Model;
+import asterpulley.lab.model.VirtualTestbed;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
-import asterpulley.lab.report.Outcome;
 import asterpulley.lab.report.Reports;
+import asterpulley.lab.report.RunResult;
 import asterpulley.lab.report.Tables;
 import asterpulley.lab.sock.Cost;
 import asterpulley.lab.sock.Deliveries;
@@ -121,35 +121,35 @@
                 plan.baselines.clear();
             }
             if (quick) {
-                plan.halve();
+                plan.halveTimes();
             }
             boolean jsonToStdout = json != null && json.toString().equals("-");
             Lab lab = new Lab(jsonToStdout ? System.err : System.out);
             if (policy != null
-                    && !policy.equals(Model.MODULE)
+                    && !policy.equals(VirtualTestbed.MODULE_POLICY)
                     && !List.of(PlanReader.BASELINES).contains(policy)) {
                 throw new CommandLine.ParameterException(
                         spec.commandLine(),
                         "--policy: '"
                                 + policy
                                 + "' is none of "
-                                + Model.MODULE
+                                + VirtualTestbed.MODULE_POLICY
                                 + ", "
                                 + String.join(", ", PlanReader.BASELINES));
             }
-            List<Outcome> outcomes =
+            List<RunResult> outcomes =
                     policy != null
-                            ? List.of(lab.model(plan, policy))
-                            : lab.play(plan, on == null ? plan.on : on.name().toLowerCase());
-            boolean passed = lab.verdict(plan, outcomes);
+                            ? List.of(lab.runInVirtualTime(plan, policy))
+                            : lab.run(plan, on == null ? plan.testbed : on.name().toLowerCase());
+            boolean passed = lab.printVerdict(plan, outcomes);
             if (jsonToStdout) {
-                System.out.write(Reports.json(plan, outcomes));
+                System.out.write(Reports.toJson(plan, outcomes));
                 System.out.println();
             } else if (json != null) {
-                Files.write(json, Reports.json(plan, outcomes));
+                Files.write(json, Reports.toJson(plan, outcomes));
             }
             if (html != null) {
-                Reports.html(plan, outcomes, html);
+                Reports.writeHtml(plan, outcomes, html);
             }
             return passed ? Main.SUCCESS : Main.EXPECTATION_FAILED;
         }
@@ -557,6 +557,7 @@
         figures.forEach(
                 (k, v) ->
                         System.out.printf(
-                                "%-28s %s%n", k, v instanceof Double d ? Tables.plain(d) : v));
+                                "%-28s %s%n",
+                                k, v instanceof Double d ? Tables.formatNumber(d) : v));
     }
 }
--- a/cli/src/main/java/asterpulley/cli/RoutesCommand.java
+++ b/cli/src/main/java/asterpulley/cli/RoutesCommand.java
@@ -254,7 +254,7 @@
                     home ? ", home" : "",
                     String.valueOf(pool.get("condition")).replace('_', ' '),
                     pool.get("since_s") instanceof Number since
-                            ? " for " + Tables.plain(since.doubleValue()) + " s"
+                            ? " for " + Tables.formatNumber(since.doubleValue()) + " s"
                             : "",
                     pool.get("silent"),
                     pool.get("running"),
@@ -262,9 +262,9 @@
                     home
                             ? ""
                             : ", guests "
-                                    + Tables.plain(spilledLoad)
+                                    + Tables.formatNumber(spilledLoad)
                                     + " of "
-                                    + Tables.plain(Json.number(pool, "guests_most", 0)));
+                                    + Tables.formatNumber(Json.number(pool, "guests_most", 0)));
             for (Map<?, ?> server : servers()) {
                 if (name.equals(server.get("pool"))) {
                     System.out.printf(
@@ -297,7 +297,9 @@
         }
 
         private static String formatLoad(Map<?, ?> object, String key) {
-            return object.get(key) instanceof Number load ? Tables.plain(load.doubleValue()) : "-";
+            return object.get(key) instanceof Number load
+                    ? Tables.formatNumber(load.doubleValue())
+                    : "-";
         }
 
         private List<Map<?, ?>> servers() {
@@ -329,7 +331,11 @@
         public void sendSetup(LoadBalancer.Tunnel tunnel, String serverName, double timeout) {
             chosenServer = serverName;
             result =
-                    "a setup to " + serverName + ", given up after " + Tables.plain(timeout) + " s";
+                    "a setup to "
+                            + serverName
+                            + ", given up after "
+                            + Tables.formatNumber(timeout)
+                            + " s";
         }
 
         @Override
@@ -337,7 +343,7 @@
             result =
                     "declined"
                             + (retryAfter > 0
-                                    ? ", come back after " + Tables.plain(retryAfter) + " s"
+                                    ? ", come back after " + Tables.formatNumber(retryAfter) + " s"
                                     : "");
         }
 
--- a/lab/src/main/java/asterpulley/lab/Lab.java
+++ b/lab/src/main/java/asterpulley/lab/Lab.java
@@ -1,11 +1,11 @@
 package asterpulley.lab;
 
-import asterpulley.lab.model.Model;
+import asterpulley.lab.model.VirtualTestbed;
 import asterpulley.lab.plan.Plan;
-import asterpulley.lab.report.Outcome;
+import asterpulley.lab.report.RunResult;
 import asterpulley.lab.report.Tables;
 import asterpulley.lab.sock.Sockets;
-import asterpulley.lab.world.World;
+import asterpulley.lab.world.Simulation;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -31,60 +31,60 @@
      * Plays it on this carrier, "model", "sockets" or "both", and the plan's baselines on the
      * model.
      */
-    public List<Outcome> play(Plan plan, String on) throws IOException {
-        List<Outcome> all = new ArrayList<>();
+    public List<RunResult> run(Plan plan, String on) throws IOException {
+        List<RunResult> all = new ArrayList<>();
         if (!on.equals("model")) {
-            all.add(sockets(plan));
+            all.add(runOnSockets(plan));
         }
         if (!on.equals("sockets")) {
-            all.add(model(plan, Model.MODULE));
+            all.add(runInVirtualTime(plan, VirtualTestbed.MODULE_POLICY));
         }
         for (String baseline : plan.baselines) {
-            all.add(model(plan, baseline));
+            all.add(runInVirtualTime(plan, baseline));
         }
         return all;
     }
 
     /** Plays it in virtual time, with the module or a baseline in every relay. */
-    public Outcome model(Plan plan, String policy) {
+    public RunResult runInVirtualTime(Plan plan, String policy) {
         out.printf(
                 Locale.ROOT,
                 "%s: %s in virtual time, %d servers, %d relays, %.0f s%n",
                 plan.name,
                 policy,
-                plan.allServers(),
-                plan.relays * plan.rooms.size(),
-                plan.length + plan.settle);
+                plan.serverCount(),
+                plan.relaysPerRoom * plan.rooms.size(),
+                plan.duration + plan.settleTime);
         long from = System.nanoTime();
-        Model model = new Model(plan, policy);
-        World world = model.play();
+        VirtualTestbed model = new VirtualTestbed(plan, policy);
+        Simulation world = model.run();
         double took = (System.nanoTime() - from) / 1e9;
         // The pace is this machine's, so it is printed and stands in no file that must be the same
         // each time.
         out.printf(
                 Locale.ROOT,
                 "  %d events in %.2f s, %.1f times faster than real time%n",
-                model.events(),
+                model.eventCount(),
                 took,
-                (plan.length + plan.settle) / took);
-        return new Outcome("model", policy, world, null);
+                (plan.duration + plan.settleTime) / took);
+        return new RunResult("model", policy, world, null);
     }
 
-    private Outcome sockets(Plan plan) throws IOException {
+    private RunResult runOnSockets(Plan plan) throws IOException {
         out.printf(
                 Locale.ROOT,
                 "%s: on sockets, %d servers, %d relays, %.0f s%n",
                 plan.name,
-                plan.allServers(),
-                plan.relays * plan.rooms.size(),
-                plan.length + plan.settle);
+                plan.serverCount(),
+                plan.relaysPerRoom * plan.rooms.size(),
+                plan.duration + plan.settleTime);
         Path folder = Files.createTempDirectory("asterpulley-lab");
         Sockets sockets = new Sockets(plan, folder);
-        World world = sockets.play();
+        Simulation world = sockets.play();
         if (world == null) {
             throw new IOException(sockets.trouble());
         }
-        double late = world.figures.all().getOrDefault("run.late_share", 0.0);
+        double late = world.figures.byName().getOrDefault("run.late_share", 0.0);
         String none = sockets.trouble();
         if (none == null && late > Sockets.LATE) {
             none =
@@ -95,12 +95,12 @@
                             sockets.worstLate() * 1000);
         }
         if (none == null) {
-            remove(folder);
+            deleteFolder(folder);
         }
-        return new Outcome("sockets", Model.MODULE, world, none);
+        return new RunResult("sockets", VirtualTestbed.MODULE_POLICY, world, none);
     }
 
-    private static void remove(Path folder) throws IOException {
+    private static void deleteFolder(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path p : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(p);
@@ -112,16 +112,16 @@
      * Prints the table of each play of the module, or of the only play; true where all that was
      * expected holds.
      */
-    public boolean verdict(Plan plan, List<Outcome> all) {
+    public boolean printVerdict(Plan plan, List<RunResult> all) {
         boolean good = true;
-        for (Outcome o : all) {
-            if (o.policy.equals(Model.MODULE) || all.size() == 1) {
-                Tables.expectations(plan, o, out);
-                good &= o.good(plan);
+        for (RunResult o : all) {
+            if (o.policy.equals(VirtualTestbed.MODULE_POLICY) || all.size() == 1) {
+                Tables.printExpectations(plan, o, out);
+                good &= o.meetsExpectations(plan);
             }
         }
         if (all.size() > 1) {
-            Tables.sideBySide(all, out);
+            Tables.printSideBySide(all, out);
         }
         out.println(good ? "\nall that was expected holds" : "\nfell short of what was expected");
         return good;
--- a/lab/src/main/java/asterpulley/lab/fleet/Catalog.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Catalog.java
@@ -1,6 +1,6 @@
 package asterpulley.lab.fleet;
 
-import asterpulley.lab.plan.Told;
+import asterpulley.lab.plan.RelaySettings;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.nio.charset.StandardCharsets;
@@ -106,7 +106,7 @@
             for (int s = 0; s < health.length; s++) {
                 if (seen == WHOLE ? health[s] != Health.REMOVED : changed[s] > seen) {
                     hosts.add(
-                            Told.map(
+                            RelaySettings.mapOf(
                                     "host",
                                     name(s),
                                     "dial",
@@ -125,7 +125,7 @@
                                     born[s]));
                 }
             }
-            return Told.map("seq", version, "whole", seen == WHOLE, "hosts", hosts);
+            return RelaySettings.mapOf("seq", version, "whole", seen == WHOLE, "hosts", hosts);
         }
 
         Map<String, Object> list() {
@@ -135,7 +135,7 @@
 
     /** What a relay starts with that knows no list: it asks for the whole one. */
     static Map<String, Object> none() {
-        return Told.map("seq", WHOLE, "whole", true, "hosts", List.of());
+        return RelaySettings.mapOf("seq", WHOLE, "whole", true, "hosts", List.of());
     }
 
     static byte[] json(Object value) {
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetLab.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetLab.java
@@ -115,15 +115,15 @@
                 o.size.relays(),
                 o.size.servers(),
                 plan.seed);
-        for (Plan.Expect e : plan.expects) {
+        for (Plan.Expectation e : plan.expects) {
             out.printf(
                     Locale.ROOT,
                     "  %-8s %-32s %14s   expected %s %s%n",
                     o.holds(e) ? "holds" : "SHORT",
                     e.figure(),
                     small(o.figure(e.figure())),
-                    e.sign(),
-                    Tables.plain(e.bound()));
+                    e.operator(),
+                    Tables.formatNumber(e.bound()));
         }
         for (String f : FleetFigures.AGAINST) {
             double apart = o.figure("against." + f);
@@ -172,7 +172,7 @@
 
     static String small(double d) {
         return Double.isNaN(d) || d == 0 || Math.abs(d) >= 0.1
-                ? Tables.plain(d)
+                ? Tables.formatNumber(d)
                 : String.format(Locale.ROOT, "%.3g", d);
     }
 
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetOutcome.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetOutcome.java
@@ -22,7 +22,7 @@
         return figures.getOrDefault(name, Double.NaN);
     }
 
-    boolean holds(Plan.Expect e) {
+    boolean holds(Plan.Expectation e) {
         return e.holds(figure(e.figure()));
     }
 
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetPlan.java
@@ -1,7 +1,7 @@
 package asterpulley.lab.fleet;
 
 import asterpulley.lab.plan.Plan;
-import asterpulley.lab.plan.Told;
+import asterpulley.lab.plan.RelaySettings;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -62,7 +62,7 @@
     public double probeFee = 0.01, crossingFee = 0.02, deemedTold = 6;
     public final List<Size> sizes = new ArrayList<>();
     public final List<Entry> entries = new ArrayList<>();
-    public final List<Plan.Expect> expects = new ArrayList<>();
+    public final List<Plan.Expectation> expects = new ArrayList<>();
 
     /** Everything in half the time. */
     public void halve() {
@@ -97,9 +97,9 @@
         plan.customers.add(new Plan.CustomerPlan());
         plan.servers.add(new Plan.ServerPlan());
         plan.probeFee = probeFee;
-        plan.crossingFee = crossingFee;
-        plan.deemedTold = deemedTold;
-        Map<String, Object> settings = new LinkedHashMap<>(Told.settings(plan, zone));
+        plan.crossZoneFee = crossingFee;
+        plan.assumedListDelay = deemedTold;
+        Map<String, Object> settings = new LinkedHashMap<>(RelaySettings.settingsFor(plan, zone));
         settings.put("siblings", size.relays);
         return settings;
     }
@@ -108,7 +108,7 @@
     Map<String, Object> config(
             String name, int number, Size size, String listen, String list, Object known) {
         Map<String, Object> config =
-                Told.map(
+                RelaySettings.mapOf(
                         "name",
                         name,
                         "listen",
@@ -118,7 +118,7 @@
                         "seed",
                         Long.toHexString(seed * 1_000_003 + number * 1009L),
                         "limits",
-                        Told.map("cores", 1.0, "memory_mb", memory, "sockets", sockets),
+                        RelaySettings.mapOf("cores", 1.0, "memory_mb", memory, "sockets", sockets),
                         "known",
                         known);
         config.put("settings", settings(number % zones, size));
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetReader.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetReader.java
@@ -53,8 +53,9 @@
             plan.entries.add(entry(p, plan));
         }
         for (String text : root.texts("expect")) {
-            Plan.Expect e =
-                    PlanReader.expect(root, text, figure -> FleetFigures.known(figure, plan));
+            Plan.Expectation e =
+                    PlanReader.parseExpectation(
+                            root, text, figure -> FleetFigures.known(figure, plan));
             if (e != null) {
                 plan.expects.add(e);
             }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetReports.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetReports.java
@@ -1,7 +1,7 @@
 package asterpulley.lab.fleet;
 
 import asterpulley.lab.plan.Plan;
-import asterpulley.lab.plan.Told;
+import asterpulley.lab.plan.RelaySettings;
 import asterpulley.lab.report.Reports;
 import asterpulley.lab.report.Tables;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -29,20 +29,20 @@
         List<Object> plays = new ArrayList<>();
         for (FleetOutcome o : lab.outcomes()) {
             List<Object> expects = new ArrayList<>();
-            for (Plan.Expect e : plan.expects) {
+            for (Plan.Expectation e : plan.expects) {
                 expects.add(
-                        Told.map(
+                        RelaySettings.mapOf(
                                 "figure",
                                 e.figure(),
                                 "expected",
-                                e.sign() + " " + Tables.plain(e.bound()),
+                                e.operator() + " " + Tables.formatNumber(e.bound()),
                                 "is",
                                 o.figure(e.figure()),
                                 "holds",
                                 o.holds(e)));
             }
             plays.add(
-                    Told.map(
+                    RelaySettings.mapOf(
                             "on",
                             "hollow relays",
                             "policy",
@@ -68,7 +68,7 @@
                         (name, fit) ->
                                 slopes.put(
                                         name,
-                                        Told.map(
+                                        RelaySettings.mapOf(
                                                 "slope",
                                                 fit.slope(),
                                                 "error",
@@ -76,7 +76,7 @@
                                                 "at_0",
                                                 fit.at0())));
         return JSON.writeValueAsBytes(
-                Told.map(
+                RelaySettings.mapOf(
                         "experiment",
                         plan.name,
                         "title",
@@ -92,7 +92,7 @@
     }
 
     static void html(FleetPlan plan, FleetLab lab, String by, Path to) throws IOException {
-        StringBuilder page = new StringBuilder(Reports.head(plan.title, plan.name, plan.seed));
+        StringBuilder page = new StringBuilder(Reports.pageHead(plan.title, plan.name, plan.seed));
         for (FleetOutcome o : lab.outcomes()) {
             page.append("<h2>")
                     .append(o.size.relays())
@@ -101,12 +101,12 @@
                     .append(" servers</h2>");
             if (o.noVerdict != null) {
                 page.append("<p class=short>no verdict: ")
-                        .append(Reports.safe(o.noVerdict))
+                        .append(Reports.escapeHtml(o.noVerdict))
                         .append("</p>");
             }
             page.append("<table><tr><th>figure<th>is<th>expected<th>");
-            for (Plan.Expect e : plan.expects) {
-                page.append(Reports.row(e, o.figure(e.figure()), o.holds(e)));
+            for (Plan.Expectation e : plan.expects) {
+                page.append(Reports.expectationRow(e, o.figure(e.figure()), o.holds(e)));
             }
             o.figures.forEach(
                     (name, is) ->
@@ -116,7 +116,7 @@
                                     .append(FleetLab.small(is)));
             page.append("</table>");
         }
-        page.append(Reports.plots(new String(json(plan, lab, by), StandardCharsets.UTF_8)));
+        page.append(Reports.plotsHtml(new String(json(plan, lab, by), StandardCharsets.UTF_8)));
         Files.writeString(to, page.toString());
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetRun.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetRun.java
@@ -1,6 +1,6 @@
 package asterpulley.lab.fleet;
 
-import asterpulley.lab.plan.Told;
+import asterpulley.lab.plan.RelaySettings;
 import asterpulley.lab.sock.Pump;
 import asterpulley.lab.sock.RelayProcess;
 import asterpulley.lab.sock.Sockets;
@@ -116,7 +116,7 @@
                             folder,
                             "servers" + k,
                             ServersMain.class,
-                            Told.map(
+                            RelaySettings.mapOf(
                                     "here",
                                     here.getHostAddress(),
                                     "callers",
@@ -170,7 +170,7 @@
                             folder,
                             "hollow" + h,
                             HollowMain.class,
-                            Told.map(
+                            RelaySettings.mapOf(
                                     "config",
                                     config,
                                     "zones",
@@ -267,7 +267,7 @@
         start = System.nanoTime();
         double at0 = pump.now();
         for (Schedule.Step step : schedule.steps) {
-            pump.after(at0 + step.at() - pump.now(), () -> does(step));
+            pump.schedule(at0 + step.at() - pump.now(), () -> does(step));
         }
         from = sample();
         pump.run(at0 + schedule.calm);
@@ -330,7 +330,7 @@
                     lists.forEach(ListService::news);
                 };
         if (later > 0) {
-            pump.after(later, learns);
+            pump.schedule(later, learns);
         } else {
             learns.run();
         }
--- a/lab/src/main/java/asterpulley/lab/fleet/HollowMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/HollowMain.java
@@ -1,7 +1,7 @@
 package asterpulley.lab.fleet;
 
 import asterpulley.decode.Json;
-import asterpulley.lab.plan.Told;
+import asterpulley.lab.plan.RelaySettings;
 import asterpulley.lab.sock.Pump;
 import asterpulley.net.SocketFilter;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -110,7 +110,7 @@
         beat.setDaemon(true);
         beat.start();
         double empty = heap();
-        say(Told.map("ready", true));
+        say(RelaySettings.mapOf("ready", true));
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
         for (String line = in.readLine();
@@ -188,7 +188,7 @@
         for (Hollow h : relays.values()) {
             cpu += Math.max(0, threads.getThreadCpuTime(h.thread()));
         }
-        return Told.map(
+        return RelaySettings.mapOf(
                 "at",
                 System.nanoTime(),
                 "relays",
--- a/lab/src/main/java/asterpulley/lab/fleet/ListService.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ListService.java
@@ -108,7 +108,7 @@
             left.poll().news();
         }
         if (!left.isEmpty()) {
-            pump.after(0, () -> some(left));
+            pump.schedule(0, () -> some(left));
         }
     }
 
--- a/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
@@ -40,7 +40,7 @@
                     @Override
                     public void ended(Conn conn, boolean broken) {
                         if (!over) {
-                            pump.after(0.05, RealClients.this::waitFor);
+                            pump.schedule(0.05, RealClients.this::waitFor);
                         }
                     }
                 });
@@ -48,7 +48,7 @@
 
     void start() {
         if (!over && arrivals.any()) {
-            pump.after(arrivals.gap(), this::comes);
+            pump.schedule(arrivals.gap(), this::comes);
         }
     }
 
@@ -70,7 +70,7 @@
                     public void line(Conn conn, String line) {
                         if (line.startsWith("UP")) {
                             opened++;
-                            pump.after(arrivals.lifetime(), conn::close);
+                            pump.schedule(arrivals.lifetime(), conn::close);
                         } else if (line.startsWith("BUSY") || line.startsWith("ERR")) {
                             failed++;
                             conn.close();
--- a/lab/src/main/java/asterpulley/lab/fleet/Revisions.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Revisions.java
@@ -1,6 +1,6 @@
 package asterpulley.lab.fleet;
 
-import asterpulley.lab.plan.Told;
+import asterpulley.lab.plan.RelaySettings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -26,7 +26,9 @@
 
     /** Another limit; the version that has it. */
     long change() {
-        document = Told.map("limits", Told.map("maxRetryAfterMs", 1000 + patches.size()));
+        document =
+                RelaySettings.mapOf(
+                        "limits", RelaySettings.mapOf("maxRetryAfterMs", 1000 + patches.size()));
         patches.add(document);
         written.clear();
         return version();
@@ -35,7 +37,8 @@
     @Override
     public byte[] whole() {
         return Catalog.json(
-                Told.map("epoch", EPOCH, "seq", version(), "whole", true, "settings", document));
+                RelaySettings.mapOf(
+                        "epoch", EPOCH, "seq", version(), "whole", true, "settings", document));
     }
 
     @Override
@@ -45,10 +48,12 @@
                 from -> {
                     List<Object> changes = new ArrayList<>();
                     for (long v = Math.max(1, from); v < version(); v++) {
-                        changes.add(Told.map("seq", v + 1, "patch", patches.get((int) v - 1)));
+                        changes.add(
+                                RelaySettings.mapOf(
+                                        "seq", v + 1, "patch", patches.get((int) v - 1)));
                     }
                     return Catalog.json(
-                            Told.map(
+                            RelaySettings.mapOf(
                                     "epoch", EPOCH, "seq", version(), "whole", false, "changes",
                                     changes));
                 });
--- a/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
@@ -1,7 +1,7 @@
 package asterpulley.lab.fleet;
 
 import asterpulley.decode.Json;
-import asterpulley.lab.plan.Told;
+import asterpulley.lab.plan.RelaySettings;
 import asterpulley.lab.sock.Conn;
 import asterpulley.lab.sock.Pump;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -118,7 +118,7 @@
                 conn.say(report);
             } else if (line.startsWith("OPEN ")) {
                 of.tally.add(Tally.What.OPENINGS, 1);
-                pump.after(setup, () -> conn.say("UP s" + server));
+                pump.schedule(setup, () -> conn.say("UP s" + server));
             } else {
                 conn.say("ok " + line);
             }
@@ -185,7 +185,7 @@
                 }
             }
         }
-        pump.after(LOOK, this::look);
+        pump.schedule(LOOK, this::look);
     }
 
     private void back(int[] who) {
@@ -201,7 +201,7 @@
     }
 
     private Map<String, Object> counts() {
-        Map<String, Object> counts = Told.map("at", System.nanoTime());
+        Map<String, Object> counts = RelaySettings.mapOf("at", System.nanoTime());
         callers.forEach(c -> counts.put(c.name, c.tally.totals()));
         return counts;
     }
--- /dev/null
+++ b/lab/src/main/java/asterpulley/lab/model/BalancingPolicy.java
@@ -0,0 +1,36 @@
+package asterpulley.lab.model;
+
+import asterpulley.LoadReport;
+import asterpulley.Outcome;
+import asterpulley.ServerEntry;
+import java.util.List;
+
+/**
+ * One relay's decisions: the module itself, or a baseline to compare it with. It answers through
+ * its {@link Host}.
+ */
+interface BalancingPolicy {
+    /** A tunnel that was taken; what happens to it is told here. */
+    interface TunnelHandle {
+        void onOpened(double lag);
+
+        void onLoad(double cores);
+
+        void onMessageDelay(double message);
+
+        void onEnded(Outcome outcome, double lag, boolean last);
+
+        void cancel();
+    }
+
+    TunnelHandle openTunnel(
+            long id, int profile, int customer, String group, String key, double budget);
+
+    void onProbeResult(String server, Outcome outcome, LoadReport report);
+
+    void onServerList(List<ServerEntry> servers, boolean whole);
+
+    void onServerListFailed();
+
+    void onTimer(long token);
+}
--- a/lab/src/main/java/asterpulley/lab/model/PlainBrain.java
+++ b/lab/src/main/java/asterpulley/lab/model/BaselinePolicy.java
@@ -22,7 +22,7 @@
  * a row, try again only where that is lawful, and move what stands on a draining server. It must
  * keep the four rules as far as such a policy can, so that what it is compared by is its choice.
  */
-final class PlainBrain implements Brain {
+final class BaselinePolicy implements BalancingPolicy {
     private static final int FAILURES = 3;
     private static final double LEFT_OUT = 5, LIST_PAUSE = 0.5;
     private static final double MOVE_EVERY = 0.1;
@@ -35,7 +35,7 @@
 
     private final String policy;
     private final Settings settings;
-    private final Host host;
+    private final PolicyHost host;
     private final RandomGenerator random;
 
     /**
@@ -47,14 +47,14 @@
     private final Map<String, ServerEntry> listed = new LinkedHashMap<>();
     private final Map<String, Integer> own = new HashMap<>(), failures = new HashMap<>();
     private final Map<String, Double> outUntil = new HashMap<>();
-    private final Map<String, List<Plain>> standing = new HashMap<>();
+    private final Map<String, List<BaselineTunnel>> standing = new HashMap<>();
     private final Set<String> draining = new LinkedHashSet<>();
     private int turn;
 
-    PlainBrain(
+    BaselinePolicy(
             String policy,
             Settings settings,
-            Host host,
+            PolicyHost host,
             RandomGenerator random,
             ToDoubleFunction<String> truth) {
         this.policy = policy;
@@ -62,11 +62,11 @@
         this.host = host;
         this.random = random;
         this.truth = truth;
-        host.watch();
-        host.wake(MOVE_EVERY, 0);
+        host.watchServerList();
+        host.scheduleTimer(MOVE_EVERY, 0);
     }
 
-    private final class Plain implements Handle {
+    private final class BaselineTunnel implements TunnelHandle {
         private final long id;
         private final Settings.Profile kind;
         private final double deadline;
@@ -75,7 +75,7 @@
         private int setups;
         private boolean done, moving;
 
-        private Plain(long id, Settings.Profile kind, double budget) {
+        private BaselineTunnel(long id, Settings.Profile kind, double budget) {
             this.id = id;
             this.kind = kind;
             deadline = host.now() + budget;
@@ -96,28 +96,28 @@
             tried.add(server);
             on = server;
             own.merge(server, 1, Integer::sum);
-            host.setup(id, server, Math.min(left, Math.max(left / 2, kind.setupGoal / 2)));
+            host.sendSetup(id, server, Math.min(left, Math.max(left / 2, kind.setupGoal / 2)));
         }
 
         @Override
-        public void opened(double lag) {
+        public void onOpened(double lag) {
             done = true;
             failures.remove(on);
             standing.computeIfAbsent(on, k -> new ArrayList<>()).add(this);
         }
 
         @Override
-        public void load(double cores) {
+        public void onLoad(double cores) {
             // None of these policies looks at what a tunnel costs.
         }
 
         @Override
-        public void delay(double message) {
+        public void onMessageDelay(double message) {
             left(on);
         }
 
         @Override
-        public void ended(Outcome outcome, double lag, boolean last) {
+        public void onEnded(Outcome outcome, double lag, boolean last) {
             String server = on;
             on = null;
             own.merge(server, -1, Integer::sum);
@@ -145,7 +145,7 @@
         }
 
         @Override
-        public void withdrawn() {
+        public void cancel() {
             done = true;
         }
     }
@@ -218,20 +218,20 @@
     }
 
     @Override
-    public Handle take(
+    public TunnelHandle openTunnel(
             long id, int profile, int customer, String group, String key, double budget) {
-        Plain tunnel = new Plain(id, settings.profiles.get(profile), budget);
+        BaselineTunnel tunnel = new BaselineTunnel(id, settings.profiles.get(profile), budget);
         tunnel.place();
         return tunnel;
     }
 
     @Override
-    public void probed(String server, Outcome outcome, LoadReport report) {
+    public void onProbeResult(String server, Outcome outcome, LoadReport report) {
         // None of these policies asks.
     }
 
     @Override
-    public void list(List<ServerEntry> servers, boolean whole) {
+    public void onServerList(List<ServerEntry> servers, boolean whole) {
         if (whole) {
             listed.clear();
         }
@@ -246,20 +246,20 @@
     }
 
     @Override
-    public void listFailed() {
-        host.wake(LIST_PAUSE, -1);
+    public void onServerListFailed() {
+        host.scheduleTimer(LIST_PAUSE, -1);
     }
 
     @Override
-    public void woke(long token) {
+    public void onTimer(long token) {
         if (token < 0) {
-            host.watch();
+            host.watchServerList();
         } else {
-            host.wake(MOVE_EVERY, 0);
+            host.scheduleTimer(MOVE_EVERY, 0);
             for (String server : draining) {
-                List<Plain> here = standing.getOrDefault(server, List.of());
+                List<BaselineTunnel> here = standing.getOrDefault(server, List.of());
                 // A twentieth a turn: all of them at once would be a crowd.
-                List<Plain> leave =
+                List<BaselineTunnel> leave =
                         here.stream().filter(p -> !p.moving).limit(here.size() / 20 + 1).toList();
                 leave.forEach(
                         p -> {
--- a/lab/src/main/java/asterpulley/lab/model/ModuleBrain.java
+++ b/lab/src/main/java/asterpulley/lab/model/ModulePolicy.java
@@ -12,10 +12,10 @@
  * The decision module itself, behind the interface of its front. It must change nothing of what
  * passes.
  */
-final class ModuleBrain implements Brain {
+final class ModulePolicy implements BalancingPolicy {
     private final LoadBalancer balance;
 
-    ModuleBrain(Settings settings, long seed, Host host) {
+    ModulePolicy(Settings settings, long seed, PolicyHost host) {
         balance =
                 new LoadBalancer(
                         settings,
@@ -29,7 +29,7 @@
                             @Override
                             public void sendSetup(
                                     LoadBalancer.Tunnel tun, String ep, double timeout) {
-                                host.setup(tun.id, ep, timeout);
+                                host.sendSetup(tun.id, ep, timeout);
                             }
 
                             @Override
@@ -50,12 +50,12 @@
                             @Override
                             public boolean isEligible(
                                     LoadBalancer.Tunnel tun, int server, String ep) {
-                                return host.may(tun.id, server, ep);
+                                return host.isEligible(tun.id, server, ep);
                             }
 
                             @Override
                             public boolean widenSelection(LoadBalancer.Tunnel tun) {
-                                return host.widen(tun.id);
+                                return host.widenSelection(tun.id);
                             }
 
                             @Override
@@ -65,12 +65,12 @@
 
                             @Override
                             public void watchServerList() {
-                                host.watch();
+                                host.watchServerList();
                             }
 
                             @Override
                             public void scheduleTimer(double after, long token) {
-                                host.wake(after, token);
+                                host.scheduleTimer(after, token);
                             }
 
                             @Override
@@ -82,55 +82,55 @@
     }
 
     @Override
-    public Handle take(
+    public TunnelHandle openTunnel(
             long id, int profile, int customer, String group, String key, double budget) {
         LoadBalancer.Tunnel tunnel =
                 balance.openTunnel(id, profile, customer, group, key, budget, false);
-        return new Handle() {
+        return new TunnelHandle() {
             @Override
-            public void opened(double lag) {
+            public void onOpened(double lag) {
                 tunnel.onOpened(0, lag);
             }
 
             @Override
-            public void load(double cores) {
+            public void onLoad(double cores) {
                 tunnel.onLoad(cores);
             }
 
             @Override
-            public void delay(double message) {
+            public void onMessageDelay(double message) {
                 tunnel.onMessageDelay(message);
             }
 
             @Override
-            public void ended(Outcome outcome, double lag, boolean last) {
+            public void onEnded(Outcome outcome, double lag, boolean last) {
                 tunnel.onEnded(0, outcome, lag, last);
             }
 
             @Override
-            public void withdrawn() {
+            public void cancel() {
                 tunnel.cancel();
             }
         };
     }
 
     @Override
-    public void probed(String server, Outcome outcome, LoadReport report) {
+    public void onProbeResult(String server, Outcome outcome, LoadReport report) {
         balance.onProbeResult(server, outcome, report);
     }
 
     @Override
-    public void list(List<ServerEntry> servers, boolean whole) {
+    public void onServerList(List<ServerEntry> servers, boolean whole) {
         balance.onServerList(servers, whole);
     }
 
     @Override
-    public void listFailed() {
+    public void onServerListFailed() {
         balance.onServerListFailed(false);
     }
 
     @Override
-    public void woke(long token) {
+    public void onTimer(long token) {
         balance.onTimer(token);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/model/Host.java
+++ b/lab/src/main/java/asterpulley/lab/model/PolicyHost.java
@@ -4,10 +4,10 @@
  * What a relay's decisions ask of the relay in virtual time; the same as a front's, by the tunnel's
  * number.
  */
-interface Host {
+interface PolicyHost {
     double now();
 
-    void setup(long id, String server, double timeout);
+    void sendSetup(long id, String server, double timeout);
 
     void decline(long id, double retryAfter);
 
@@ -18,13 +18,13 @@
     /**
      * True where this tunnel may go to that server now; and whether more is open to it from now on.
      */
-    boolean may(long id, int number, String server);
+    boolean isEligible(long id, int number, String server);
 
-    boolean widen(long id);
+    boolean widenSelection(long id);
 
     void probe(String server);
 
-    void watch();
+    void watchServerList();
 
-    void wake(double after, long token);
+    void scheduleTimer(double after, long token);
 }
--- a/lab/src/main/java/asterpulley/lab/model/Line.java
+++ b/lab/src/main/java/asterpulley/lab/model/VirtualClock.java
@@ -1,14 +1,14 @@
 package asterpulley.lab.model;
 
-import asterpulley.lab.world.Agenda;
 import asterpulley.lab.world.Clock;
+import asterpulley.lab.world.EventQueue;
 
 /** Virtual time: it stands still while something runs, and then jumps to what is due next. */
-final class Line implements Clock {
-    private final Agenda due = new Agenda();
+final class VirtualClock implements Clock {
+    private final EventQueue queue = new EventQueue();
     private double now;
 
-    Line(double from) {
+    VirtualClock(double from) {
         now = from;
     }
 
@@ -18,16 +18,16 @@
     }
 
     @Override
-    public void after(double seconds, Runnable what) {
-        due.add(now + Math.max(0, seconds), what);
+    public void schedule(double seconds, Runnable what) {
+        queue.add(now + Math.max(0, seconds), what);
     }
 
     /** Runs all that is due up to this time; returns how much that was. */
-    long until(double end) {
+    long runUntil(double end) {
         long ran = 0;
-        while (due.next() <= end) {
-            now = due.next();
-            due.take().run();
+        while (queue.nextTime() <= end) {
+            now = queue.nextTime();
+            queue.poll().run();
             ran++;
         }
         now = end;
--- a/lab/src/main/java/asterpulley/lab/model/RelayHost.java
+++ b/lab/src/main/java/asterpulley/lab/model/VirtualRelay.java
@@ -4,11 +4,11 @@
 import asterpulley.Outcome;
 import asterpulley.ServerEntry;
 import asterpulley.lab.plan.Plan;
-import asterpulley.lab.world.Registry;
+import asterpulley.lab.world.ClientRequest;
 import asterpulley.lab.world.Server;
+import asterpulley.lab.world.ServerRegistry;
 import asterpulley.lab.world.Setup;
-import asterpulley.lab.world.Try;
-import asterpulley.lab.world.World;
+import asterpulley.lab.world.Simulation;
 import asterpulley.routes.PoolRouter;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -22,7 +22,7 @@
  * the way there and back, time-outs, moves, what stands on a silent server, leaving in order), and
  * asks its brain for every decision. It must decide nothing itself.
  */
-class RelayHost implements Host {
+class VirtualRelay implements PolicyHost {
     /** The module's clock is Unix-like: it takes times at and before 0 for never. */
     static final double EPOCH = 1e6;
 
@@ -38,28 +38,28 @@
     private static final double CORES = 0.01;
 
     /** A tunnel as this relay knows it. */
-    private static final class Passage {
+    private static final class TunnelState {
         private final long id;
-        private final Try of;
-        private Brain.Handle handle;
+        private final ClientRequest of;
+        private BalancingPolicy.TunnelHandle handle;
         private int setups, told;
         private boolean out, standing, answered, over;
         private double sentAt, openedAt, silentSince = Double.NaN, sound;
         private Setup setup;
         private Server server;
 
-        private Passage(long id, Try of) {
+        private TunnelState(long id, ClientRequest of) {
             this.id = id;
             this.of = of;
         }
     }
 
     final int number;
-    final Line line;
-    final World world;
+    final VirtualClock line;
+    final Simulation world;
     private final Plan plan;
     private final Map<String, Server> byName;
-    private final Map<Long, Passage> passages = new LinkedHashMap<>();
+    private final Map<Long, TunnelState> passages = new LinkedHashMap<>();
     private final Map<String, Boolean> asking = new HashMap<>();
 
     /**
@@ -68,12 +68,12 @@
      */
     private PoolRouter guide;
 
-    private Brain brain;
+    private BalancingPolicy brain;
     private boolean dead, watching;
     private long version, ids;
     private double leavingSince = Double.NaN, movesOwed;
 
-    RelayHost(int number, Line line, World world, Map<String, Server> byName) {
+    VirtualRelay(int number, VirtualClock line, Simulation world, Map<String, Server> byName) {
         this.number = number;
         this.line = line;
         this.world = world;
@@ -81,45 +81,45 @@
         this.byName = byName;
     }
 
-    void start(Brain decisions, PoolRouter narrows) {
+    void start(BalancingPolicy decisions, PoolRouter narrows) {
         brain = decisions;
         guide = narrows;
-        List<Registry.Entry> known = world.registry.whole();
+        List<ServerRegistry.Entry> known = world.registry.currentEntries();
         version = world.registry.version();
-        world.told(number, known);
+        world.entriesDelivered(number, known);
         list(known, true);
-        line.after(SWEEP, this::sweep);
+        line.schedule(SWEEP, this::sweep);
     }
 
-    private void list(List<Registry.Entry> entries, boolean whole) {
+    private void list(List<ServerRegistry.Entry> entries, boolean whole) {
         List<ServerEntry> listed = listed(entries);
         if (guide != null) {
             guide.updateServerList(listed, whole, now());
         }
-        brain.list(listed, whole);
+        brain.onServerList(listed, whole);
     }
 
     /** What its operators say of pools has changed. */
     void reload() {
         if (guide != null && !dead) {
-            guide.reload(plan.charter(world.roomOfRelay(number)), now());
+            guide.reload(plan.routingPolicy(world.roomOfRelay(number)), now());
         }
     }
 
     @Override
-    public boolean may(long id, int server, String name) {
+    public boolean isEligible(long id, int server, String name) {
         return guide == null || guide.mayUse(id, server, name, now());
     }
 
     @Override
-    public boolean widen(long id) {
+    public boolean widenSelection(long id) {
         return guide != null && guide.advanceTier(id, now());
     }
 
-    private static List<ServerEntry> listed(List<Registry.Entry> entries) {
+    private static List<ServerEntry> listed(List<ServerRegistry.Entry> entries) {
         List<ServerEntry> listed = new ArrayList<>(entries.size());
-        for (Registry.Entry e : entries) {
-            ServerEntry l = e.listed();
+        for (ServerRegistry.Entry e : entries) {
+            ServerEntry l = e.toServerEntry();
             listed.add(
                     new ServerEntry(
                             l.name(),
@@ -137,32 +137,32 @@
     }
 
     /** Whose tunnel that is; null when it is over. */
-    Try tryOf(long id) {
-        Passage p = passages.get(id);
+    ClientRequest tryOf(long id) {
+        TunnelState p = passages.get(id);
         return p == null ? null : p.of;
     }
 
     // ---- From clients
 
-    void take(Try t) {
-        Passage p = new Passage(++ids, t);
-        t.carried = p;
+    void take(ClientRequest t) {
+        TunnelState p = new TunnelState(++ids, t);
+        t.testbedState = p;
         passages.put(p.id, p);
-        String key = Long.toHexString(t.client.born.key());
+        String key = Long.toHexString(t.client.spec.key());
         if (guide != null) {
-            guide.tunnelAccepted(p.id, t.client.born.profile(), key, now());
+            guide.tunnelAccepted(p.id, t.client.spec.profileIndex(), key, now());
         }
-        int group = t.client.born.group();
+        int group = t.client.spec.group();
         p.handle =
-                brain.take(
+                brain.openTunnel(
                         p.id,
-                        t.client.born.profile(),
-                        t.client.born.customer(),
+                        t.client.spec.profileIndex(),
+                        t.client.spec.customerIndex(),
                         group < 0 ? null : "g" + group,
                         key,
-                        t.patience);
-        line.after(
-                t.patience,
+                        t.clientTimeout);
+        line.schedule(
+                t.clientTimeout,
                 () -> {
                     if (!p.answered && !dead) {
                         drop(p);
@@ -171,21 +171,21 @@
                 });
     }
 
-    private void drop(Passage p) {
-        p.handle.withdrawn();
+    private void drop(TunnelState p) {
+        p.handle.cancel();
         if (p.out) {
             ends(p, Outcome.CANCELLED, true);
         }
     }
 
     /** The client ended its tunnel or its waiting; how many of its seconds were served. */
-    double hangUp(Try t) {
-        if (!(t.carried instanceof Passage p) || dead) {
-            return t.carried instanceof Passage p ? p.sound : 0;
+    double hangUp(ClientRequest t) {
+        if (!(t.testbedState instanceof TunnelState p) || dead) {
+            return t.testbedState instanceof TunnelState p ? p.sound : 0;
         }
         if (p.standing && !p.over) {
             close(p);
-            p.handle.ended(Outcome.OK, 0, true);
+            p.handle.onEnded(Outcome.OK, 0, true);
         } else if (!p.answered) {
             drop(p);
             p.answered = p.over = true;
@@ -194,18 +194,18 @@
         return p.sound;
     }
 
-    private void forget(Passage p) {
+    private void forget(TunnelState p) {
         passages.remove(p.id);
         if (guide != null) {
             guide.tunnelClosed(p.id);
         }
     }
 
-    private void close(Passage p) {
-        p.sound = world.sound(p.setup);
+    private void close(TunnelState p) {
+        p.sound = world.servedSeconds(p.setup);
         p.over = true;
         forget(p);
-        world.gone(p.setup);
+        world.setupClosed(p.setup);
     }
 
     // ---- From the brain
@@ -216,12 +216,12 @@
     }
 
     private void toClient(Runnable what) {
-        line.after(plan.near, what);
+        line.schedule(plan.localDelay, what);
     }
 
     @Override
-    public void setup(long id, String name, double timeout) {
-        Passage p = passages.get(id);
+    public void sendSetup(long id, String name, double timeout) {
+        TunnelState p = passages.get(id);
         if (p == null || p.out) {
             return;
         }
@@ -236,55 +236,55 @@
         send(p, n, p.server, timeout);
     }
 
-    private void send(Passage p, int n, Server s, double timeout) {
+    private void send(TunnelState p, int n, Server s, double timeout) {
         int here = world.roomOfRelay(number);
         double way = world.delay(here, s.room);
-        boolean connects = !s.gone() && world.reaches(number, s.room);
-        line.after(
+        boolean connects = !s.hasVanished() && world.canReach(number, s.room);
+        line.schedule(
                 way,
                 () -> {
                     if (dead || !p.out || p.setups != n || !connects) {
                         return;
                     }
-                    if (s.closed()) {
-                        line.after(way, () -> ended(p, n, Outcome.NO_CONNECTION));
+                    if (s.isDown()) {
+                        line.schedule(way, () -> ended(p, n, Outcome.NO_CONNECTION));
                         return;
                     }
-                    p.setup = world.arrives(p.of, s, p.sentAt, reply(p, n, way));
+                    p.setup = world.setupArrived(p.of, s, p.sentAt, reply(p, n, way));
                 });
         double patience = connects ? timeout : Math.min(timeout, plan.connectTimeout);
-        line.after(
+        line.schedule(
                 patience, () -> ended(p, n, connects ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION));
     }
 
-    private Setup.Reply reply(Passage p, int n, double way) {
+    private Setup.Reply reply(TunnelState p, int n, double way) {
         return new Setup.Reply() {
             @Override
             public void opened(double load) {
-                line.after(way, () -> RelayHost.this.opened(p, n, load * CORES));
+                line.schedule(way, () -> VirtualRelay.this.opened(p, n, load * CORES));
             }
 
             @Override
             public void full() {
-                line.after(way, () -> ended(p, n, Outcome.FULL));
+                line.schedule(way, () -> ended(p, n, Outcome.FULL));
             }
 
             @Override
             public void error() {
-                line.after(way, () -> ended(p, n, Outcome.FAILED));
+                line.schedule(way, () -> ended(p, n, Outcome.FAILED));
             }
 
             @Override
-            public void broke() {
+            public void connectionLost() {
                 if (p.standing && p.setups == n) {
-                    p.sound = world.sound(p.setup);
+                    p.sound = world.servedSeconds(p.setup);
                 }
-                line.after(way, () -> RelayHost.this.broke(p, n));
+                line.schedule(way, () -> VirtualRelay.this.broke(p, n));
             }
         };
     }
 
-    private void opened(Passage p, int n, double cores) {
+    private void opened(TunnelState p, int n, double cores) {
         if (dead || !p.out || p.setups != n) {
             return;
         }
@@ -295,12 +295,12 @@
             guide.tunnelOpened(p.id, now());
             guide.tunnelLoadReported(p.id, cores);
         }
-        p.handle.opened(line.now() - p.sentAt);
-        p.handle.load(cores);
-        toClient(() -> world.opened(p.of));
+        p.handle.onOpened(line.now() - p.sentAt);
+        p.handle.onLoad(cores);
+        toClient(() -> world.tunnelOpened(p.of));
     }
 
-    private void broke(Passage p, int n) {
+    private void broke(TunnelState p, int n) {
         if (dead || p.setups != n) {
             return;
         }
@@ -309,46 +309,46 @@
         } else if (p.standing && !p.over) {
             p.over = true;
             forget(p);
-            p.handle.ended(Outcome.RESET, 0, true);
-            toClient(() -> world.cut(p.of, p.sound));
+            p.handle.onEnded(Outcome.RESET, 0, true);
+            toClient(() -> world.tunnelCut(p.of, p.sound));
         }
     }
 
-    private void ended(Passage p, int n, Outcome outcome) {
+    private void ended(TunnelState p, int n, Outcome outcome) {
         if (!dead && p.out && p.setups == n) {
             ends(p, outcome, p.answered);
         }
     }
 
-    private void ends(Passage p, Outcome outcome, boolean last) {
+    private void ends(TunnelState p, Outcome outcome, boolean last) {
         p.out = false;
         if (guide != null) {
             guide.serverConnectionEnded(p.id, outcome, true, now());
         }
         if (p.setup != null) {
-            world.gone(p.setup);
+            world.setupClosed(p.setup);
         }
-        p.handle.ended(outcome, line.now() - p.sentAt, last);
+        p.handle.onEnded(outcome, line.now() - p.sentAt, last);
     }
 
     @Override
     public void decline(long id, double retryAfter) {
-        Passage p = answers(id);
+        TunnelState p = answers(id);
         if (p != null) {
-            toClient(() -> world.declined(p.of, retryAfter));
+            toClient(() -> world.requestDeclined(p.of, retryAfter));
         }
     }
 
     @Override
     public void closeWithError(long id) {
-        Passage p = answers(id);
+        TunnelState p = answers(id);
         if (p != null) {
-            toClient(() -> world.failed(p.of));
+            toClient(() -> world.requestFailed(p.of));
         }
     }
 
-    private Passage answers(long id) {
-        Passage p = passages.get(id);
+    private TunnelState answers(long id) {
+        TunnelState p = passages.get(id);
         if (p == null || p.answered) {
             return null;
         }
@@ -359,11 +359,11 @@
 
     @Override
     public void move(long id) {
-        Passage p = passages.get(id);
+        TunnelState p = passages.get(id);
         if (p != null && p.standing && !p.over) {
             close(p);
-            p.handle.ended(Outcome.CANCELLED, 0, true);
-            toClient(() -> world.moved(p.of, p.sound));
+            p.handle.onEnded(Outcome.CANCELLED, 0, true);
+            toClient(() -> world.tunnelMoved(p.of, p.sound));
         }
     }
 
@@ -373,15 +373,15 @@
         if (asking.putIfAbsent(name, true) != null) {
             return;
         }
-        world.figures.count("probes");
+        world.figures.increment("probes");
         double way = world.delay(world.roomOfRelay(number), s.room);
         double patience = plan.profiles.stream().mapToDouble(q -> q.setupGoal).min().orElse(0.5);
-        line.after(
+        line.schedule(
                 way,
                 () -> {
-                    Optional<LoadReport> report = world.asked(number, s);
-                    boolean refused = s.closed();
-                    line.after(
+                    Optional<LoadReport> report = world.probe(number, s);
+                    boolean refused = s.isDown();
+                    line.schedule(
                             report.isPresent() || refused ? way : Math.max(0, patience - way),
                             () -> {
                                 asking.remove(name);
@@ -399,19 +399,20 @@
                                                 report.orElseGet(LoadReport::new),
                                                 now());
                                     }
-                                    brain.probed(name, outcome, report.orElseGet(LoadReport::new));
+                                    brain.onProbeResult(
+                                            name, outcome, report.orElseGet(LoadReport::new));
                                 }
                             });
                 });
     }
 
     @Override
-    public void wake(double after, long token) {
-        line.after(
+    public void scheduleTimer(double after, long token) {
+        line.schedule(
                 after,
                 () -> {
                     if (!dead) {
-                        brain.woke(token);
+                        brain.onTimer(token);
                     }
                 });
     }
@@ -419,15 +420,15 @@
     // ---- The list
 
     @Override
-    public void watch() {
+    public void watchServerList() {
         if (watching) {
             return;
         }
         watching = true;
-        line.after(
-                2 * plan.near,
+        line.schedule(
+                2 * plan.localDelay,
                 () -> {
-                    if (!dead && world.registry.down()) {
+                    if (!dead && world.registry.isDown()) {
                         listFailed();
                     } else if (!dead) {
                         tell();
@@ -439,10 +440,10 @@
         if (!watching) {
             return;
         }
-        List<Registry.Entry> news = world.registry.since(version);
+        List<ServerRegistry.Entry> news = world.registry.changesSince(version);
         version = world.registry.version();
         if (!news.isEmpty()) {
-            world.told(number, news);
+            world.entriesDelivered(number, news);
             list(news, false);
         }
     }
@@ -450,7 +451,7 @@
     void listFailed() {
         if (watching) {
             watching = false;
-            brain.listFailed();
+            brain.onServerListFailed();
         }
     }
 
@@ -467,27 +468,27 @@
         if (guide != null) {
             guide.tick(now()).forEach(this::move);
         }
-        if (world.anySilent()) {
-            for (Passage p : List.copyOf(passages.values())) {
+        if (world.anyUnresponsive()) {
+            for (TunnelState p : List.copyOf(passages.values())) {
                 if (!p.standing || p.over) {
                     continue;
                 }
-                if (Double.isInfinite(world.message(number, p.server))) {
+                if (Double.isInfinite(world.messageDelay(number, p.server))) {
                     heedSilence(p);
                 } else {
                     p.silentSince = Double.NaN;
                 }
             }
         }
-        line.after(SWEEP, this::sweep);
+        line.schedule(SWEEP, this::sweep);
     }
 
-    private void heedSilence(Passage p) {
+    private void heedSilence(TunnelState p) {
         if (Double.isNaN(p.silentSince)) {
             // Its client says a line every so often: the next one is the first that nothing
             // answers.
             p.silentSince =
-                    line.now() + plan.messageEvery * (p.of.client.born.key() >>> 40) / (1 << 24);
+                    line.now() + plan.messageInterval * (p.of.client.spec.key() >>> 40) / (1 << 24);
             p.told = 0;
         }
         double waits = line.now() - p.silentSince;
@@ -495,7 +496,7 @@
             move(p.id);
         } else if (waits > (p.told + 1) * SLOW) {
             p.told++;
-            p.handle.delay(waits);
+            p.handle.onMessageDelay(waits);
         }
     }
 
@@ -506,17 +507,17 @@
 
     void dies(boolean inOrder) {
         dead = true;
-        world.relayDied(number, inOrder);
-        for (Passage p : List.copyOf(passages.values())) {
+        world.relayStopped(number, inOrder);
+        for (TunnelState p : List.copyOf(passages.values())) {
             if (p.standing && !p.over) {
                 close(p);
-                toClient(() -> world.cut(p.of, p.sound));
+                toClient(() -> world.tunnelCut(p.of, p.sound));
             } else if (!p.answered) {
                 if (p.setup != null) {
-                    world.gone(p.setup);
+                    world.setupClosed(p.setup);
                 }
                 p.over = true;
-                toClient(() -> world.broken(p.of));
+                toClient(() -> world.connectionBroken(p.of));
             }
         }
         passages.clear();
@@ -542,14 +543,14 @@
         if (left < MOVES_OVER) {
             movesOwed += Math.max(1, passages.size() * LEAVING_STEP / Math.max(LEAVING_STEP, left));
         }
-        for (Passage p : List.copyOf(passages.values())) {
+        for (TunnelState p : List.copyOf(passages.values())) {
             if (p.standing && movesOwed >= 1) {
                 movesOwed--;
                 move(p.id);
             }
         }
         if (since > end) {
-            for (Passage p : List.copyOf(passages.values())) {
+            for (TunnelState p : List.copyOf(passages.values())) {
                 if (!p.answered) {
                     drop(p);
                     closeWithError(p.id);
@@ -560,6 +561,6 @@
             dies(true);
             return;
         }
-        line.after(LEAVING_STEP, this::leaving);
+        line.schedule(LEAVING_STEP, this::leaving);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/plan/Plan.java
+++ b/lab/src/main/java/asterpulley/lab/plan/Plan.java
@@ -16,16 +16,16 @@
 public final class Plan {
     public static final class ProfilePlan {
         public String name = "live";
-        public Settings.Repeatability effect = Settings.Repeatability.REPEATABLE;
-        public Settings.IdempotencyScope reach = Settings.IdempotencyScope.ALL;
+        public Settings.Repeatability repeatability = Settings.Repeatability.REPEATABLE;
+        public Settings.IdempotencyScope idempotencyScope = Settings.IdempotencyScope.ALL;
         public double share = 1,
                 setupGoal = 0.5,
                 clientTimeout = 2,
                 credit = 1,
                 lifetime = 20,
                 load = 1,
-                window = 5;
-        public int retries = 3;
+                idempotencyWindow = 5;
+        public int maxRetries = 3;
     }
 
     public static final class CustomerPlan {
@@ -35,24 +35,28 @@
 
     /** A kind of server; {@code count} of them stand in every room named. */
     public static final class ServerPlan {
-        public String kind = "feed";
+        public String model = "feed";
         public int count = 3;
         public List<String> rooms = new ArrayList<>();
-        public double holds = 60, setup = 0.02, warmUp = 10, coldFrom = 0.1, refuseAt = 1.2;
-        public boolean cold;
+        public double capacity = 60,
+                setupTime = 0.02,
+                warmUpTime = 10,
+                coldCapacityFraction = 0.1,
+                refuseAtFactor = 1.2;
+        public boolean startsCold;
     }
 
     public static final class Fault {
         public String kind;
         public double at,
-                lasts = 5,
+                duration = 5,
                 factor = 5,
                 share = 1,
-                step = 5,
-                drain = 6,
-                down = 1,
-                within = 1,
-                spill = Double.NaN;
+                stepInterval = 5,
+                drainTime = 6,
+                downTime = 1,
+                withinSeconds = 1,
+                spillShare = Double.NaN;
         public int count;
         public List<String> servers = new ArrayList<>();
         public List<String> relays = new ArrayList<>();
@@ -60,9 +64,9 @@
     }
 
     /** A figure, how it is compared, and with what. */
-    public record Expect(String figure, String sign, double bound) {
+    public record Expectation(String figure, String operator, double bound) {
         public boolean holds(double is) {
-            return switch (sign) {
+            return switch (operator) {
                 case "<" -> is < bound;
                 case "<=" -> is <= bound;
                 case ">" -> is > bound;
@@ -72,11 +76,15 @@
         }
     }
 
-    public String name, title, on = "sockets";
+    public String name, title, testbed = "sockets";
     public long seed = 1;
-    public double length = 20, settle = 3;
-    public double arrivals = 20, standing = 0, swing = 0, messageEvery = 2, messageGoal = 0.25;
-    public int groups;
+    public double duration = 20, settleTime = 3;
+    public double arrivalsPerSecond = 20,
+            initialClients = 0,
+            arrivalSwing = 0,
+            messageInterval = 2,
+            messageGoal = 0.25;
+    public int groupCount;
     public double groupCost = 2;
 
     public List<String> rooms = new ArrayList<>();
@@ -84,21 +92,21 @@
     /** The part of the clients whose home each room is. */
     public List<Double> roomShares = new ArrayList<>();
 
-    public double near = 0.0005, delay = 0.01;
+    public double localDelay = 0.0005, crossRoomDelay = 0.01;
     public final List<ProfilePlan> profiles = new ArrayList<>();
     public final List<CustomerPlan> customers = new ArrayList<>();
     public final List<ServerPlan> servers = new ArrayList<>();
     public final List<Fault> faults = new ArrayList<>();
-    public final List<Expect> expects = new ArrayList<>();
+    public final List<Expectation> expectations = new ArrayList<>();
     public final List<String> baselines = new ArrayList<>();
 
-    public int relays = 1, mostSetups = 4, memory = 128, sockets = 8192;
-    public double tick = 0.004, connectTimeout = 1, longestRetryAfter = 1.5, frontNotice = 1;
-    public double toldFrom = 0.2, toldTo = 0.6, deemedTold = 6, drainGrace = 0.5;
-    public double fallMultiple = 2, fallTime = 1;
-    public double crossingFee = 0.02, probeFee;
-    public boolean reportsHeld;
-    public double storeRate;
+    public int relaysPerRoom = 1, maxSetupsPerTunnel = 4, memoryMb = 128, maxSockets = 8192;
+    public double tick = 0.004, connectTimeout = 1, maxRetryAfter = 1.5, frontendNoticeDelay = 1;
+    public double minListDelay = 0.2, maxListDelay = 0.6, assumedListDelay = 6, drainGrace = 0.5;
+    public double collapseMultiple = 2, collapseTime = 1;
+    public double crossZoneFee = 0.02, probeFee;
+    public boolean reportsOpenTunnels;
+    public double sessionStoreRate;
 
     /**
      * What relays are told of pools; null: nothing narrows their choice. A fault may bring another.
@@ -107,30 +115,30 @@
 
     /** What a relay of this world is told, as the module reads it. */
     public Settings settings(int room) {
-        return SettingsDecoder.decode(Told.settings(this, room));
+        return SettingsDecoder.decode(RelaySettings.settingsFor(this, room));
     }
 
     /** The same of pools; null where it is told nothing of them. */
-    public RoutingPolicy charter(int room) {
+    public RoutingPolicy routingPolicy(int room) {
         return routes == null
                 ? null
-                : RoutingPolicyDecoder.decode(routes, room, Told.settings(this, room));
+                : RoutingPolicyDecoder.decode(routes, room, RelaySettings.settingsFor(this, room));
     }
 
     /**
      * Everything in half the time: the load lasts half as long, and what goes wrong does so twice
      * as soon.
      */
-    public void halve() {
-        length /= 2;
+    public void halveTimes() {
+        duration /= 2;
         for (Fault f : faults) {
             f.at /= 2;
-            f.lasts /= 2;
-            f.step /= 2;
+            f.duration /= 2;
+            f.stepInterval /= 2;
         }
     }
 
-    public int allServers() {
+    public int serverCount() {
         return servers.stream().mapToInt(k -> k.count * k.rooms.size()).sum();
     }
 }
--- a/lab/src/main/java/asterpulley/lab/plan/Told.java
+++ b/lab/src/main/java/asterpulley/lab/plan/RelaySettings.java
@@ -9,27 +9,27 @@
  * What relays of a plan are told, under the platform's names, on every carrier. It must say nothing
  * that the plan does not say.
  */
-public final class Told {
-    private Told() {}
+public final class RelaySettings {
+    private RelaySettings() {}
 
     /** The settings, as every relay of a plan in this room is told them. */
-    public static Map<String, Object> settings(Plan plan, int room) {
+    public static Map<String, Object> settingsFor(Plan plan, int room) {
         List<Object> profiles = new ArrayList<>();
         for (Plan.ProfilePlan p : plan.profiles) {
             String effect =
-                    switch (p.effect) {
+                    switch (p.repeatability) {
                         case REPEATABLE -> "read_like";
                         case REFERENCED -> "idempotency_key";
                         case ONCE_ONLY -> "non_idempotent";
                     };
             profiles.add(
-                    map(
+                    mapOf(
                             "name",
                             p.name,
                             "effect",
                             effect,
                             "group",
-                            p.reach.name().toLowerCase(),
+                            p.idempotencyScope.name().toLowerCase(),
                             "credit",
                             p.credit,
                             "setupGoalMs",
@@ -37,51 +37,51 @@
                             "clientTimeoutMs",
                             p.clientTimeout * 1e3,
                             "windowMs",
-                            p.window * 1e3));
+                            p.idempotencyWindow * 1e3));
         }
         List<Object> customers = new ArrayList<>();
-        plan.customers.forEach(c -> customers.add(map("name", c.name, "share", c.share)));
+        plan.customers.forEach(c -> customers.add(mapOf("name", c.name, "share", c.share)));
         Map<String, Object> s = new LinkedHashMap<>();
         s.put("zones", plan.rooms);
-        s.put("models", plan.servers.stream().map(k -> k.kind).toList());
+        s.put("models", plan.servers.stream().map(k -> k.model).toList());
         s.put("tenants", customers);
         s.put("profiles", profiles);
-        s.put("siblings", plan.relays * plan.rooms.size());
+        s.put("siblings", plan.relaysPerRoom * plan.rooms.size());
         s.put("myZone", room);
         s.put("registryMode", "subscribe");
         s.put("tickMs", plan.tick * 1e3);
-        s.put("familyInfo", map("groups", plan.groups > 0));
+        s.put("familyInfo", mapOf("groups", plan.groupCount > 0));
         s.put(
                 "limits",
-                map(
+                mapOf(
                         "probes",
                         true,
                         "retryAfter",
-                        plan.longestRetryAfter > 0,
+                        plan.maxRetryAfter > 0,
                         "maxRetryAfterMs",
-                        plan.longestRetryAfter * 1e3,
+                        plan.maxRetryAfter * 1e3,
                         "mostSetups",
-                        plan.mostSetups,
+                        plan.maxSetupsPerTunnel,
                         "dialTimeoutMs",
                         plan.connectTimeout * 1e3));
         s.put(
                 "rules",
-                map(
+                mapOf(
                         "askEveryMs",
-                        plan.deemedTold * 1e3,
+                        plan.assumedListDelay * 1e3,
                         "coldFrom",
-                        plan.servers.get(0).coldFrom,
+                        plan.servers.get(0).coldCapacityFraction,
                         "coldMs",
-                        plan.servers.get(0).warmUp * 1e3,
+                        plan.servers.get(0).warmUpTime * 1e3,
                         "fallMultiple",
-                        plan.fallMultiple,
+                        plan.collapseMultiple,
                         "fallMs",
-                        plan.fallTime * 1e3));
-        s.put("fees", map("crossZone", plan.crossingFee, "probe", plan.probeFee));
+                        plan.collapseTime * 1e3));
+        s.put("fees", mapOf("crossZone", plan.crossZoneFee, "probe", plan.probeFee));
         return s;
     }
 
-    public static Map<String, Object> map(Object... pairs) {
+    public static Map<String, Object> mapOf(Object... pairs) {
         Map<String, Object> map = new LinkedHashMap<>();
         for (int i = 0; i < pairs.length; i += 2) {
             map.put((String) pairs[i], pairs[i + 1]);
--- a/lab/src/main/java/asterpulley/lab/report/Reports.java
+++ b/lab/src/main/java/asterpulley/lab/report/Reports.java
@@ -20,32 +20,32 @@
  * of one seed.
  */
 public final class Reports {
-    private static final ObjectMapper JSON =
+    private static final ObjectMapper JSON_MAPPER =
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
-    private static final String PLOTS = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
+    private static final String UPLOT_FOLDER = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
 
     private Reports() {}
 
-    public static byte[] json(Plan plan, List<Outcome> all) throws IOException {
+    public static byte[] toJson(Plan plan, List<RunResult> all) throws IOException {
         Map<String, Object> top = new LinkedHashMap<>();
         top.put("experiment", plan.name);
         top.put("title", plan.title);
         top.put("seed", plan.seed);
         List<Object> plays = new ArrayList<>();
-        for (Outcome o : all) {
+        for (RunResult o : all) {
             Map<String, Object> play = new LinkedHashMap<>();
-            play.put("on", o.carrier);
+            play.put("on", o.testbed);
             play.put("policy", o.policy);
             play.put(
                     "verdict",
-                    o.noVerdict != null
-                            ? "none: " + o.noVerdict
-                            : o.good(plan) ? "holds" : "short");
+                    o.noVerdictReason != null
+                            ? "none: " + o.noVerdictReason
+                            : o.meetsExpectations(plan) ? "holds" : "short");
             List<Object> expects = new ArrayList<>();
-            for (Plan.Expect e : plan.expects) {
+            for (Plan.Expectation e : plan.expectations) {
                 Map<String, Object> to = new LinkedHashMap<>();
                 to.put("figure", e.figure());
-                to.put("expected", e.sign() + " " + Tables.plain(e.bound()));
+                to.put("expected", e.operator() + " " + Tables.formatNumber(e.bound()));
                 to.put("is", o.figure(e.figure()));
                 to.put("holds", o.holds(e));
                 expects.add(to);
@@ -56,82 +56,86 @@
             Map<String, Object> series = new LinkedHashMap<>();
             for (int i = 0; i < Figures.SERIES.size(); i++) {
                 int at = i;
-                series.put(Figures.SERIES.get(i), o.rows.stream().map(r -> r[at]).toList());
+                series.put(Figures.SERIES.get(i), o.secondRows.stream().map(r -> r[at]).toList());
             }
             play.put("by_second", series);
             plays.add(play);
         }
         top.put("plays", plays);
-        return JSON.writeValueAsBytes(top);
+        return JSON_MAPPER.writeValueAsBytes(top);
     }
 
-    public static void html(Plan plan, List<Outcome> all, Path to) throws IOException {
-        StringBuilder page = new StringBuilder(head(plan.title, plan.name, plan.seed));
-        for (Outcome o : all) {
+    public static void writeHtml(Plan plan, List<RunResult> all, Path to) throws IOException {
+        StringBuilder page = new StringBuilder(pageHead(plan.title, plan.name, plan.seed));
+        for (RunResult o : all) {
             page.append("<h2>")
-                    .append(safe(o.policy))
+                    .append(escapeHtml(o.policy))
                     .append(" on ")
-                    .append(o.carrier)
+                    .append(o.testbed)
                     .append("</h2>");
-            if (o.noVerdict != null) {
-                page.append("<p class=short>no verdict: ").append(safe(o.noVerdict)).append("</p>");
+            if (o.noVerdictReason != null) {
+                page.append("<p class=short>no verdict: ")
+                        .append(escapeHtml(o.noVerdictReason))
+                        .append("</p>");
             }
             page.append("<table><tr><th>figure<th>is<th>expected<th>");
-            for (Plan.Expect e : plan.expects) {
-                page.append(row(e, o.figure(e.figure()), o.holds(e)));
+            for (Plan.Expectation e : plan.expectations) {
+                page.append(expectationRow(e, o.figure(e.figure()), o.holds(e)));
             }
             page.append("</table>");
-            o.notes.forEach(n -> page.append("<p class=short>").append(safe(n)).append("</p>"));
+            o.notes.forEach(
+                    n -> page.append("<p class=short>").append(escapeHtml(n)).append("</p>"));
         }
         page.append("<h2>Faults</h2><ul>");
         for (Plan.Fault f : plan.faults) {
             page.append("<li>")
-                    .append(Tables.plain(f.at))
+                    .append(Tables.formatNumber(f.at))
                     .append(" s: ")
-                    .append(safe(f.kind))
+                    .append(escapeHtml(f.kind))
                     .append(" for ")
-                    .append(Tables.plain(f.lasts))
+                    .append(Tables.formatNumber(f.duration))
                     .append(" s");
         }
-        page.append("</ul>").append(plots(new String(json(plan, all), StandardCharsets.UTF_8)));
+        page.append("</ul>")
+                .append(plotsHtml(new String(toJson(plan, all), StandardCharsets.UTF_8)));
         Files.writeString(to, page.toString());
     }
 
     /** A page up to its first play. */
-    public static String head(String title, String name, long seed) throws IOException {
+    public static String pageHead(String title, String name, long seed) throws IOException {
         return "<!doctype html><meta charset=\"utf-8\"><title>"
-                + safe(title)
+                + escapeHtml(title)
                 + "</title><style>"
                 + resource("uPlot.min.css")
                 + "body{font:14px sans-serif;margin:2em;max-width:1100px}table{border-collapse:collapse}"
                 + "td,th{padding:2px 10px;text-align:right}td:first-child{text-align:left}.short{color:#b00}"
                 + "</style><h1>"
-                + safe(title)
+                + escapeHtml(title)
                 + "</h1><p>experiment "
-                + safe(name)
+                + escapeHtml(name)
                 + ", seed "
                 + seed
                 + "</p>";
     }
 
     /** An expectation's row. */
-    public static String row(Plan.Expect e, double is, boolean holds) {
+    public static String expectationRow(Plan.Expectation e, double is, boolean holds) {
         return "<tr"
                 + (holds ? "" : " class=short")
                 + "><td>"
-                + safe(e.figure())
+                + escapeHtml(e.figure())
                 + "<td>"
-                + Tables.plain(is)
+                + Tables.formatNumber(is)
                 + "<td>"
-                + safe(e.sign())
+                + escapeHtml(e.operator())
                 + ' '
-                + Tables.plain(e.bound())
+                + Tables.formatNumber(e.bound())
                 + "<td>"
                 + (holds ? "holds" : "short");
     }
 
     /** What happened by the second, drawn from a file's JSON. */
-    public static String plots(String json) throws IOException {
+    public static String plotsHtml(String json) throws IOException {
         return "<h2>By the second</h2><div id=plots></div><script>"
                 + resource("uPlot.iife.min.js")
                 + "</script><script>const plays="
@@ -150,12 +154,12 @@
                 + "</script>\n";
     }
 
-    public static String safe(String text) {
+    public static String escapeHtml(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;");
     }
 
     private static String resource(String name) throws IOException {
-        try (InputStream in = Reports.class.getResourceAsStream(PLOTS + name)) {
+        try (InputStream in = Reports.class.getResourceAsStream(UPLOT_FOLDER + name)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
--- /dev/null
+++ b/lab/src/main/java/asterpulley/lab/report/RunResult.java
@@ -0,0 +1,43 @@
+package asterpulley.lab.report;
+
+import asterpulley.lab.plan.Plan;
+import asterpulley.lab.world.Simulation;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * What one play of a plan gave: its figures, what happened by the second, and which expectations
+ * held.
+ */
+public final class RunResult {
+    public final String testbed, policy;
+    public final Map<String, Double> figures;
+    public final List<double[]> secondRows;
+    public final List<String> notes;
+
+    /** Why there is no verdict; null where there is one. */
+    public final String noVerdictReason;
+
+    public RunResult(String carrier, String policy, Simulation world, String noVerdict) {
+        this.testbed = carrier;
+        this.policy = policy;
+        this.figures = new TreeMap<>(world.figures.byName());
+        this.secondRows = world.figures.rows();
+        this.notes = world.ruleChecker.notes();
+        this.noVerdictReason = noVerdict;
+    }
+
+    public double figure(String name) {
+        return figures.getOrDefault(name, Double.NaN);
+    }
+
+    public boolean holds(Plan.Expectation e) {
+        return e.holds(figure(e.figure()));
+    }
+
+    /** Every expectation holds, and the run is worth a verdict. */
+    public boolean meetsExpectations(Plan plan) {
+        return noVerdictReason == null && plan.expectations.stream().allMatch(this::holds);
+    }
+}
--- a/lab/src/main/java/asterpulley/lab/report/Tables.java
+++ b/lab/src/main/java/asterpulley/lab/report/Tables.java
@@ -7,7 +7,7 @@
 
 /** Prints outcomes for a terminal. It must print nothing that the outcomes don't hold. */
 public final class Tables {
-    private static final List<String> SIDE_BY_SIDE =
+    private static final List<String> COMPARED_FIGURES =
             List.of(
                     "credit.share",
                     "setup.p50_ms",
@@ -20,7 +20,7 @@
                     "rules.broken");
 
     /** Where rooms are more than one. */
-    private static final List<String> OF_ROOMS =
+    private static final List<String> COMPARED_ROOM_FIGURES =
             List.of(
                     "credit.net",
                     "spill.worst_share",
@@ -30,7 +30,7 @@
 
     private Tables() {}
 
-    public static String plain(double d) {
+    public static String formatNumber(double d) {
         if (Double.isNaN(d)) {
             return "-";
         }
@@ -40,39 +40,39 @@
     }
 
     /** The expectations of one play, each with its figure. */
-    public static void expectations(Plan plan, Outcome o, PrintStream out) {
-        out.printf(Locale.ROOT, "%n%s on %s, seed %d%n", o.policy, o.carrier, plan.seed);
-        for (Plan.Expect e : plan.expects) {
+    public static void printExpectations(Plan plan, RunResult o, PrintStream out) {
+        out.printf(Locale.ROOT, "%n%s on %s, seed %d%n", o.policy, o.testbed, plan.seed);
+        for (Plan.Expectation e : plan.expectations) {
             out.printf(
                     Locale.ROOT,
                     "  %-8s %-26s %10s   expected %s %s%n",
                     o.holds(e) ? "holds" : "SHORT",
                     e.figure(),
-                    plain(o.figure(e.figure())),
-                    e.sign(),
-                    plain(e.bound()));
+                    formatNumber(o.figure(e.figure())),
+                    e.operator(),
+                    formatNumber(e.bound()));
         }
         o.notes.forEach(n -> out.println("  ! " + n));
-        if (o.noVerdict != null) {
-            out.println("  no verdict: " + o.noVerdict);
+        if (o.noVerdictReason != null) {
+            out.println("  no verdict: " + o.noVerdictReason);
         }
     }
 
     /** Several plays beside each other. */
-    public static void sideBySide(List<Outcome> all, PrintStream out) {
+    public static void printSideBySide(List<RunResult> all, PrintStream out) {
         out.printf("%n%-22s", "");
         all.forEach(
-                o -> out.printf("%16s", o.policy.equals(all.get(0).policy) ? o.carrier : o.policy));
+                o -> out.printf("%16s", o.policy.equals(all.get(0).policy) ? o.testbed : o.policy));
         out.println();
-        SIDE_BY_SIDE.forEach(figure -> row(figure, all, out));
+        COMPARED_FIGURES.forEach(figure -> printRow(figure, all, out));
         if (all.stream().anyMatch(o -> o.figure("spill.worst_share") > 0)) {
-            OF_ROOMS.forEach(figure -> row(figure, all, out));
+            COMPARED_ROOM_FIGURES.forEach(figure -> printRow(figure, all, out));
         }
     }
 
-    private static void row(String figure, List<Outcome> all, PrintStream out) {
+    private static void printRow(String figure, List<RunResult> all, PrintStream out) {
         out.printf("%-22s", figure);
-        all.forEach(o -> out.printf("%16s", plain(o.figure(figure))));
+        all.forEach(o -> out.printf("%16s", formatNumber(o.figure(figure))));
         out.println();
     }
 }
--- a/lab/src/main/java/asterpulley/lab/sock/ClientLine.java
+++ b/lab/src/main/java/asterpulley/lab/sock/ClientLine.java
@@ -2,8 +2,8 @@
 
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.world.Client;
-import asterpulley.lab.world.Try;
-import asterpulley.lab.world.World;
+import asterpulley.lab.world.ClientRequest;
+import asterpulley.lab.world.Simulation;
 
 /**
  * A client on a socket, for one try: says its opening, then its messages, and counts as served only
@@ -11,16 +11,16 @@
  */
 final class ClientLine implements Conn.Ear {
     private final Sockets carrier;
-    private final World world;
+    private final Simulation world;
     private final Plan plan;
-    private final Try of;
+    private final ClientRequest of;
     Conn conn;
     private boolean said, opened, over;
     private double served, servedUntil;
     private double saidAt;
     private long messages;
 
-    ClientLine(Sockets carrier, World world, Plan plan, Try of) {
+    ClientLine(Sockets carrier, Simulation world, Plan plan, ClientRequest of) {
         this.carrier = carrier;
         this.world = world;
         this.plan = plan;
@@ -33,25 +33,26 @@
             return;
         }
         said = true;
-        Client.Born born = of.client.born;
+        Client.Spec born = of.client.spec;
         StringBuilder line =
                 new StringBuilder("OPEN ")
                         .append(of.id())
                         .append(' ')
                         .append(Long.toHexString(born.key()))
                         .append(" c=")
-                        .append(plan.profiles.get(born.profile()).name)
+                        .append(plan.profiles.get(born.profileIndex()).name)
                         .append(",t=")
-                        .append(plan.customers.get(born.customer()).name)
+                        .append(plan.customers.get(born.customerIndex()).name)
                         .append(",d=")
                         .append(
                                 Math.max(
                                         1,
                                         Math.round(
-                                                (of.saidAt + of.patience - carrier.now()) * 1000)))
+                                                (of.sentAt + of.clientTimeout - carrier.now())
+                                                        * 1000)))
                         .append(",g=")
                         .append(born.group() >= 0 ? "g" + born.group() : "c" + of.client.number);
-        line.append(of.retry ? ",r=1" : "").append(of.again ? ",again=1" : "");
+        line.append(of.retry ? ",r=1" : "").append(of.reconnecting ? ",again=1" : "");
         up.say(line.toString());
     }
 
@@ -66,11 +67,11 @@
             return;
         }
         switch (word) {
-            case "MOVE" -> world.moved(of, ends(false));
+            case "MOVE" -> world.tunnelMoved(of, ends(false));
             case "ok" -> {
                 if (line.equals("ok m " + messages) && carrier.now() - saidAt <= plan.messageGoal) {
-                    served += plan.messageEvery;
-                    servedUntil = saidAt + plan.messageEvery;
+                    served += plan.messageInterval;
+                    servedUntil = saidAt + plan.messageInterval;
                 }
             }
             case "UP", "BUSY", "ERR" -> {
@@ -87,16 +88,17 @@
         switch (word) {
             case "UP" -> {
                 opened = true;
-                world.opened(of);
+                world.tunnelOpened(of);
                 message();
             }
             case "BUSY" -> {
                 ends(false);
-                world.declined(of, line.length() > 5 ? Long.parseLong(line.substring(5)) / 1e3 : 0);
+                world.requestDeclined(
+                        of, line.length() > 5 ? Long.parseLong(line.substring(5)) / 1e3 : 0);
             }
             default -> {
                 ends(false);
-                world.failed(of);
+                world.requestFailed(of);
             }
         }
     }
@@ -107,7 +109,7 @@
         }
         saidAt = carrier.now();
         conn.say("m " + ++messages);
-        carrier.after(plan.messageEvery, this::message);
+        carrier.schedule(plan.messageInterval, this::message);
     }
 
     @Override
@@ -117,11 +119,11 @@
         }
         double sound = ends(false);
         if (!said) {
-            world.refused(of);
+            world.connectionRefused(of);
         } else if (!opened) {
-            world.broken(of);
+            world.connectionBroken(of);
         } else {
-            world.cut(of, sound);
+            world.tunnelCut(of, sound);
         }
     }
 
--- a/lab/src/main/java/asterpulley/lab/sock/Cost.java
+++ b/lab/src/main/java/asterpulley/lab/sock/Cost.java
@@ -1,7 +1,7 @@
 package asterpulley.lab.sock;
 
 import asterpulley.lab.plan.Plan;
-import asterpulley.lab.plan.Told;
+import asterpulley.lab.plan.RelaySettings;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetAddress;
@@ -136,7 +136,7 @@
         List<Object> hosts = new ArrayList<>();
         for (int i = 0; i < names; i++) {
             hosts.add(
-                    Told.map(
+                    RelaySettings.mapOf(
                             "host",
                             "s" + i,
                             "dial",
@@ -155,7 +155,7 @@
                             0));
         }
         Map<String, Object> config =
-                Told.map(
+                RelaySettings.mapOf(
                         "name",
                         "cost",
                         "listen",
@@ -163,10 +163,10 @@
                         "seed",
                         "1",
                         "limits",
-                        Told.map("memory_mb", 512, "sockets", 60_000),
+                        RelaySettings.mapOf("memory_mb", 512, "sockets", 60_000),
                         "known",
-                        Told.map("seq", 1, "whole", true, "hosts", hosts));
-        config.put("settings", Told.settings(plan, 0));
+                        RelaySettings.mapOf("seq", 1, "whole", true, "hosts", hosts));
+        config.put("settings", RelaySettings.settingsFor(plan, 0));
         return config;
     }
 
--- a/lab/src/main/java/asterpulley/lab/sock/Deliveries.java
+++ b/lab/src/main/java/asterpulley/lab/sock/Deliveries.java
@@ -1,7 +1,7 @@
 package asterpulley.lab.sock;
 
 import asterpulley.lab.plan.Plan;
-import asterpulley.lab.plan.Told;
+import asterpulley.lab.plan.RelaySettings;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetAddress;
@@ -186,7 +186,7 @@
                 burst = false;
             }
             sent = n;
-            stage.after(TICK, this::tick);
+            stage.schedule(TICK, this::tick);
         }
     }
 
@@ -307,7 +307,7 @@
         for (int i = 0; i < STAND_INS; i++) {
             servers.add(stage.listen(new InetSocketAddress(here, 0), c -> source.comes()).address);
         }
-        stage.after(TICK, source::tick);
+        stage.schedule(TICK, source::tick);
         Thread thread =
                 new Thread(
                         () -> {
@@ -377,7 +377,7 @@
         double took = clients.now() - from;
         double idle = (relay.cpu() - quiet) / took;
         standing.add(
-                Told.map(
+                RelaySettings.mapOf(
                         "servers",
                         names,
                         "standing",
@@ -436,7 +436,7 @@
         direct.stand();
         Map<String, Object> beside = burst(direct, null);
         direct.leave();
-        Map<String, Object> row = Told.map("standing", n, "bytes", source.size);
+        Map<String, Object> row = RelaySettings.mapOf("standing", n, "bytes", source.size);
         through.forEach((k, v) -> row.put("through_" + k, v));
         beside.forEach((k, v) -> row.put("direct_" + k, v));
         bursts.add(row);
@@ -500,7 +500,7 @@
             share[i] = used / took;
         }
         Map<String, Object> row =
-                Told.map(
+                RelaySettings.mapOf(
                         "servers",
                         names,
                         "standing",
@@ -578,7 +578,7 @@
         List<Object> hosts = new ArrayList<>();
         for (int i = 0; i < names; i++) {
             hosts.add(
-                    Told.map(
+                    RelaySettings.mapOf(
                             "host",
                             "s" + i,
                             "dial",
@@ -597,7 +597,7 @@
                             0));
         }
         Map<String, Object> config =
-                Told.map(
+                RelaySettings.mapOf(
                         "name",
                         "deliveries",
                         "listen",
@@ -605,10 +605,10 @@
                         "seed",
                         "1",
                         "limits",
-                        Told.map("memory_mb", MEMORY, "sockets", 60_000),
+                        RelaySettings.mapOf("memory_mb", MEMORY, "sockets", 60_000),
                         "known",
-                        Told.map("seq", 1, "whole", true, "hosts", hosts));
-        config.put("settings", Told.settings(plan, 0));
+                        RelaySettings.mapOf("seq", 1, "whole", true, "hosts", hosts));
+        config.put("settings", RelaySettings.settingsFor(plan, 0));
         return config;
     }
 
--- a/lab/src/main/java/asterpulley/lab/sock/ListStandIn.java
+++ b/lab/src/main/java/asterpulley/lab/sock/ListStandIn.java
@@ -91,7 +91,7 @@
                 if (service.version() > since) {
                     news();
                 } else {
-                    pump.after(
+                    pump.schedule(
                             Long.parseLong(m.group(2)) / 1e3,
                             () -> {
                                 if (waiting != null && called == n) {
--- a/lab/src/main/java/asterpulley/lab/sock/LoadTool.java
+++ b/lab/src/main/java/asterpulley/lab/sock/LoadTool.java
@@ -1,6 +1,6 @@
 package asterpulley.lab.sock;
 
-import asterpulley.lab.world.Load;
+import asterpulley.lab.world.LoadGenerator;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -44,7 +44,7 @@
     private LoadTool(Order order) throws IOException {
         this.order = order;
         pump = new Pump();
-        random = Load.random(order.seed);
+        random = LoadGenerator.newRandom(order.seed);
     }
 
     /** Drives it to the end. */
@@ -52,7 +52,7 @@
         LoadTool tool = new LoadTool(order);
         try (Pump pump = tool.pump) {
             pump.zeroIn(0.05);
-            pump.after(-pump.now(), () -> tool.next(0));
+            pump.schedule(-pump.now(), () -> tool.next(0));
             pump.run(order.seconds + order.patience + Math.min(order.life, 2));
         }
         return tool;
@@ -72,7 +72,7 @@
             return;
         }
         double after = -Math.log(1 - random.nextDouble()) / order.rate;
-        pump.after(due + after - pump.now(), () -> next(due + after));
+        pump.schedule(due + after - pump.now(), () -> next(due + after));
         meant++;
         if (open >= order.concurrency) {
             late++;
@@ -104,7 +104,7 @@
             this.due = due;
             id = Long.toHexString(mark << 24 | number & 0xffffff);
             conn = pump.connect(order.to, this);
-            pump.after(
+            pump.schedule(
                     order.patience,
                     () -> {
                         if (!answered) {
@@ -141,7 +141,7 @@
                 opened++;
                 setups.recordValue(
                         Math.max(0, Math.min(LONGEST, Math.round((pump.now() - due) * 1e6))));
-                pump.after(order.life, this::end);
+                pump.schedule(order.life, this::end);
                 return;
             }
             if (line.startsWith("BUSY")) {
--- a/lab/src/main/java/asterpulley/lab/sock/Pump.java
+++ b/lab/src/main/java/asterpulley/lab/sock/Pump.java
@@ -1,7 +1,7 @@
 package asterpulley.lab.sock;
 
-import asterpulley.lab.world.Agenda;
 import asterpulley.lab.world.Clock;
+import asterpulley.lab.world.EventQueue;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -50,7 +50,7 @@
     private static final int IN_A_ROW = 64;
 
     private final Selector selector;
-    private final Agenda due = new Agenda();
+    private final EventQueue due = new EventQueue();
     private final ByteBuffer reading = ByteBuffer.allocateDirect(1 << 16);
     private long zero = System.nanoTime();
     private long beats, lateBeats;
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void after(double seconds, Runnable what) {
+    public void schedule(double seconds, Runnable what) {
         due.add(now() + Math.max(0, seconds), what);
     }
 
@@ -110,7 +110,7 @@
     public void run(double end) throws IOException {
         over = false;
         while (!over && now() < end) {
-            double wait = Math.min(end, due.next()) - now();
+            double wait = Math.min(end, due.nextTime()) - now();
             if (wait > 0.0005) {
                 selector.select(Math.max(1, (long) (wait * 1000)));
             } else {
@@ -132,8 +132,8 @@
 
     private void timers() {
         double now = now();
-        while (!over && due.next() <= now) {
-            due.take().run();
+        while (!over && due.nextTime() <= now) {
+            due.poll().run();
         }
     }
 
@@ -199,13 +199,13 @@
             conn.key.attach(conn);
             conn.ear = ear;
             if (channel.connect(to)) {
-                after(0, conn::connects);
+                schedule(0, conn::connects);
             }
             return conn;
         } catch (IOException e) {
             Conn none = new Conn(channel, null);
             none.ear = ear;
-            after(0, () -> none.lost(true));
+            schedule(0, () -> none.lost(true));
             return none;
         }
     }
--- a/lab/src/main/java/asterpulley/lab/sock/RelayConfig.java
+++ b/lab/src/main/java/asterpulley/lab/sock/RelayConfig.java
@@ -1,8 +1,8 @@
 package asterpulley.lab.sock;
 
 import asterpulley.lab.plan.Plan;
-import asterpulley.lab.plan.Told;
-import asterpulley.lab.world.World;
+import asterpulley.lab.plan.RelaySettings;
+import asterpulley.lab.world.Simulation;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -15,7 +15,7 @@
 
     static Map<String, Object> of(
             Plan plan,
-            World world,
+            Simulation world,
             int relay,
             String listen,
             String list,
@@ -26,12 +26,14 @@
         config.put("discovery", list);
         config.put(
                 "seed",
-                Long.toHexString(plan.seed * 1_000_003 + relay * 1009L + world.relayLife(relay)));
+                Long.toHexString(
+                        plan.seed * 1_000_003 + relay * 1009L + world.relayIncarnation(relay)));
         config.put(
                 "limits",
-                Told.map("cores", 1.0, "memory_mb", plan.memory, "sockets", plan.sockets));
+                RelaySettings.mapOf(
+                        "cores", 1.0, "memory_mb", plan.memoryMb, "sockets", plan.maxSockets));
         config.put("known", known);
-        config.put("settings", Told.settings(plan, world.roomOfRelay(relay)));
+        config.put("settings", RelaySettings.settingsFor(plan, world.roomOfRelay(relay)));
         if (plan.routes != null) {
             config.put("routes", plan.routes);
         }
--- a/lab/src/main/java/asterpulley/lab/sock/Sockets.java
+++ b/lab/src/main/java/asterpulley/lab/sock/Sockets.java
@@ -1,10 +1,10 @@
 package asterpulley.lab.sock;
 
 import asterpulley.lab.plan.Plan;
-import asterpulley.lab.world.Carrier;
+import asterpulley.lab.world.ClientRequest;
 import asterpulley.lab.world.Server;
-import asterpulley.lab.world.Try;
-import asterpulley.lab.world.World;
+import asterpulley.lab.world.Simulation;
+import asterpulley.lab.world.Testbed;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
@@ -21,7 +21,7 @@
  * between which stand real relay processes. Each run has an address and ports of its own. It must
  * end whatever it started, and never call a run good in which it was late itself.
  */
-public final class Sockets implements Carrier {
+public final class Sockets implements Testbed {
     /** Relays get so long to become ready. */
     private static final double READY = 30;
 
@@ -37,7 +37,7 @@
 
     private final Plan plan;
     private final Path folder;
-    private final World world;
+    private final Simulation world;
     private final Pump pump;
     private final InetAddress here;
     private final int firstPort;
@@ -48,7 +48,7 @@
     private final RelayProcess[] relays;
     private final double[] cpu;
     private final boolean[] leaving, awaited;
-    private final Map<String, Try> tries = new HashMap<>();
+    private final Map<String, ClientRequest> tries = new HashMap<>();
     private double resident;
 
     /** Unix seconds at the pump's zero, and the pump's time at the world's. */
@@ -60,12 +60,12 @@
     public Sockets(Plan plan, Path folder) throws IOException {
         this.plan = plan;
         this.folder = folder;
-        world = new World(plan);
-        world.carriedBy(this);
+        world = new Simulation(plan);
+        world.setTestbed(this);
         pump = new Pump();
         here = ownAddress();
         firstPort = 10_000 + RUNS.getAndIncrement() % 80 * 500;
-        relays = new RelayProcess[world.relays()];
+        relays = new RelayProcess[world.relayCount()];
         cpu = new double[relays.length];
         leaving = new boolean[relays.length];
         awaited = new boolean[relays.length];
@@ -87,7 +87,7 @@
      * Plays the whole plan; the world then has the figures. Null where it could not be played; ask
      * for the trouble.
      */
-    public World play() throws IOException {
+    public Simulation play() throws IOException {
         try {
             zero = System.currentTimeMillis() / 1e3 - pump.now();
             for (Server s : world.servers) {
@@ -130,9 +130,9 @@
     private void run() throws IOException {
         double before = pump.now();
         offset = before;
-        world.judge(PACE);
+        world.setClockTolerance(PACE);
         world.start();
-        pump.run(before + plan.length + plan.settle);
+        pump.run(before + plan.duration + plan.settleTime);
         for (int r = 0; r < relays.length; r++) {
             if (relays[r].alive()) {
                 measure(r);
@@ -145,7 +145,7 @@
         for (double c : cpu) {
             used += c;
         }
-        double setups = world.figures.counted("setups");
+        double setups = world.figures.counterValue("setups");
         world.figures.set("relays.cpu_us_per_setup", setups > 0 ? used * 1e6 / setups : 0);
     }
 
@@ -171,8 +171,8 @@
     private void begin(int r) throws IOException {
         leaving[r] = false;
         awaited[r] = true;
-        relays[r] = RelayProcess.start(folder, "r" + (r + 1), config(r), plan.memory, relayAt(r));
-        world.told(r, world.registry.whole());
+        relays[r] = RelayProcess.start(folder, "r" + (r + 1), config(r), plan.memoryMb, relayAt(r));
+        world.entriesDelivered(r, world.registry.currentEntries());
         check(r);
     }
 
@@ -183,7 +183,7 @@
                 r,
                 text(relayAt(r)),
                 text(listsAt.get(r)),
-                lists.get(r).list(true, world.registry.whole()));
+                lists.get(r).list(true, world.registry.currentEntries()));
     }
 
     /** As the front does: a relay is there once it has answered. */
@@ -211,7 +211,7 @@
                     @Override
                     public void ended(Conn conn, boolean broken) {
                         if (relays[r] == asked && awaited[r]) {
-                            pump.after(WATCH, () -> check(r));
+                            pump.schedule(WATCH, () -> check(r));
                         }
                     }
                 });
@@ -219,7 +219,7 @@
 
     private void serves(int r) {
         if (started) {
-            world.relayServes(r);
+            world.relayReady(r);
             return;
         }
         for (boolean waits : awaited) {
@@ -229,7 +229,7 @@
         }
         // A little later, as from a front that has just taken them in.
         started = true;
-        pump.after(1, pump::stop);
+        pump.schedule(1, pump::stop);
     }
 
     /** Sees processes end. */
@@ -250,10 +250,10 @@
                     pump.stop();
                     return;
                 }
-                world.relayDied(r, true);
+                world.relayStopped(r, true);
             }
         }
-        pump.after(WATCH, this::watch);
+        pump.schedule(WATCH, this::watch);
     }
 
     @Override
@@ -271,13 +271,13 @@
         if (killed != null) {
             measure(relay);
             relays[relay] = null;
-            world.relayDied(relay, false);
+            world.relayStopped(relay, false);
             killed.kill();
         }
     }
 
     @Override
-    public void leaveRelay(int relay) {
+    public void shutDownRelay(int relay) {
         if (relays[relay] != null) {
             measure(relay);
             leaving[relay] = true;
@@ -301,7 +301,7 @@
     // ---- Servers and lists
 
     @Override
-    public void listens(Server server, boolean up) {
+    public void setListening(Server server, boolean up) {
         try {
             servers.get(server.index).listens(up);
         } catch (IOException e) {
@@ -310,12 +310,12 @@
     }
 
     @Override
-    public void listed() {
+    public void serverListChanged() {
         services.forEach(ListStandIn::news);
     }
 
     @Override
-    public void listDown(boolean down) {
+    public void setServerListDown(boolean down) {
         if (down) {
             services.forEach(ListStandIn::goesDown);
         }
@@ -334,32 +334,32 @@
     }
 
     @Override
-    public void after(double seconds, Runnable what) {
-        pump.after(seconds, what);
+    public void schedule(double seconds, Runnable what) {
+        pump.schedule(seconds, what);
     }
 
     @Override
-    public void open(Try t) {
+    public void openTunnel(ClientRequest t) {
         tries.put(t.id(), t);
         ClientLine line = new ClientLine(this, world, plan, t);
-        t.carried = line;
+        t.testbedState = line;
         line.conn = pump.connect(relayAt(t.relay), line);
     }
 
     @Override
-    public double hangUp(Try t) {
-        return t.carried instanceof ClientLine line ? line.ends(false) : 0;
+    public double closeTunnel(ClientRequest t) {
+        return t.testbedState instanceof ClientLine line ? line.ends(false) : 0;
     }
 
     @Override
-    public double breakOff(Try t) {
-        return t.carried instanceof ClientLine line ? line.ends(true) : 0;
+    public double breakConnection(ClientRequest t) {
+        return t.testbedState instanceof ClientLine line ? line.ends(true) : 0;
     }
 
-    void forget(Try t) {
+    void forget(ClientRequest t) {
         // Setups of it may still be on their way to servers; they are told apart by it for a little
         // longer.
-        pump.after(10, () -> tries.remove(t.id()));
+        pump.schedule(10, () -> tries.remove(t.id()));
     }
 
     static String text(InetSocketAddress address) {
--- a/lab/src/main/java/asterpulley/lab/sock/StandIn.java
+++ b/lab/src/main/java/asterpulley/lab/sock/StandIn.java
@@ -1,10 +1,10 @@
 package asterpulley.lab.sock;
 
 import asterpulley.LoadReport;
+import asterpulley.lab.world.ClientRequest;
 import asterpulley.lab.world.Server;
 import asterpulley.lab.world.Setup;
-import asterpulley.lab.world.Try;
-import asterpulley.lab.world.World;
+import asterpulley.lab.world.Simulation;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -17,9 +17,9 @@
 final class StandIn {
     private final Sockets carrier;
     private final Pump pump;
-    private final World world;
+    private final Simulation world;
     private final Server server;
-    private final Map<String, Try> tries;
+    private final Map<String, ClientRequest> tries;
 
     /**
      * One address a relay, so that it is known who asks; nothing else tells that of a question for
@@ -33,9 +33,9 @@
     StandIn(
             Sockets carrier,
             Pump pump,
-            World world,
+            Simulation world,
             Server server,
-            Map<String, Try> tries,
+            Map<String, ClientRequest> tries,
             InetSocketAddress at)
             throws IOException {
         this.carrier = carrier;
@@ -43,7 +43,7 @@
         this.world = world;
         this.server = server;
         this.tries = tries;
-        listening = new Pump.Listening[world.relays()];
+        listening = new Pump.Listening[world.relayCount()];
         addresses = new InetSocketAddress[listening.length];
         for (int r = 0; r < listening.length; r++) {
             addresses[r] = at;
@@ -81,8 +81,8 @@
         @Override
         public void line(Conn conn, String line) {
             if (line.equals("STATS") || line.equals("PING")) {
-                world.figures.count("probes");
-                Optional<LoadReport> report = world.asked(relay, server);
+                world.figures.increment("probes");
+                Optional<LoadReport> report = world.probe(relay, server);
                 report.ifPresent(
                         r ->
                                 conn.say(
@@ -96,7 +96,8 @@
                 return;
             }
             String[] words = line.split(" ");
-            Try t = words.length == 4 && words[0].equals("OPEN") ? tries.get(words[1]) : null;
+            ClientRequest t =
+                    words.length == 4 && words[0].equals("OPEN") ? tries.get(words[1]) : null;
             if (t == null) {
                 conn.say("SYNTAX");
                 conn.closeInOrder();
@@ -104,7 +105,7 @@
             }
             Tunnel tunnel = new Tunnel(conn, t.relay);
             conn.ear(tunnel);
-            tunnel.setup = world.arrives(t, server, carrier.now(), tunnel);
+            tunnel.setup = world.setupArrived(t, server, carrier.now(), tunnel);
         }
 
         @Override
@@ -126,16 +127,16 @@
 
         @Override
         public void line(Conn from, String line) {
-            double takes = world.message(relay, server);
+            double takes = world.messageDelay(relay, server);
             if (!Double.isInfinite(takes)) {
-                pump.after(takes, () -> conn.say("ok " + line));
+                pump.schedule(takes, () -> conn.say("ok " + line));
             }
         }
 
         @Override
         public void ended(Conn from, boolean broken) {
             if (setup != null) {
-                world.gone(setup);
+                world.setupClosed(setup);
             }
         }
 
@@ -158,7 +159,7 @@
         }
 
         @Override
-        public void broke() {
+        public void connectionLost() {
             conn.reset();
         }
     }
--- a/lab/src/main/java/asterpulley/lab/sock/Starts.java
+++ b/lab/src/main/java/asterpulley/lab/sock/Starts.java
@@ -1,7 +1,7 @@
 package asterpulley.lab.sock;
 
 import asterpulley.lab.plan.Plan;
-import asterpulley.lab.plan.Told;
+import asterpulley.lab.plan.RelaySettings;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetAddress;
@@ -62,7 +62,7 @@
         List<Object> hosts = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
             hosts.add(
-                    Told.map(
+                    RelaySettings.mapOf(
                             "host",
                             "feed-" + i,
                             "dial",
@@ -85,7 +85,7 @@
                             "born_ms",
                             0));
         }
-        return Told.map("seq", version, "whole", true, "hosts", hosts);
+        return RelaySettings.mapOf("seq", version, "whole", true, "hosts", hosts);
     }
 
     /** The first call hears the whole list; that the next one comes says that it was taken. */
@@ -118,7 +118,7 @@
         boolean good = true;
         try {
             for (int entries : order.entries) {
-                Map<String, Object> row = Told.map("entries", entries);
+                Map<String, Object> row = RelaySettings.mapOf("entries", entries);
                 double bytes = WorldList.text(list(entries, 5)).length();
                 row.put("list_bytes", bytes);
                 row.put("bytes_per_entry", bytes / entries);
@@ -269,9 +269,9 @@
         plan.profiles.add(new Plan.ProfilePlan());
         plan.customers.add(new Plan.CustomerPlan());
         plan.servers.add(new Plan.ServerPlan());
-        plan.relays = 6_400;
+        plan.relaysPerRoom = 6_400;
         Map<String, Object> config =
-                Told.map(
+                RelaySettings.mapOf(
                         "name",
                         "start",
                         "listen",
@@ -279,13 +279,13 @@
                         "seed",
                         "1",
                         "limits",
-                        Told.map("memory_mb", order.memory, "sockets", 8192),
+                        RelaySettings.mapOf("memory_mb", order.memory, "sockets", 8192),
                         "known",
                         list(entries, 1));
         if (list != null) {
             config.put("discovery", Sockets.text(list));
         }
-        config.put("settings", Told.settings(plan, 0));
+        config.put("settings", RelaySettings.settingsFor(plan, 0));
         return config;
     }
 
--- a/lab/src/main/java/asterpulley/lab/sock/WorldList.java
+++ b/lab/src/main/java/asterpulley/lab/sock/WorldList.java
@@ -2,8 +2,8 @@
 
 import asterpulley.ServerEntry;
 import asterpulley.lab.plan.Plan;
-import asterpulley.lab.world.Registry;
-import asterpulley.lab.world.World;
+import asterpulley.lab.world.ServerRegistry;
+import asterpulley.lab.world.Simulation;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.nio.charset.StandardCharsets;
@@ -21,11 +21,11 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final Sockets carrier;
-    private final World world;
+    private final Simulation world;
     private final int relay;
     private final Function<Integer, String> dials;
 
-    WorldList(Sockets carrier, World world, int relay, Function<Integer, String> dials) {
+    WorldList(Sockets carrier, Simulation world, int relay, Function<Integer, String> dials) {
         this.carrier = carrier;
         this.world = world;
         this.relay = relay;
@@ -34,7 +34,7 @@
 
     @Override
     public boolean down() {
-        return world.registry.down();
+        return world.registry.isDown();
     }
 
     @Override
@@ -44,29 +44,29 @@
 
     @Override
     public ListStandIn.Answer whole() {
-        return answer(true, world.registry.whole());
+        return answer(true, world.registry.currentEntries());
     }
 
     @Override
     public ListStandIn.Answer since(long version) {
-        return answer(false, world.registry.since(version));
+        return answer(false, world.registry.changesSince(version));
     }
 
-    private ListStandIn.Answer answer(boolean whole, List<Registry.Entry> entries) {
+    private ListStandIn.Answer answer(boolean whole, List<ServerRegistry.Entry> entries) {
         return new ListStandIn.Answer(
                 text(list(whole, entries)).getBytes(StandardCharsets.ISO_8859_1),
-                () -> world.told(relay, entries));
+                () -> world.entriesDelivered(relay, entries));
     }
 
-    Map<String, Object> list(boolean whole, List<Registry.Entry> entries) {
+    Map<String, Object> list(boolean whole, List<ServerRegistry.Entry> entries) {
         Plan plan = world.plan;
         List<Object> hosts = new ArrayList<>();
-        for (Registry.Entry e : entries) {
+        for (ServerRegistry.Entry e : entries) {
             Map<String, Object> host = new LinkedHashMap<>();
             host.put("host", e.server().name);
             host.put("dial", dials.apply(e.server().index));
             host.put("site", plan.rooms.get(e.server().room));
-            host.put("class", e.server().kind.kind);
+            host.put("class", e.server().plan.model);
             host.put("block", e.server().room);
             host.put(
                     "health",
--- a/lab/src/main/java/asterpulley/lab/world/Client.java
+++ b/lab/src/main/java/asterpulley/lab/world/Client.java
@@ -8,10 +8,10 @@
  */
 public final class Client {
     /** Drawn before the run, so that every carrier and every baseline plays the same load. */
-    public record Born(
-            double at,
-            int profile,
-            int customer,
+    public record Spec(
+            double arrivesAt,
+            int profileIndex,
+            int customerIndex,
             int group,
             long key,
             int room,
@@ -20,24 +20,24 @@
             long seed) {}
 
     public final int number;
-    public final Born born;
+    public final Spec spec;
     final RandomGenerator random;
-    public Try now;
-    int tries, failures;
-    boolean again, over;
-    double served;
+    public ClientRequest currentRequest;
+    int requestCount, failures;
+    boolean reconnecting, departed;
+    double servedSeconds;
 
     /** Since when it has been without a tunnel; NaN while it stands or is over. */
-    double without;
+    double disconnectedSince;
 
-    Client(int number, Born born, RandomGenerator random) {
+    Client(int number, Spec born, RandomGenerator random) {
         this.number = number;
-        this.born = born;
+        this.spec = born;
         this.random = random;
-        without = born.at();
+        disconnectedSince = born.arrivesAt();
     }
 
-    double endsAt() {
-        return born.at() + born.lifetime();
+    double departsAt() {
+        return spec.arrivesAt() + spec.lifetime();
     }
 }
--- a/lab/src/main/java/asterpulley/lab/world/Try.java
+++ b/lab/src/main/java/asterpulley/lab/world/ClientRequest.java
@@ -7,7 +7,7 @@
  * One opening of a client at one relay, and what became of it: plain facts, which the world writes
  * and nobody judges here.
  */
-public final class Try {
+public final class ClientRequest {
     public enum Answer {
         NONE,
         OPENED,
@@ -17,26 +17,26 @@
     }
 
     public final Client client;
-    public final int number, relay, relayLife;
+    public final int number, relay, relayIncarnation;
 
     /** When the client meant to say it, and when it did. */
-    public final double meantAt, saidAt;
+    public final double intendedAt, sentAt;
 
-    public final double patience;
-    public final boolean again, retry;
+    public final double clientTimeout;
+    public final boolean reconnecting, retry;
     public Answer answer = Answer.NONE;
     public double answeredAt = Double.NaN;
 
     /** It stood and has ended, or never will. */
-    public boolean over;
+    public boolean finished;
 
     /** The setups of it that came to servers, in their order. */
     public final List<Setup> setups = new ArrayList<>(1);
 
     /** The carrier's own record of it. */
-    public Object carried;
+    public Object testbedState;
 
-    Try(
+    ClientRequest(
             Client client,
             int number,
             int relay,
@@ -49,11 +49,11 @@
         this.client = client;
         this.number = number;
         this.relay = relay;
-        this.relayLife = relayLife;
-        this.meantAt = meantAt;
-        this.saidAt = saidAt;
-        this.patience = patience;
-        this.again = again;
+        this.relayIncarnation = relayLife;
+        this.intendedAt = meantAt;
+        this.sentAt = saidAt;
+        this.clientTimeout = patience;
+        this.reconnecting = again;
         this.retry = retry;
     }
 
--- a/lab/src/main/java/asterpulley/lab/world/Figures.java
+++ b/lab/src/main/java/asterpulley/lab/world/Figures.java
@@ -13,9 +13,9 @@
  * must never judge.
  */
 public final class Figures {
-    private static final double[] SHARES = {50, 90, 99};
+    private static final double[] PERCENTILES = {50, 90, 99};
     private static final String[] TIMES = {"setup", "answer", "gap"};
-    private static final long LONGEST = 600_000_000L;
+    private static final long MAX_TIME_MICROS = 600_000_000L;
 
     /** Counts that every run gives, also where nothing was counted. */
     public static final List<String> COUNTS =
@@ -40,7 +40,7 @@
                     "probes",
                     "servers.fell");
 
-    private static final List<String> OTHERS =
+    private static final List<String> OTHER_FIGURES =
             List.of(
                     "credit.share",
                     "credit.net",
@@ -81,16 +81,16 @@
     Figures() {
         COUNTS.forEach(c -> counts.put(c, 0L));
         for (String t : TIMES) {
-            times.put(t, new Histogram(LONGEST, 3));
+            times.put(t, new Histogram(MAX_TIME_MICROS, 3));
         }
     }
 
     /** True where some run of this plan can give that figure. */
-    public static boolean known(String figure, Plan plan) {
-        if (COUNTS.contains(figure) || OTHERS.contains(figure)) {
+    public static boolean isKnown(String figure, Plan plan) {
+        if (COUNTS.contains(figure) || OTHER_FIGURES.contains(figure)) {
             return true;
         }
-        for (Judge.Rule rule : Judge.Rule.values()) {
+        for (RuleChecker.Rule rule : RuleChecker.Rule.values()) {
             if (figure.equals("rules." + rule.name().toLowerCase())) {
                 return true;
             }
@@ -113,11 +113,11 @@
         return false;
     }
 
-    public void count(String what) {
+    public void increment(String what) {
         counts.merge(what, 1L, Long::sum);
     }
 
-    public long counted(String what) {
+    public long counterValue(String what) {
         return counts.getOrDefault(what, 0L);
     }
 
@@ -125,11 +125,12 @@
         values.put(what, value);
     }
 
-    void time(String what, double seconds) {
-        times.get(what).recordValue(Math.max(0, Math.min(LONGEST, Math.round(seconds * 1e6))));
+    void recordTime(String what, double seconds) {
+        times.get(what)
+                .recordValue(Math.max(0, Math.min(MAX_TIME_MICROS, Math.round(seconds * 1e6))));
     }
 
-    void row(double[] row) {
+    void addRow(double[] row) {
         rows.add(row);
     }
 
@@ -138,12 +139,12 @@
     }
 
     /** All figures by name, in the order of the names. */
-    public Map<String, Double> all() {
+    public Map<String, Double> byName() {
         Map<String, Double> all = new TreeMap<>(values);
         counts.forEach((k, v) -> all.put(k, (double) v));
         times.forEach(
                 (name, h) -> {
-                    for (double share : SHARES) {
+                    for (double share : PERCENTILES) {
                         all.put(
                                 name + ".p" + (int) share + "_ms",
                                 h.getValueAtPercentile(share) / 1e3);
--- a/lab/src/main/java/asterpulley/lab/world/Load.java
+++ b/lab/src/main/java/asterpulley/lab/world/LoadGenerator.java
@@ -12,60 +12,69 @@
  * Owns the load of an experiment: every client of it, drawn from the seed alone. It must never ask
  * how the run goes.
  */
-public final class Load {
-    private static final RandomGeneratorFactory<RandomGenerator> RANDOM =
+public final class LoadGenerator {
+    private static final RandomGeneratorFactory<RandomGenerator> RANDOM_FACTORY =
             RandomGeneratorFactory.of("L64X128MixRandom");
 
     /** A swing's period. */
-    private static final double SWING = 30;
+    private static final double SWING_PERIOD_SECONDS = 30;
 
-    private Load() {}
+    private LoadGenerator() {}
 
-    public static RandomGenerator random(long seed) {
-        return RANDOM.create(seed);
+    public static RandomGenerator newRandom(long seed) {
+        return RANDOM_FACTORY.create(seed);
     }
 
     /** All clients of a plan, by the time at which they come. */
-    static List<Client.Born> draw(Plan plan) {
-        RandomGenerator random = random(plan.seed);
-        List<Client.Born> all = new ArrayList<>();
-        for (int i = 0; i < plan.standing; i++) {
+    static List<Client.Spec> generateClients(Plan plan) {
+        RandomGenerator random = newRandom(plan.seed);
+        List<Client.Spec> all = new ArrayList<>();
+        for (int i = 0; i < plan.initialClients; i++) {
             // They come over the first two seconds, as a crowd whose lives are partly over.
-            all.add(born(plan, random, 2 * random.nextDouble(), -1));
+            all.add(generateClient(plan, random, 2 * random.nextDouble(), -1));
         }
-        double most = plan.arrivals * (1 + plan.swing);
-        for (double t = wait(random, most); t < plan.length; t += wait(random, most)) {
-            double rate = plan.arrivals * (1 + plan.swing * Math.sin(2 * Math.PI * t / SWING));
+        double most = plan.arrivalsPerSecond * (1 + plan.arrivalSwing);
+        for (double t = nextInterval(random, most);
+                t < plan.duration;
+                t += nextInterval(random, most)) {
+            double rate =
+                    plan.arrivalsPerSecond
+                            * (1
+                                    + plan.arrivalSwing
+                                            * Math.sin(2 * Math.PI * t / SWING_PERIOD_SECONDS));
             if (random.nextDouble() * most < rate) {
-                all.add(born(plan, random, t, -1));
+                all.add(generateClient(plan, random, t, -1));
             }
         }
         for (Plan.Fault f : plan.faults) {
             int room = f.room == null ? -1 : plan.rooms.indexOf(f.room);
             for (int i = 0; f.kind.equals("crowd") && i < f.count; i++) {
-                all.add(born(plan, random, f.at + f.within * random.nextDouble(), room));
+                all.add(
+                        generateClient(
+                                plan, random, f.at + f.withinSeconds * random.nextDouble(), room));
             }
         }
-        all.sort(Comparator.comparingDouble(Client.Born::at));
+        all.sort(Comparator.comparingDouble(Client.Spec::arrivesAt));
         return all;
     }
 
-    private static double wait(RandomGenerator random, double rate) {
+    private static double nextInterval(RandomGenerator random, double rate) {
         return rate <= 0 ? Double.POSITIVE_INFINITY : -Math.log(1 - random.nextDouble()) / rate;
     }
 
-    private static Client.Born born(Plan plan, RandomGenerator random, double at, int room) {
-        int profile = one(plan.profiles, p -> p.share, random);
-        int customer = one(plan.customers, c -> c.share, random);
-        int group = plan.groups == 0 ? -1 : random.nextInt(plan.groups);
-        int drawn = one(plan.roomShares, s -> s, random);
+    private static Client.Spec generateClient(
+            Plan plan, RandomGenerator random, double at, int room) {
+        int profile = weightedIndex(plan.profiles, p -> p.share, random);
+        int customer = weightedIndex(plan.customers, c -> c.share, random);
+        int group = plan.groupCount == 0 ? -1 : random.nextInt(plan.groupCount);
+        int drawn = weightedIndex(plan.roomShares, s -> s, random);
         String of = plan.customers.get(customer).room;
         int home = of == null ? drawn : plan.rooms.indexOf(of);
         Plan.ProfilePlan p = plan.profiles.get(profile);
         double lifetime = Math.max(0.5, -Math.log(1 - random.nextDouble()) * p.lifetime);
         // Loads spread about their mean as sums of two draws do: few are idle, few cost twice.
         double load = p.load * (random.nextDouble() + random.nextDouble());
-        return new Client.Born(
+        return new Client.Spec(
                 at,
                 profile,
                 customer,
@@ -77,7 +86,8 @@
                 random.nextLong());
     }
 
-    private static <T> int one(List<T> of, ToDoubleFunction<T> share, RandomGenerator random) {
+    private static <T> int weightedIndex(
+            List<T> of, ToDoubleFunction<T> share, RandomGenerator random) {
         double left = random.nextDouble() * of.stream().mapToDouble(share).sum();
         for (int i = 0; i < of.size(); i++) {
             left -= share.applyAsDouble(of.get(i));
--- a/lab/src/main/java/asterpulley/lab/world/Judge.java
+++ b/lab/src/main/java/asterpulley/lab/world/RuleChecker.java
@@ -11,7 +11,7 @@
  * Owns the rules: whether each was kept, by what clients and servers saw, never by what a relay
  * says of itself. It must never change what happens.
  */
-public final class Judge {
+public final class RuleChecker {
     /**
      * One final answer in time; no effect twice; drains kept; no cold server pushed over; moved
      * before cut off.
@@ -25,33 +25,33 @@
     }
 
     /** What a client's own connection and timers may take, beyond what is told to it. */
-    static final double SLACK = 0.05;
+    static final double SLACK_SECONDS = 0.05;
 
-    private static final int NOTES = 20;
+    private static final int MAX_NOTES = 20;
 
     private final Plan plan;
-    private final Map<Rule, Integer> broken = new EnumMap<>(Rule.class);
+    private final Map<Rule, Integer> violations = new EnumMap<>(Rule.class);
     private final List<String> notes = new ArrayList<>();
 
     /**
      * When a relay was told that a server drains or is gone, by relay and server; 0: it was not.
      */
-    private final double[][] toldAt;
+    private final double[][] drainKnownAt;
 
     /** How far the carrier's own clients may be behind. */
-    double pace;
+    double clockTolerance;
 
-    Judge(Plan plan) {
+    RuleChecker(Plan plan) {
         this.plan = plan;
-        toldAt = new double[plan.relays * plan.rooms.size()][plan.allServers()];
+        drainKnownAt = new double[plan.relaysPerRoom * plan.rooms.size()][plan.serverCount()];
     }
 
-    public int broken(Rule rule) {
-        return broken.getOrDefault(rule, 0);
+    public int violationCount(Rule rule) {
+        return violations.getOrDefault(rule, 0);
     }
 
-    public int broken() {
-        return broken.values().stream().mapToInt(i -> i).sum();
+    public int violationCount() {
+        return violations.values().stream().mapToInt(i -> i).sum();
     }
 
     /** The first few, in words. */
@@ -59,9 +59,9 @@
         return notes;
     }
 
-    void breaks(Rule rule, double at, String what) {
-        broken.merge(rule, 1, Integer::sum);
-        if (notes.size() < NOTES) {
+    void recordViolation(Rule rule, double at, String what) {
+        violations.merge(rule, 1, Integer::sum);
+        if (notes.size() < MAX_NOTES) {
             notes.add(String.format("%.3f s: rule %s: %s", at, rule.name().toLowerCase(), what));
         }
     }
@@ -69,26 +69,26 @@
     /**
      * A relay has heard of a server's state; the earliest time that it heard of this drain counts.
      */
-    void told(int relay, Server server, boolean running, double at) {
-        double[] known = toldAt[relay];
+    void recordListedState(int relay, Server server, boolean running, double at) {
+        double[] known = drainKnownAt[relay];
         known[server.index] =
                 running ? 0 : known[server.index] > 0 ? known[server.index] : Math.max(1e-9, at);
     }
 
-    void forgets(int relay) {
-        java.util.Arrays.fill(toldAt[relay], 0);
+    void forgetRelay(int relay) {
+        java.util.Arrays.fill(drainKnownAt[relay], 0);
     }
 
     /** A setup came to a server, which has it beside those before it. */
-    void arrives(Setup setup, double saidAt, double listUpSince, double now) {
-        Try t = setup.of;
-        Plan.ProfilePlan profile = plan.profiles.get(t.client.born.profile());
+    void checkSetup(Setup setup, double saidAt, double listUpSince, double now) {
+        ClientRequest t = setup.request;
+        Plan.ProfilePlan profile = plan.profiles.get(t.client.spec.profileIndex());
         for (Setup before : t.setups) {
-            if (!before.provedNotRun && !mayGoAgain(before, setup, profile, now)) {
-                breaks(
+            if (!before.provenNotRun && !mayRetry(before, setup, profile, now)) {
+                recordViolation(
                         Rule.EFFECT,
                         now,
-                        profile.effect.name().toLowerCase()
+                        profile.repeatability.name().toLowerCase()
                                 + " tunnel "
                                 + t.id()
                                 + " may have run at "
@@ -98,14 +98,14 @@
             }
         }
         Server s = setup.server;
-        double told = toldAt[t.relay][s.index];
-        if (s.draining && !Double.isNaN(s.drainedAt)) {
+        double told = drainKnownAt[t.relay][s.index];
+        if (s.draining && !Double.isNaN(s.drainingSince)) {
             // Who asks in time is told by then, unless there was nobody to ask.
-            double deemed = Math.max(s.drainedAt, listUpSince) + plan.deemedTold;
+            double deemed = Math.max(s.drainingSince, listUpSince) + plan.assumedListDelay;
             told = told > 0 ? Math.min(told, deemed) : deemed;
         }
-        if (told > 0 && saidAt > told + plan.drainGrace + SLACK + pace) {
-            breaks(
+        if (told > 0 && saidAt > told + plan.drainGrace + SLACK_SECONDS + clockTolerance) {
+            recordViolation(
                     Rule.DRAIN,
                     now,
                     String.format(
@@ -118,13 +118,13 @@
      * Asked a little after a setup came, since news that an earlier one was given up may take
      * longer than the setup.
      */
-    void twoOut(Setup before, Setup after, double now) {
-        if (before.state != Setup.State.OVER) {
-            breaks(
+    void checkConcurrentSetups(Setup before, Setup after, double now) {
+        if (before.state != Setup.State.CLOSED) {
+            recordViolation(
                     Rule.EFFECT,
                     now,
                     "tunnel "
-                            + after.of.id()
+                            + after.request.id()
                             + " has a setup out at "
                             + before.server.name
                             + " and one at "
@@ -132,56 +132,56 @@
         }
     }
 
-    private static boolean mayGoAgain(
+    private static boolean mayRetry(
             Setup before, Setup after, Plan.ProfilePlan profile, double now) {
-        return switch (profile.effect) {
+        return switch (profile.repeatability) {
             case REPEATABLE -> true;
             case ONCE_ONLY -> false;
             case REFERENCED ->
-                    now - before.arrivedAt <= profile.window + SLACK
-                            && (profile.reach == Settings.IdempotencyScope.ALL
+                    now - before.arrivedAt <= profile.idempotencyWindow + SLACK_SECONDS
+                            && (profile.idempotencyScope == Settings.IdempotencyScope.ALL
                                     || before.server.room == after.server.room);
         };
     }
 
     /** A client has an answer, or what ends its waiting; {@code excused} where its relay died. */
-    void answers(Try t, Try.Answer answer, double now, boolean excused) {
-        if (t.answer != Try.Answer.NONE) {
-            if (answer != Try.Answer.BROKEN) {
-                breaks(
+    void checkAnswer(ClientRequest t, ClientRequest.Answer answer, double now, boolean excused) {
+        if (t.answer != ClientRequest.Answer.NONE) {
+            if (answer != ClientRequest.Answer.BROKEN) {
+                recordViolation(
                         Rule.ANSWER,
                         now,
                         "tunnel "
                                 + t.id()
                                 + " was "
-                                + said(t.answer)
+                                + answerText(t.answer)
                                 + " and then "
-                                + said(answer));
+                                + answerText(answer));
             }
             return;
         }
-        if (answer == Try.Answer.BROKEN) {
+        if (answer == ClientRequest.Answer.BROKEN) {
             if (!excused) {
-                breaks(
+                recordViolation(
                         Rule.ANSWER,
                         now,
                         "tunnel " + t.id() + " ended without an answer at relay r" + (t.relay + 1));
             }
             return;
         }
-        if (now > t.saidAt + t.patience + SLACK + pace) {
-            breaks(
+        if (now > t.sentAt + t.clientTimeout + SLACK_SECONDS + clockTolerance) {
+            recordViolation(
                     Rule.ANSWER,
                     now,
                     String.format(
                             "tunnel %s was %s %.3f s after its client timeout",
-                            t.id(), said(answer), now - t.saidAt - t.patience));
+                            t.id(), answerText(answer), now - t.sentAt - t.clientTimeout));
         }
-        Plan.ProfilePlan profile = plan.profiles.get(t.client.born.profile());
-        if (answer == Try.Answer.DECLINED
-                && profile.effect == Settings.Repeatability.ONCE_ONLY
-                && t.setups.stream().anyMatch(s -> !s.provedNotRun)) {
-            breaks(
+        Plan.ProfilePlan profile = plan.profiles.get(t.client.spec.profileIndex());
+        if (answer == ClientRequest.Answer.DECLINED
+                && profile.repeatability == Settings.Repeatability.ONCE_ONLY
+                && t.setups.stream().anyMatch(s -> !s.provenNotRun)) {
+            recordViolation(
                     Rule.EFFECT,
                     now,
                     "once-only tunnel " + t.id() + " may have run and was declined");
@@ -189,9 +189,9 @@
     }
 
     /** A client's time is up and it has heard nothing. */
-    void silence(Try t, double now, boolean excused) {
+    void recordMissingAnswer(ClientRequest t, double now, boolean excused) {
         if (!excused) {
-            breaks(
+            recordViolation(
                     Rule.ANSWER,
                     now,
                     "tunnel "
@@ -199,12 +199,14 @@
                             + " had no answer from relay r"
                             + (t.relay + 1)
                             + " in "
-                            + t.patience
+                            + t.clientTimeout
                             + " s");
         }
     }
 
-    private static String said(Try.Answer answer) {
-        return answer == Try.Answer.ERROR ? "closed with error" : answer.name().toLowerCase();
+    private static String answerText(ClientRequest.Answer answer) {
+        return answer == ClientRequest.Answer.ERROR
+                ? "closed with error"
+                : answer.name().toLowerCase();
     }
 }
--- a/lab/src/main/java/asterpulley/lab/world/Server.java
+++ b/lab/src/main/java/asterpulley/lab/world/Server.java
@@ -16,177 +16,182 @@
      * From this part of its room on, messages wait for each other; at all of it they wait for this
      * long.
      */
-    private static final double KNEE = 0.9, AT_FULL = 0.5;
+    private static final double QUEUEING_FACTOR = 0.9, FULL_MESSAGE_SECONDS = 0.5;
 
-    private static final double QUICK = 0.005;
+    private static final double IDLE_MESSAGE_SECONDS = 0.005;
 
     /** A setup takes longer the fuller its server, by this much at most. */
-    private static final double SLOWEST_SETUP = 8;
+    private static final double MAX_SETUP_SLOWDOWN = 8;
 
-    public final int index, room, kindIndex;
+    public final int index, room, modelIndex;
     public final String name;
-    public final Plan.ServerPlan kind;
-    private final double messageGoal, groupCost, fallMultiple, fallTime;
+    public final Plan.ServerPlan plan;
+    private final double messageGoal, groupCost, collapseMultiple, collapseTime;
     double startedAt = Double.NEGATIVE_INFINITY;
 
     /** A timetable's doing. */
     boolean down, silent, vanished, noAnswer, refusing, resetting, draining;
 
-    double slow = 1, errorShare;
-    double drainedAt = Double.NaN;
+    double slowdown = 1, errorShare;
+    double drainingSince = Double.NaN;
 
     /** Of its load, what clients of other rooms brought. */
-    double guests;
+    double spilledLoad;
 
-    private double load, advancedAt, sound, overSince = Double.NaN;
+    private double load, advancedAt, responsiveTotal, overloadedSince = Double.NaN;
     private final Map<Integer, Integer> groups = new HashMap<>();
-    final Set<Setup> held = new LinkedHashSet<>();
-    double worst;
+    final Set<Setup> activeSetups = new LinkedHashSet<>();
+    double worstLoadFactor;
 
     Server(int index, String name, int room, int kindIndex, Plan.ServerPlan kind, Plan plan) {
         this.index = index;
         this.name = name;
         this.room = room;
-        this.kindIndex = kindIndex;
-        this.kind = kind;
+        this.modelIndex = kindIndex;
+        this.plan = kind;
         this.messageGoal = plan.messageGoal;
         this.groupCost = plan.groupCost;
-        this.fallMultiple = plan.fallMultiple;
-        this.fallTime = plan.fallTime;
+        this.collapseMultiple = plan.collapseMultiple;
+        this.collapseTime = plan.collapseTime;
     }
 
     /** From what a cold one can do to all of it. */
-    public double warmth(double now) {
+    public double warmUpFraction(double now) {
         double age = now - startedAt;
-        return age >= kind.warmUp
+        return age >= plan.warmUpTime
                 ? 1
-                : kind.coldFrom + (1 - kind.coldFrom) * Math.max(0, age) / kind.warmUp;
+                : plan.coldCapacityFraction
+                        + (1 - plan.coldCapacityFraction) * Math.max(0, age) / plan.warmUpTime;
     }
 
-    public boolean cold(double now) {
-        return now - startedAt < kind.warmUp;
+    public boolean isCold(double now) {
+        return now - startedAt < plan.warmUpTime;
     }
 
     /** Nothing of it is reachable: its machine has vanished. */
-    public boolean gone() {
+    public boolean hasVanished() {
         return vanished;
     }
 
     /** Its process is not there: connections are refused. */
-    public boolean closed() {
+    public boolean isDown() {
         return down;
     }
 
     /** A setup here would not be served, as one who sees everything knows. */
-    public boolean sick() {
+    public boolean isImpaired() {
         return down || silent || noAnswer || refusing || resetting || draining || errorShare > 0;
     }
 
     /** Its load over what it can do now. */
-    public double factor(double now) {
-        return load / (kind.holds * warmth(now));
+    public double loadFactor(double now) {
+        return load / (plan.capacity * warmUpFraction(now));
     }
 
     public double load() {
         return load;
     }
 
-    public int standing() {
-        return held.size();
+    public int openTunnels() {
+        return activeSetups.size();
     }
 
     /** How long a message takes here, in seconds; without end where it says nothing. */
-    public double message(double now) {
-        double f = factor(now);
+    public double messageDelay(double now) {
+        double f = loadFactor(now);
         return silent || down
                 ? Double.POSITIVE_INFINITY
-                : slow * (QUICK + Math.max(0, f - KNEE) / (1 - KNEE) * AT_FULL);
+                : slowdown
+                        * (IDLE_MESSAGE_SECONDS
+                                + Math.max(0, f - QUEUEING_FACTOR)
+                                        / (1 - QUEUEING_FACTOR)
+                                        * FULL_MESSAGE_SECONDS);
     }
 
     /** How long the work of a setup takes here, without what it waits for behind it. */
-    double work(double now) {
-        double f = Math.min(1, factor(now));
-        return kind.setup * slow / Math.max(1 / SLOWEST_SETUP, 1 - f * f);
+    double setupDuration(double now) {
+        double f = Math.min(1, loadFactor(now));
+        return plan.setupTime * slowdown / Math.max(1 / MAX_SETUP_SLOWDOWN, 1 - f * f);
     }
 
     /**
      * A cold one does not know its own limit: it takes what it could hold when warm, and falls
      * over.
      */
-    boolean refuses(double now) {
-        return refusing || draining || load / kind.holds >= kind.refuseAt;
+    boolean refusesSetups(double now) {
+        return refusing || draining || load / plan.capacity >= plan.refuseAtFactor;
     }
 
     /** Seconds, up to now, in which a message would have come back in time. */
-    double sound(double now) {
-        advance(now);
-        return sound;
+    double responsiveSeconds(double now) {
+        advanceTo(now);
+        return responsiveTotal;
     }
 
     /** Brings the sum of its sound seconds up to now; called before anything about it changes. */
-    void advance(double now) {
+    void advanceTo(double now) {
         if (now > advancedAt) {
-            if (message(now) <= messageGoal) {
-                sound += now - advancedAt;
+            if (messageDelay(now) <= messageGoal) {
+                responsiveTotal += now - advancedAt;
             }
             advancedAt = now;
         }
         if (!down) {
-            worst = Math.max(worst, factor(now));
+            worstLoadFactor = Math.max(worstLoadFactor, loadFactor(now));
         }
     }
 
-    void enter(Setup setup, double now) {
-        advance(now);
-        held.add(setup);
-        load += setup.of.client.born.load();
-        guests += guest(setup);
-        int group = setup.of.client.born.group();
+    void addSetup(Setup setup, double now) {
+        advanceTo(now);
+        activeSetups.add(setup);
+        load += setup.request.client.spec.load();
+        spilledLoad += spilledLoadOf(setup);
+        int group = setup.request.client.spec.group();
         if (group >= 0 && groups.merge(group, 1, Integer::sum) == 1) {
             load += groupCost;
         }
     }
 
-    private double guest(Setup setup) {
-        return setup.of.client.born.room() == room ? 0 : setup.of.client.born.load();
+    private double spilledLoadOf(Setup setup) {
+        return setup.request.client.spec.room() == room ? 0 : setup.request.client.spec.load();
     }
 
-    void leave(Setup setup, double now) {
-        if (!held.remove(setup)) {
+    void removeSetup(Setup setup, double now) {
+        if (!activeSetups.remove(setup)) {
             return;
         }
-        advance(now);
-        load -= setup.of.client.born.load();
-        guests -= guest(setup);
-        int group = setup.of.client.born.group();
+        advanceTo(now);
+        load -= setup.request.client.spec.load();
+        spilledLoad -= spilledLoadOf(setup);
+        int group = setup.request.client.spec.group();
         if (group >= 0 && groups.merge(group, -1, Integer::sum) == 0) {
             groups.remove(group);
             load -= groupCost;
         }
-        if (held.isEmpty()) {
-            load = guests = 0;
+        if (activeSetups.isEmpty()) {
+            load = spilledLoad = 0;
         }
     }
 
     /** True when it is pushed over: cold, and offered too much for too long. */
-    boolean falls(double now) {
-        advance(now);
-        if (down || !cold(now) || factor(now) <= fallMultiple) {
-            overSince = Double.NaN;
+    boolean checkCollapse(double now) {
+        advanceTo(now);
+        if (down || !isCold(now) || loadFactor(now) <= collapseMultiple) {
+            overloadedSince = Double.NaN;
             return false;
         }
-        if (Double.isNaN(overSince)) {
-            overSince = now;
+        if (Double.isNaN(overloadedSince)) {
+            overloadedSince = now;
         }
-        return now - overSince >= fallTime - 1e-9;
+        return now - overloadedSince >= collapseTime - 1e-9;
     }
 
     /** Comes up empty and cold. */
-    void starts(double now) {
-        advance(now);
+    void restart(double now) {
+        advanceTo(now);
         down = silent = vanished = draining = false;
-        drainedAt = Double.NaN;
+        drainingSince = Double.NaN;
         startedAt = now;
-        overSince = Double.NaN;
+        overloadedSince = Double.NaN;
     }
 }
--- a/lab/src/main/java/asterpulley/lab/world/Registry.java
+++ b/lab/src/main/java/asterpulley/lab/world/ServerRegistry.java
@@ -9,12 +9,12 @@
  * it comes from. What happens to servers reaches it late, and the world says when. It must never
  * know the truth before it is told.
  */
-public final class Registry {
+public final class ServerRegistry {
     /** An entry as it is listed; {@code version} is the one that last changed it. */
     public record Entry(Server server, ServerEntry.State state, double startedAt, long version) {
-        public ServerEntry listed() {
+        public ServerEntry toServerEntry() {
             return new ServerEntry(
-                    server.name, server.room, server.kindIndex, server.room, state, startedAt);
+                    server.name, server.room, server.modelIndex, server.room, state, startedAt);
         }
     }
 
@@ -25,9 +25,9 @@
     /** Since when it answers without a break. */
     double upSince = Double.NEGATIVE_INFINITY;
 
-    double late;
+    double extraDelay;
 
-    Registry(List<Server> servers) {
+    ServerRegistry(List<Server> servers) {
         for (Server s : servers) {
             entries.add(new Entry(s, ServerEntry.State.RUNNING, s.startedAt, version));
         }
@@ -37,21 +37,21 @@
         return version;
     }
 
-    public boolean down() {
+    public boolean isDown() {
         return down;
     }
 
-    void change(Server server, ServerEntry.State state) {
+    void update(Server server, ServerEntry.State state) {
         entries.set(server.index, new Entry(server, state, server.startedAt, ++version));
     }
 
     /** Every entry that stands. */
-    public List<Entry> whole() {
+    public List<Entry> currentEntries() {
         return entries.stream().filter(e -> e.state != ServerEntry.State.GONE).toList();
     }
 
     /** What changed after that version. */
-    public List<Entry> since(long seen) {
+    public List<Entry> changesSince(long seen) {
         if (version == seen) {
             return List.of();
         }
--- a/lab/src/main/java/asterpulley/lab/world/Setup.java
+++ b/lab/src/main/java/asterpulley/lab/world/Setup.java
@@ -3,10 +3,10 @@
 /** One setup that came to a server: where it stands there, and how the server answers it. */
 public final class Setup {
     public enum State {
-        UNHEARD,
-        AT_WORK,
-        STANDING,
-        OVER
+        UNDELIVERED,
+        IN_PROGRESS,
+        OPEN,
+        CLOSED
     }
 
     /** How a server's answer goes back; after {@link #broke} nothing more is said. */
@@ -18,26 +18,26 @@
         void error();
 
         /** The connection ends, in the middle of whatever it was. */
-        void broke();
+        void connectionLost();
     }
 
-    public final Try of;
+    public final ClientRequest request;
     public final Server server;
     public final double arrivedAt;
     final Reply reply;
-    public State state = State.UNHEARD;
+    public State state = State.UNDELIVERED;
 
     /** What is true of its effect, whatever anybody knows. */
-    boolean ran;
+    boolean mayHaveRun;
 
     /** Proved not to have run: turned away, or never read. */
-    boolean provedNotRun;
+    boolean provenNotRun;
 
     boolean brokenByServer;
-    double soundAtStart, cutAtStart;
+    double responsiveSecondsAtStart, cutOffSecondsAtStart;
 
-    Setup(Try of, Server server, double arrivedAt, Reply reply) {
-        this.of = of;
+    Setup(ClientRequest of, Server server, double arrivedAt, Reply reply) {
+        this.request = of;
         this.server = server;
         this.arrivedAt = arrivedAt;
         this.reply = reply;
--- a/lab/src/main/java/asterpulley/lab/world/Carrier.java
+++ b/lab/src/main/java/asterpulley/lab/world/Testbed.java
@@ -5,22 +5,22 @@
  * and hears what came of them through {@link World}. A carrier must add no rule of its own: what
  * servers can do and what clients count as served stands in the world.
  */
-public interface Carrier extends Clock {
+public interface Testbed extends Clock {
     /** A client says its opening to a relay; the end of it comes back through the world. */
-    void open(Try t);
+    void openTunnel(ClientRequest t);
 
     /** The client ends its tunnel; the answer is how many of its seconds were served. */
-    double hangUp(Try t);
+    double closeTunnel(ClientRequest t);
 
     /** A client whose connection breaks without its doing, as a crowd does that comes back. */
-    double breakOff(Try t);
+    double breakConnection(ClientRequest t);
 
     /** A relay starts, is killed outright, or is told to leave. */
     void startRelay(int relay);
 
     void killRelay(int relay);
 
-    void leaveRelay(int relay);
+    void shutDownRelay(int relay);
 
     /** Relays are told anew what the plan says of pools now. */
     void reloadRelays();
@@ -29,11 +29,11 @@
      * A server's process ends or listens again: its connections were told already, new ones are
      * refused or taken.
      */
-    void listens(Server server, boolean up);
+    void setListening(Server server, boolean up);
 
     /** The list has news; whoever watches it hears of it. */
-    void listed();
+    void serverListChanged();
 
     /** The list's service went down or came back. */
-    void listDown(boolean down);
+    void setServerListDown(boolean down);
 }
--- a/lab/src/test/java/asterpulley/lab/model/ExperimentsTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/ExperimentsTest.java
@@ -6,7 +6,7 @@
 import asterpulley.files.TomlDocument;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
-import asterpulley.lab.report.Outcome;
+import asterpulley.lab.report.RunResult;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -32,8 +32,12 @@
         return plan;
     }
 
-    private static Outcome play(Plan plan) {
-        return new Outcome("model", Model.MODULE, new Model(plan, Model.MODULE).play(), null);
+    private static RunResult play(Plan plan) {
+        return new RunResult(
+                "model",
+                VirtualTestbed.MODULE_POLICY,
+                new VirtualTestbed(plan, VirtualTestbed.MODULE_POLICY).run(),
+                null);
     }
 
     @TestFactory
@@ -46,17 +50,18 @@
                                         file.getFileName().toString(),
                                         () -> {
                                             Plan plan = plan(file);
-                                            if (plan.allServers() > SMALL) {
+                                            if (plan.serverCount() > SMALL) {
                                                 return;
                                             }
-                                            Outcome o = play(plan);
-                                            for (Plan.Expect e : plan.expects) {
+                                            RunResult o = play(plan);
+                                            for (Plan.Expectation e : plan.expectations) {
                                                 assertTrue(
                                                         o.holds(e),
                                                         e + " is " + o.figure(e.figure()));
                                             }
                                             assertTrue(
-                                                    plan.expects.size() > 2 && o.notes.isEmpty(),
+                                                    plan.expectations.size() > 2
+                                                            && o.notes.isEmpty(),
                                                     o.notes.toString());
                                         }));
     }
--- a/lab/src/test/java/asterpulley/lab/model/JudgeTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/JudgeTest.java
@@ -6,11 +6,11 @@
 import asterpulley.files.TomlDocument;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
-import asterpulley.lab.world.Judge;
+import asterpulley.lab.world.ClientRequest;
+import asterpulley.lab.world.RuleChecker;
 import asterpulley.lab.world.Server;
 import asterpulley.lab.world.Setup;
-import asterpulley.lab.world.Try;
-import asterpulley.lab.world.World;
+import asterpulley.lab.world.Simulation;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
@@ -61,10 +61,10 @@
 
     /** What a relay can do wrong. */
     private interface Flaw {
-        RelayHost relay(int r, Line line, World world, Map<String, Server> servers);
+        VirtualRelay relay(int r, VirtualClock line, Simulation world, Map<String, Server> servers);
     }
 
-    private record Case(String name, Judge.Rule rule, Flaw flaw) {}
+    private record Case(String name, RuleChecker.Rule rule, Flaw flaw) {}
 
     private static final Setup.Reply DEAF =
             new Setup.Reply() {
@@ -84,19 +84,19 @@
                 }
 
                 @Override
-                public void broke() {
+                public void connectionLost() {
                     // As above.
                 }
             };
 
     /** Sends setups elsewhere than its brain said, where there is such a server. */
-    private static final class Misdirects extends RelayHost {
+    private static final class Misdirects extends VirtualRelay {
         private final Predicate<Server> where;
 
         private Misdirects(
                 int r,
-                Line line,
-                World world,
+                VirtualClock line,
+                Simulation world,
                 Map<String, Server> servers,
                 Predicate<Server> where) {
             super(r, line, world, servers);
@@ -104,12 +104,12 @@
         }
 
         @Override
-        public void setup(long id, String name, double timeout) {
-            super.setup(
+        public void sendSetup(long id, String name, double timeout) {
+            super.sendSetup(
                     id,
                     world.servers.stream()
                             .filter(where)
-                            .max(Comparator.comparingDouble(s -> -s.warmth(line.now())))
+                            .max(Comparator.comparingDouble(s -> -s.warmUpFraction(line.now())))
                             .map(s -> s.name)
                             .orElse(name),
                     timeout);
@@ -120,24 +120,24 @@
             List.of(
                     new Case(
                             "answers twice",
-                            Judge.Rule.ANSWER,
+                            RuleChecker.Rule.ANSWER,
                             (r, line, world, servers) ->
-                                    new RelayHost(r, line, world, servers) {
+                                    new VirtualRelay(r, line, world, servers) {
                                         @Override
-                                        void take(Try t) {
+                                        void take(ClientRequest t) {
                                             super.take(t);
-                                            line.after(0.3, () -> world.failed(t));
+                                            line.schedule(0.3, () -> world.requestFailed(t));
                                         }
                                     }),
                     new Case(
                             "forgets every fifth client",
-                            Judge.Rule.ANSWER,
+                            RuleChecker.Rule.ANSWER,
                             (r, line, world, servers) ->
-                                    new RelayHost(r, line, world, servers) {
+                                    new VirtualRelay(r, line, world, servers) {
                                         private int n;
 
                                         @Override
-                                        void take(Try t) {
+                                        void take(ClientRequest t) {
                                             if (++n % 5 > 0) {
                                                 super.take(t);
                                             }
@@ -145,30 +145,31 @@
                                     }),
                     new Case(
                             "ends clients without an answer",
-                            Judge.Rule.ANSWER,
+                            RuleChecker.Rule.ANSWER,
                             (r, line, world, servers) ->
-                                    new RelayHost(r, line, world, servers) {
+                                    new VirtualRelay(r, line, world, servers) {
                                         @Override
                                         public void closeWithError(long id) {
-                                            Try t = tryOf(id);
+                                            ClientRequest t = tryOf(id);
                                             if (t != null) {
-                                                world.broken(t);
+                                                world.connectionBroken(t);
                                             }
                                         }
                                     }),
                     new Case(
                             "has two setups out",
-                            Judge.Rule.EFFECT,
+                            RuleChecker.Rule.EFFECT,
                             (r, line, world, servers) ->
-                                    new RelayHost(r, line, world, servers) {
+                                    new VirtualRelay(r, line, world, servers) {
                                         @Override
-                                        public void setup(long id, String name, double timeout) {
-                                            super.setup(id, name, timeout);
-                                            Try t = tryOf(id);
-                                            line.after(
+                                        public void sendSetup(
+                                                long id, String name, double timeout) {
+                                            super.sendSetup(id, name, timeout);
+                                            ClientRequest t = tryOf(id);
+                                            line.schedule(
                                                     0.001,
                                                     () ->
-                                                            world.arrives(
+                                                            world.setupArrived(
                                                                     t,
                                                                     world.servers.get(0),
                                                                     line.now(),
@@ -177,9 +178,9 @@
                                     }),
                     new Case(
                             "declines what may have run",
-                            Judge.Rule.EFFECT,
+                            RuleChecker.Rule.EFFECT,
                             (r, line, world, servers) ->
-                                    new RelayHost(r, line, world, servers) {
+                                    new VirtualRelay(r, line, world, servers) {
                                         @Override
                                         public void closeWithError(long id) {
                                             decline(id, 0.5);
@@ -187,29 +188,29 @@
                                     }),
                     new Case(
                             "sends to servers that drain",
-                            Judge.Rule.DRAIN,
+                            RuleChecker.Rule.DRAIN,
                             (r, line, world, servers) ->
                                     new Misdirects(
                                             r,
                                             line,
                                             world,
                                             servers,
-                                            s -> s.sick() && !s.closed() && s.index < 3)),
+                                            s -> s.isImpaired() && !s.isDown() && s.index < 3)),
                     new Case(
                             "floods a cold server",
-                            Judge.Rule.COLD,
+                            RuleChecker.Rule.COLD,
                             (r, line, world, servers) ->
                                     new Misdirects(
                                             r,
                                             line,
                                             world,
                                             servers,
-                                            s -> s.cold(line.now()) && !s.sick())),
+                                            s -> s.isCold(line.now()) && !s.isImpaired())),
                     new Case(
                             "never moves a client",
-                            Judge.Rule.MOVE,
+                            RuleChecker.Rule.MOVE,
                             (r, line, world, servers) ->
-                                    new RelayHost(r, line, world, servers) {
+                                    new VirtualRelay(r, line, world, servers) {
                                         @Override
                                         public void move(long id) {
                                             // Its clients stay where they are until they are cut
@@ -218,27 +219,27 @@
                                     }),
                     new Case(
                             "leaves at once",
-                            Judge.Rule.MOVE,
+                            RuleChecker.Rule.MOVE,
                             (r, line, world, servers) ->
-                                    new RelayHost(r, line, world, servers) {
+                                    new VirtualRelay(r, line, world, servers) {
                                         @Override
                                         void leave() {
                                             dies(true);
                                         }
                                     }));
 
-    private static World play(Flaw flaw) {
+    private static Simulation play(Flaw flaw) {
         TomlDocument sheet = TomlDocument.parse("judge.toml", WORLD);
         Plan plan = PlanReader.read(sheet, "judge");
         assertEquals(List.of(), sheet.problems());
-        return new Model(plan, Model.MODULE) {
+        return new VirtualTestbed(plan, VirtualTestbed.MODULE_POLICY) {
             @Override
-            RelayHost host(int r, Line on, Map<String, Server> servers) {
+            VirtualRelay newRelay(int r, VirtualClock on, Map<String, Server> servers) {
                 return flaw == null
-                        ? super.host(r, on, servers)
-                        : flaw.relay(r, on, world, servers);
+                        ? super.newRelay(r, on, servers)
+                        : flaw.relay(r, on, simulation, servers);
             }
-        }.play();
+        }.run();
     }
 
     @TestFactory
@@ -249,9 +250,9 @@
                                 DynamicTest.dynamicTest(
                                         c.name,
                                         () -> {
-                                            Judge judge = play(c.flaw).judge;
+                                            RuleChecker judge = play(c.flaw).ruleChecker;
                                             assertTrue(
-                                                    judge.broken(c.rule) > 0,
+                                                    judge.violationCount(c.rule) > 0,
                                                     "caught under "
                                                             + c.rule
                                                             + ": "
@@ -263,6 +264,6 @@
     @TestFactory
     DynamicTest aSoundRelayBreaksNone() {
         return DynamicTest.dynamicTest(
-                "sound", () -> assertEquals(List.of(), play(null).judge.notes()));
+                "sound", () -> assertEquals(List.of(), play(null).ruleChecker.notes()));
     }
 }
--- a/lab/src/test/java/asterpulley/lab/model/ModelTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/ModelTest.java
@@ -8,8 +8,8 @@
 import asterpulley.files.TomlDocument;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
-import asterpulley.lab.report.Outcome;
 import asterpulley.lab.report.Reports;
+import asterpulley.lab.report.RunResult;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -46,8 +46,8 @@
         return plan;
     }
 
-    private static Outcome play(String text, String policy) {
-        return new Outcome("model", policy, new Model(plan(text), policy).play(), null);
+    private static RunResult play(String text, String policy) {
+        return new RunResult("model", policy, new VirtualTestbed(plan(text), policy).run(), null);
     }
 
     @Test
@@ -57,14 +57,20 @@
         Plan plan = plan(SMALL + faults);
         List<byte[]> runs = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            runs.add(Reports.json(plan, List.of(play(SMALL + faults, Model.MODULE))));
+            runs.add(
+                    Reports.toJson(
+                            plan, List.of(play(SMALL + faults, VirtualTestbed.MODULE_POLICY))));
         }
         assertArrayEquals(runs.get(0), runs.get(1));
         assertFalse(
                 Arrays.equals(
                         runs.get(0),
-                        Reports.json(
-                                plan, List.of(play("seed = 2\n" + SMALL + faults, Model.MODULE)))));
+                        Reports.toJson(
+                                plan,
+                                List.of(
+                                        play(
+                                                "seed = 2\n" + SMALL + faults,
+                                                VirtualTestbed.MODULE_POLICY)))));
     }
 
     /** A fault, what it does to a figure compared with the calm, and how. */
@@ -105,17 +111,17 @@
 
     @TestFactory
     Stream<DynamicTest> faultsDoWhatTheirNamesSay() {
-        Outcome calm = play(SMALL, Model.MODULE);
+        RunResult calm = play(SMALL, VirtualTestbed.MODULE_POLICY);
         return CASES.stream()
                 .map(
                         c ->
                                 DynamicTest.dynamicTest(
                                         c.fault.lines().findFirst().orElse(""),
                                         () -> {
-                                            Outcome with =
+                                            RunResult with =
                                                     play(
                                                             SMALL + "[[fault]]\n" + c.fault + "\n",
-                                                            Model.MODULE);
+                                                            VirtualTestbed.MODULE_POLICY);
                                             double is = with.figure(c.figure);
                                             double was = calm.figure(c.figure);
                                             assertTrue(
@@ -130,12 +136,12 @@
 
     @Test
     void aListThatIsDownIsReadAgainAndADrainMeanwhileIsKept() {
-        Outcome o =
+        RunResult o =
                 play(
                         SMALL.replace("length_s = 12", "length_s = 18")
                                 + "[[fault]]\nkind=\"list-down\"\nat_s=2\nfor_s=4\n"
                                 + "[[fault]]\nkind=\"drain\"\nat_s=1.9\ncount=1\ndrain_s=14\n",
-                        Model.MODULE);
+                        VirtualTestbed.MODULE_POLICY);
         assertEquals(List.of(), o.notes);
         assertTrue(o.figure("moves") > 0);
     }
@@ -145,11 +151,11 @@
         String two =
                 SMALL.replace("[load]", "[rooms]\nnames=[\"a\",\"b\"]\n[load]")
                         .replace("count = 4", "count = 2");
-        Outcome calm = play(two, Model.MODULE);
-        Outcome o =
+        RunResult calm = play(two, VirtualTestbed.MODULE_POLICY);
+        RunResult o =
                 play(
                         two + "[[fault]]\nkind=\"room-cut\"\nroom=\"b\"\nat_s=3\nfor_s=6\n",
-                        Model.MODULE);
+                        VirtualTestbed.MODULE_POLICY);
         assertEquals(0, o.figure("rules.broken"), o.notes.toString());
         assertTrue(o.figure("credit.share") > 0.9 * calm.figure("credit.share"));
     }
@@ -162,13 +168,13 @@
                                 DynamicTest.dynamicTest(
                                         b,
                                         () -> {
-                                            Outcome o = play(SMALL, b);
+                                            RunResult o = play(SMALL, b);
                                             assertEquals(
                                                     0,
                                                     o.figure("rules.broken"),
                                                     o.notes.toString());
                                             assertTrue(o.figure("credit.share") > 0.9);
-                                            Outcome withSilence =
+                                            RunResult withSilence =
                                                     play(
                                                             SMALL
                                                                     + "[[fault]]\nkind=\"silent\"\nat_s=3\nfor_s=5\ncount=3\n",
@@ -186,7 +192,7 @@
             for (Path file : files.filter(f -> f.toString().endsWith(".toml")).toList()) {
                 TomlDocument sheet = TomlDocument.read(file);
                 Plan plan = PlanReader.read(sheet, file.getFileName().toString());
-                if (!sheet.problems().isEmpty() || plan.expects.isEmpty()) {
+                if (!sheet.problems().isEmpty() || plan.expectations.isEmpty()) {
                     wrong.put(file.toString(), sheet.problems());
                 }
             }
--- a/lab/src/test/java/asterpulley/lab/model/RoomTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/RoomTest.java
@@ -6,7 +6,7 @@
 import asterpulley.files.TomlDocument;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
-import asterpulley.lab.report.Outcome;
+import asterpulley.lab.report.RunResult;
 import asterpulley.lab.world.Figures;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -37,21 +37,25 @@
     private static final String RETURN = "[return]\nshare_per_s = 0.03\nstay_s = 4\n";
     private static final int GUESTS = Figures.SERIES.indexOf("guests_load");
 
-    private static Outcome play(String text) {
+    private static RunResult play(String text) {
         TomlDocument sheet = TomlDocument.parse("room.toml", text);
         Plan plan = PlanReader.read(sheet, "room");
         assertEquals(List.of(), sheet.problems());
-        return new Outcome("model", Model.MODULE, new Model(plan, Model.MODULE).play(), null);
+        return new RunResult(
+                "model",
+                VirtualTestbed.MODULE_POLICY,
+                new VirtualTestbed(plan, VirtualTestbed.MODULE_POLICY).run(),
+                null);
     }
 
-    private static double guests(Outcome o, int second) {
-        return o.rows.get(second)[GUESTS];
+    private static double guests(RunResult o, int second) {
+        return o.secondRows.get(second)[GUESTS];
     }
 
     @Test
     void theSpillKeepsWithinItsLimitWhereTheFeeAloneDoesNot() {
-        Outcome free = play(WORLD.formatted(20) + DARK);
-        Outcome bound = play(WORLD.formatted(20) + SPILL + DARK);
+        RunResult free = play(WORLD.formatted(20) + DARK);
+        RunResult bound = play(WORLD.formatted(20) + SPILL + DARK);
         assertTrue(
                 free.figure("spill.worst_share") > 0.33,
                 "free " + free.figure("spill.worst_share"));
@@ -64,8 +68,8 @@
 
     @Test
     void guestsGoHomeOnceTheirRoomIsBackAndNoServerIsPushedOver() {
-        Outcome stay = play(WORLD.formatted(16) + SPILL + DARK);
-        Outcome home = play(WORLD.formatted(16) + SPILL + RETURN + DARK);
+        RunResult stay = play(WORLD.formatted(16) + SPILL + DARK);
+        RunResult home = play(WORLD.formatted(16) + SPILL + RETURN + DARK);
         assertTrue(guests(stay, 50) > 40, "without it they stay: " + guests(stay, 50));
         assertTrue(guests(home, 50) < 10, "guests left " + guests(home, 50));
         assertEquals(0, home.figure("servers.fell"));
@@ -76,7 +80,7 @@
     @Test
     void aSurvivingRoomThatIsNearlyFullKeepsItsOwn() {
         String full = WORLD.formatted(26);
-        Outcome bound = play(full + "[spill]\nshare = 0.1\n" + DARK);
+        RunResult bound = play(full + "[spill]\nshare = 0.1\n" + DARK);
         assertEquals(List.of(), bound.notes);
         assertTrue(
                 bound.figure("spill.worst_share") < 0.13,
@@ -97,7 +101,7 @@
                     .append(at)
                     .append('\n');
         }
-        Outcome o = play(WORLD.formatted(16) + SPILL + RETURN + faults);
+        RunResult o = play(WORLD.formatted(16) + SPILL + RETURN + faults);
         assertEquals(List.of(), o.notes);
         double clients = o.figure("clients.count");
         assertTrue(
@@ -108,7 +112,7 @@
     @Test
     void aRoomCutOffFromTheOtherKeepsServingItsOwn() {
         String cut = "[[fault]]\nkind=\"room-cut\"\nroom=\"west\"\nat_s=20\nfor_s=10\n";
-        Outcome o = play(WORLD.formatted(16) + SPILL + RETURN + cut);
+        RunResult o = play(WORLD.formatted(16) + SPILL + RETURN + cut);
         assertEquals(List.of(), o.notes);
         assertTrue(o.figure("credit.share") > 0.97, "credit " + o.figure("credit.share"));
     }
--- a/lab/src/test/java/asterpulley/lab/sock/SocketsTest.java
+++ b/lab/src/test/java/asterpulley/lab/sock/SocketsTest.java
@@ -8,7 +8,7 @@
 import asterpulley.files.TomlDocument;
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.plan.PlanReader;
-import asterpulley.lab.world.World;
+import asterpulley.lab.world.Simulation;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -48,41 +48,43 @@
         return plan;
     }
 
-    private World play(String text) throws IOException {
+    private Simulation play(String text) throws IOException {
         Sockets sockets = new Sockets(plan(text), folder);
-        World world = sockets.play();
+        Simulation world = sockets.play();
         assertEquals(null, sockets.trouble());
         return world;
     }
 
     @Test
     void aRelayProcessServesAndItsProcessIsGoneAfterwards() throws IOException {
-        World world = play(SHORT);
-        assertEquals(List.of(), world.judge.notes());
-        assertTrue(world.figures.all().get("credit.share") > 0.8, world.figures.all().toString());
-        assertTrue(world.figures.all().get("relays.rss_mb") > 10);
+        Simulation world = play(SHORT);
+        assertEquals(List.of(), world.ruleChecker.notes());
+        assertTrue(
+                world.figures.byName().get("credit.share") > 0.8,
+                world.figures.byName().toString());
+        assertTrue(world.figures.byName().get("relays.rss_mb") > 10);
         assertEquals(0, ProcessHandle.current().children().filter(ProcessHandle::isAlive).count());
     }
 
     @Test
     void aRelayKilledWithSetupsOutCountsByWhatClientsSaw() throws IOException {
-        World world =
+        Simulation world =
                 play(
                         SHORT.replace("holds = 60", "holds = 60\nsetup_s = 0.3")
                                         .replace(
                                                 "lifetime_s = 3",
                                                 "lifetime_s = 3\nsetup_goal_s = 1")
                                 + "[[fault]]\nkind=\"relay-kill\"\nat_s=2\ndown_s=0.5\n");
-        assertEquals(List.of(), world.judge.notes());
-        assertTrue(world.figures.counted("clients.cut_by_relay") > 0);
-        assertTrue(world.figures.counted("tries.lost_with_relay") > 0);
-        assertTrue(world.figures.counted("tries.opened") > 30);
+        assertEquals(List.of(), world.ruleChecker.notes());
+        assertTrue(world.figures.counterValue("clients.cut_by_relay") > 0);
+        assertTrue(world.figures.counterValue("tries.lost_with_relay") > 0);
+        assertTrue(world.figures.counterValue("tries.opened") > 30);
     }
 
     @Test
     void twoRunsSideBySideShareNoPort() throws Exception {
         Path other = Files.createDirectory(folder.resolve("other"));
-        CompletableFuture<World> second =
+        CompletableFuture<Simulation> second =
                 CompletableFuture.supplyAsync(
                         () -> {
                             try {
@@ -91,9 +93,9 @@
                                 throw new java.io.UncheckedIOException(e);
                             }
                         });
-        World first = play(SHORT);
-        assertEquals(List.of(), first.judge.notes());
-        assertEquals(List.of(), second.get(60, TimeUnit.SECONDS).judge.notes());
+        Simulation first = play(SHORT);
+        assertEquals(List.of(), first.ruleChecker.notes());
+        assertEquals(List.of(), second.get(60, TimeUnit.SECONDS).ruleChecker.notes());
     }
 
     @Test
@@ -111,7 +113,7 @@
         try (Pump pump = new Pump()) {
             pump.run(0.2);
             double before = pump.lateShare();
-            pump.after(
+            pump.schedule(
                     0,
                     () -> {
                         long end = System.nanoTime() + 300_000_000L;
@@ -137,7 +139,7 @@
                                     new Conn.Ear() {
                                         @Override
                                         public void line(Conn on, String line) {
-                                            pump.after(0.05, () -> on.say("UP r"));
+                                            pump.schedule(0.05, () -> on.say("UP r"));
                                         }
 
                                         @Override
