--- a/cli/src/main/java/asterpulley/cli/LabCommand.java
+++ b/cli/src/main/java/asterpulley/cli/LabCommand.java
@@ -11,10 +11,10 @@
 import asterpulley.lab.report.Reports;
 import asterpulley.lab.report.RunResult;
 import asterpulley.lab.report.Tables;
-import asterpulley.lab.sock.Cost;
-import asterpulley.lab.sock.Deliveries;
+import asterpulley.lab.sock.CostBenchmark;
+import asterpulley.lab.sock.DeliveryBenchmark;
 import asterpulley.lab.sock.LoadTool;
-import asterpulley.lab.sock.Starts;
+import asterpulley.lab.sock.StartupBenchmark;
 import asterpulley.net.Addresses;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -174,16 +174,16 @@
                 plan.halve();
             }
             boolean jsonToStdout = json != null && json.toString().equals("-");
-            FleetLab lab = new FleetLab(plan, jsonToStdout ? System.err : System.out).play();
-            boolean passed = lab.verdict();
+            FleetLab lab = new FleetLab(plan, jsonToStdout ? System.err : System.out).run();
+            boolean passed = lab.printVerdict();
             if (jsonToStdout) {
-                System.out.write(lab.json());
+                System.out.write(lab.toJson());
                 System.out.println();
             } else if (json != null) {
-                Files.write(json, lab.json());
+                Files.write(json, lab.toJson());
             }
             if (html != null) {
-                lab.html(html);
+                lab.writeHtml(html);
             }
             return passed ? Main.SUCCESS : Main.EXPECTATION_FAILED;
         }
@@ -257,8 +257,8 @@
 
         @Override
         public Integer call() throws IOException {
-            LoadTool.Order order = new LoadTool.Order();
-            order.to =
+            LoadTool.Options order = new LoadTool.Options();
+            order.target =
                     Addresses.parse(to)
                             .orElseThrow(
                                     () ->
@@ -266,7 +266,7 @@
                                                     "--to: '"
                                                             + to
                                                             + "' is not an address and a port"));
-            if (!order.to.getAddress().isLoopbackAddress()) {
+            if (!order.target.getAddress().isLoopbackAddress()) {
                 throw usageError("--to: only loopback addresses are driven");
             }
             if (!(rate > 0
@@ -281,8 +281,8 @@
             }
             order.rate = rate;
             order.seconds = seconds;
-            order.life = life;
-            order.patience = patience;
+            order.lifetime = life;
+            order.clientTimeout = patience;
             order.concurrency = concurrency;
             order.profile = profile;
             order.customer = customer;
@@ -293,7 +293,7 @@
             if (json != null) {
                 Files.write(json, JSON.writeValueAsBytes(figures));
             }
-            if (!tool.worthIt()) {
+            if (!tool.keptPace()) {
                 System.out.println("no verdict: this tool could not keep its own pace");
                 return Main.EXPECTATION_FAILED;
             }
@@ -353,7 +353,7 @@
                         spec.commandLine(), "--servers: 1 to 20000");
             }
             Map<String, Object> figures =
-                    Cost.measure(rate, seconds, rounds, standing, servers, System.out);
+                    CostBenchmark.measure(rate, seconds, rounds, standing, servers, System.out);
             print(figures);
             if (json != null) {
                 Files.write(json, JSON.writeValueAsBytes(figures));
@@ -441,43 +441,46 @@
 
         @Override
         public Integer call() throws IOException {
-            Deliveries.Order order = new Deliveries.Order();
-            order.servers = servers;
-            order.standing = standing;
-            order.sizes = sizes;
-            order.rates = rates;
-            order.quiet = quiet;
+            DeliveryBenchmark.Options order = new DeliveryBenchmark.Options();
+            order.serverCounts = servers;
+            order.connectionCounts = standing;
+            order.lineSizes = sizes;
+            order.linesPerSecond = rates;
+            order.idleSeconds = quiet;
             order.seconds = seconds;
             order.rounds = rounds;
             order.bursts = bursts;
-            if (!(Deliveries.within(standing, 1, MAX_STANDING)
-                    && Deliveries.within(rates, 1, 100_000)
+            if (!(DeliveryBenchmark.allWithin(standing, 1, MAX_STANDING)
+                    && DeliveryBenchmark.allWithin(rates, 1, 100_000)
                     && seconds > 0
                     && quiet > 0
                     && rounds >= 0
                     && bursts >= 0
-                    && Deliveries.within(servers, 1, MAX_STANDING)
-                    && Deliveries.within(sizes, Deliveries.SMALLEST, Deliveries.LARGEST))) {
+                    && DeliveryBenchmark.allWithin(servers, 1, MAX_STANDING)
+                    && DeliveryBenchmark.allWithin(
+                            sizes,
+                            DeliveryBenchmark.MIN_LINE_BYTES,
+                            DeliveryBenchmark.MAX_LINE_BYTES))) {
                 throw new CommandLine.ParameterException(
                         spec.commandLine(),
                         "up to "
                                 + MAX_STANDING
                                 + " connections, lines of "
-                                + Deliveries.SMALLEST
+                                + DeliveryBenchmark.MIN_LINE_BYTES
                                 + " to "
-                                + Deliveries.LARGEST
+                                + DeliveryBenchmark.MAX_LINE_BYTES
                                 + " bytes, up to 100000 a second, and nothing below 0");
             }
-            if (order.length() > MAX_SECONDS) {
+            if (order.minSeconds() > MAX_SECONDS) {
                 throw new CommandLine.ParameterException(
                         spec.commandLine(),
                         "this would take "
-                                + Math.round(order.length())
+                                + Math.round(order.minSeconds())
                                 + " s; split what takes more than "
                                 + Math.round(MAX_SECONDS)
                                 + " s into several runs");
             }
-            Map<String, Object> figures = Deliveries.measure(order, System.out);
+            Map<String, Object> figures = DeliveryBenchmark.measure(order, System.out);
             if (json != null) {
                 Files.write(json, JSON.writeValueAsBytes(figures));
             }
@@ -524,7 +527,7 @@
 
         @Override
         public Integer call() throws IOException {
-            if (!(Deliveries.within(entries, 1, 200_000)
+            if (!(DeliveryBenchmark.allWithin(entries, 1, 200_000)
                     && rounds > 0
                     && rounds <= 20
                     && memory >= 64
@@ -532,11 +535,11 @@
                 throw new CommandLine.ParameterException(
                         spec.commandLine(), "1 to 200000 entries, 1 to 20 rounds, 64 to 4096 MB");
             }
-            Starts.Order order = new Starts.Order();
+            StartupBenchmark.Options order = new StartupBenchmark.Options();
             order.entries = entries;
             order.rounds = rounds;
-            order.memory = memory;
-            Map<String, Object> figures = Starts.measure(order, System.out);
+            order.memoryMb = memory;
+            Map<String, Object> figures = StartupBenchmark.measure(order, System.out);
             if (json != null) {
                 Files.write(json, JSON.writeValueAsBytes(figures));
             }
--- a/lab/src/main/java/asterpulley/lab/Lab.java
+++ b/lab/src/main/java/asterpulley/lab/Lab.java
@@ -4,7 +4,7 @@
 import asterpulley.lab.plan.Plan;
 import asterpulley.lab.report.RunResult;
 import asterpulley.lab.report.Tables;
-import asterpulley.lab.sock.Sockets;
+import asterpulley.lab.sock.SocketTestbed;
 import asterpulley.lab.world.Simulation;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -79,20 +79,20 @@
                 plan.relaysPerRoom * plan.rooms.size(),
                 plan.duration + plan.settleTime);
         Path folder = Files.createTempDirectory("asterpulley-lab");
-        Sockets sockets = new Sockets(plan, folder);
-        Simulation world = sockets.play();
+        SocketTestbed sockets = new SocketTestbed(plan, folder);
+        Simulation world = sockets.run();
         if (world == null) {
-            throw new IOException(sockets.trouble());
+            throw new IOException(sockets.failureReason());
         }
         double late = world.figures.byName().getOrDefault("run.late_share", 0.0);
-        String none = sockets.trouble();
-        if (none == null && late > Sockets.LATE) {
+        String none = sockets.failureReason();
+        if (none == null && late > SocketTestbed.MAX_LATE_SHARE) {
             none =
                     String.format(
                             Locale.ROOT,
                             "the run was behind its own clock for %.1f%% of the time, by %.0f ms at worst",
                             late * 100,
-                            sockets.worstLate() * 1000);
+                            sockets.maxLateness() * 1000);
         }
         if (none == null) {
             deleteFolder(folder);
--- a/lab/src/main/java/asterpulley/lab/fleet/Child.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ChildProcess.java
@@ -22,29 +22,29 @@
  * line by line and answers each by a line of JSON. It is ended with the run, also when that is
  * broken off; no other process ever is.
  */
-final class Child implements Closeable {
-    private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Set<Process> OURS = ConcurrentHashMap.newKeySet();
+final class ChildProcess implements Closeable {
+    private static final ObjectMapper JSON_MAPPER = new ObjectMapper();
+    private static final Set<Process> STARTED = ConcurrentHashMap.newKeySet();
 
     static {
         Runtime.getRuntime()
-                .addShutdownHook(new Thread(() -> OURS.forEach(Process::destroyForcibly)));
+                .addShutdownHook(new Thread(() -> STARTED.forEach(Process::destroyForcibly)));
     }
 
     private final Process process;
-    private final Writer to;
+    private final Writer commands;
     private final Path log;
 
     /** What it said, in order; guarded by itself. */
-    private final List<JsonNode> said = new ArrayList<>();
+    private final List<JsonNode> answers = new ArrayList<>();
 
     private boolean ended;
 
     /** Starts this main class with what it is told in a file, and so much heap. */
-    Child(Path folder, String name, Class<?> main, Map<String, Object> told, int heapMb)
+    ChildProcess(Path folder, String name, Class<?> main, Map<String, Object> options, int heapMb)
             throws IOException {
-        Path file = folder.resolve(name + ".json");
-        Files.write(file, Catalog.json(told));
+        Path optionsFile = folder.resolve(name + ".json");
+        Files.write(optionsFile, ServerCatalog.toJson(options));
         log = folder.resolve(name + ".log");
         process =
                 new ProcessBuilder(
@@ -60,40 +60,40 @@
                                 "-cp",
                                 System.getProperty("java.class.path"),
                                 main.getName(),
-                                file.toString())
+                                optionsFile.toString())
                         .redirectError(log.toFile())
                         .start();
-        OURS.add(process);
-        to = process.outputWriter(StandardCharsets.US_ASCII);
-        Thread reader = new Thread(this::read, name);
+        STARTED.add(process);
+        commands = process.outputWriter(StandardCharsets.US_ASCII);
+        Thread reader = new Thread(this::readAnswers, name);
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read() {
+    private void readAnswers() {
         try (BufferedReader in =
                 new BufferedReader(
                         new InputStreamReader(
                                 process.getInputStream(), StandardCharsets.US_ASCII))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                JsonNode node = JSON.readTree(line);
-                synchronized (said) {
-                    said.add(node);
+                JsonNode node = JSON_MAPPER.readTree(line);
+                synchronized (answers) {
+                    answers.add(node);
                 }
             }
         } catch (IOException e) {
             // Seen below as its end.
             return;
         } finally {
-            synchronized (said) {
+            synchronized (answers) {
                 ended = true;
             }
         }
     }
 
-    void tell(String line) throws IOException {
-        to.write(line + "\n");
-        to.flush();
+    void send(String line) throws IOException {
+        commands.write(line + "\n");
+        commands.flush();
     }
 
     /**
@@ -101,9 +101,9 @@
      * ended is told so.
      */
     JsonNode answer(int n) throws IOException {
-        synchronized (said) {
-            if (said.size() > n) {
-                return said.get(n);
+        synchronized (answers) {
+            if (answers.size() > n) {
+                return answers.get(n);
             }
             if (ended) {
                 throw new IOException(
@@ -121,6 +121,6 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        OURS.remove(process);
+        STARTED.remove(process);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetFigures.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetFigures.java
@@ -13,7 +13,7 @@
      * Of one relay and second while nothing but ordinary changes happens; {@code hollow.} and
      * {@code real.} go before.
      */
-    static final List<String> A_RELAY =
+    static final List<String> PER_RELAY =
             List.of(
                     "list_calls_per_s",
                     "list_bytes_in_per_s",
@@ -30,9 +30,9 @@
                     "tunnels_per_s");
 
     /** What hollow relays are held against the real ones in; {@code against.} goes before. */
-    static final List<String> AGAINST = List.of("list_calls", "list_bytes", "probes", "messages");
+    static final List<String> COMPARED = List.of("list_calls", "list_bytes", "probes", "messages");
 
-    private static final List<String> OTHERS =
+    private static final List<String> OTHER_FIGURES =
             List.of(
                     "hollow.thread_cpu_percent",
                     "hollow.start_list_bytes",
@@ -59,7 +59,7 @@
      * Where settings are changed: from a change until it is in force, and the bytes of a relay and
      * second, both ways.
      */
-    private static final List<String> SETTINGS =
+    private static final List<String> SETTINGS_FIGURES =
             List.of(
                     "settings.p50_ms",
                     "settings.p99_ms",
@@ -69,7 +69,7 @@
                     "settings.bytes_per_s",
                     "settings.whole_asked");
 
-    private static final List<String> AFTER =
+    private static final List<String> OBSERVATION_FIGURES =
             List.of("calls_worst", "connects_worst", "bytes_worst", "whole_asked", "told_s");
 
     /** A line is fitted through these over the sizes. */
@@ -94,41 +94,42 @@
     private FleetFigures() {}
 
     /** True where some run of this plan gives that figure. */
-    static boolean known(String figure, FleetPlan plan) {
-        return names(plan).contains(figure);
+    static boolean isKnown(String figure, FleetPlan plan) {
+        return allNames(plan).contains(figure);
     }
 
-    private static List<String> names(FleetPlan plan) {
-        List<String> names = new ArrayList<>(OTHERS);
-        A_RELAY.forEach(f -> names.add("hollow." + f));
-        if (plan.real > 0) {
-            A_RELAY.forEach(f -> names.add("real." + f));
-            AGAINST.forEach(f -> names.add("against." + f));
+    private static List<String> allNames(FleetPlan plan) {
+        List<String> names = new ArrayList<>(OTHER_FIGURES);
+        PER_RELAY.forEach(f -> names.add("hollow." + f));
+        if (plan.realRelays > 0) {
+            PER_RELAY.forEach(f -> names.add("real." + f));
+            COMPARED.forEach(f -> names.add("against." + f));
         }
         if (plan.changesSettings()) {
-            names.addAll(SETTINGS);
+            names.addAll(SETTINGS_FIGURES);
         }
         for (FleetPlan.Entry e : plan.entries) {
-            AFTER.forEach(f -> names.add("after." + e.kind.word() + "." + f));
+            OBSERVATION_FIGURES.forEach(f -> names.add("after." + e.kind.configName() + "." + f));
         }
         return names;
     }
 
     /** How far hollow relays are from real ones, as a part of the real ones' figure. */
-    static void against(Map<String, Double> figures) {
-        part(figures, "list_calls", "list_calls_per_s");
-        part(figures, "list_bytes", "list_bytes_in_per_s", "list_bytes_out_per_s");
-        part(figures, "probes", "probes_per_s");
-        part(figures, "messages", "messages_in_per_s", "messages_out_per_s");
+    static void putDifferences(Map<String, Double> figures) {
+        putDifference(figures, "list_calls", "list_calls_per_s");
+        putDifference(figures, "list_bytes", "list_bytes_in_per_s", "list_bytes_out_per_s");
+        putDifference(figures, "probes", "probes_per_s");
+        putDifference(figures, "messages", "messages_in_per_s", "messages_out_per_s");
     }
 
-    private static void part(Map<String, Double> figures, String to, String... of) {
+    private static void putDifference(
+            Map<String, Double> figures, String name, String... summedFigures) {
         double hollow = 0;
         double real = 0;
-        for (String f : of) {
+        for (String f : summedFigures) {
             hollow += figures.get("hollow." + f);
             real += figures.get("real." + f);
         }
-        figures.put("against." + to, real > 0 ? Math.abs(hollow / real - 1) : Double.NaN);
+        figures.put("against." + name, real > 0 ? Math.abs(hollow / real - 1) : Double.NaN);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetLab.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetLab.java
@@ -23,14 +23,14 @@
  * pace, nor on a size that was not run.
  */
 public final class FleetLab {
-    private static final double MB = 1 << 20;
+    private static final double BYTES_PER_MB = 1 << 20;
 
     /** Hollow relays stand for real ones within this part. */
-    static final double LIKE = 0.1;
+    static final double MAX_DIFFERENCE = 0.1;
 
     private final FleetPlan plan;
     private final PrintStream out;
-    private final List<FleetOutcome> all = new ArrayList<>();
+    private final List<FleetResult> results = new ArrayList<>();
 
     public FleetLab(FleetPlan plan, PrintStream out) {
         this.plan = plan;
@@ -38,40 +38,41 @@
     }
 
     /** Plays every size that fits the machine. */
-    public FleetLab play() throws IOException {
+    public FleetLab run() throws IOException {
         UnixOperatingSystemMXBean system =
                 (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         for (FleetPlan.Size size : plan.sizes) {
-            Room room =
-                    Room.of(
+            ProcessPlan processPlan =
+                    ProcessPlan.of(
                             plan,
                             size,
                             system.getMaxFileDescriptorCount(),
-                            system.getTotalMemorySize() / MB);
+                            system.getTotalMemorySize() / BYTES_PER_MB);
             out.printf(
                     Locale.ROOT,
                     "%s: %d hollow relays in %d processes, %d real, %d servers in %d processes, %.0f s%n",
                     plan.name,
                     size.relays(),
-                    room.hollowProcesses(),
-                    plan.real,
+                    processPlan.relayProcesses(),
+                    plan.realRelays,
                     size.servers(),
-                    room.serverProcesses(),
-                    plan.length);
-            if (room.tooMuch() != null) {
-                FleetOutcome none = new FleetOutcome(size);
-                none.noVerdict = "not run, it does not fit: " + room.tooMuch();
-                all.add(none);
+                    processPlan.serverProcesses(),
+                    plan.duration);
+            if (processPlan.doesNotFitReason() != null) {
+                FleetResult notRun = new FleetResult(size);
+                notRun.noVerdictReason =
+                        "not run, it does not fit: " + processPlan.doesNotFitReason();
+                results.add(notRun);
                 continue;
             }
             Path folder = Files.createTempDirectory("asterpulley-fleet");
-            all.add(new FleetRun(plan, size, room, folder).play());
-            remove(folder);
+            results.add(new FleetRun(plan, size, processPlan, folder).run());
+            deleteFolder(folder);
         }
         return this;
     }
 
-    private static void remove(Path folder) throws IOException {
+    private static void deleteFolder(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path p : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(p);
@@ -83,109 +84,111 @@
      * Prints the table of each size and the lines through them; true where all that was expected
      * holds.
      */
-    public boolean verdict() {
-        boolean good = !all.isEmpty();
-        for (FleetOutcome o : all) {
-            table(o);
-            good &= o.good(plan);
+    public boolean printVerdict() {
+        boolean passed = !results.isEmpty();
+        for (FleetResult result : results) {
+            printResult(result);
+            passed &= result.meetsExpectations(plan);
         }
-        Map<String, Fit> fits = fits();
+        Map<String, LinearFit> fits = fits();
         if (!fits.isEmpty()) {
             out.printf(
                     "%nby %s, least squares over %d sizes: slope, its standard error, at 0%n",
-                    by(), measured().size());
+                    fitVariable(), measuredResults().size());
             fits.forEach(
                     (name, fit) ->
                             out.printf(
                                     Locale.ROOT,
                                     "  %-32s %14s  +- %-12s %14s%n",
                                     name,
-                                    small(fit.slope()),
-                                    small(fit.error()),
-                                    small(fit.at0())));
+                                    formatNumber(fit.slope()),
+                                    formatNumber(fit.standardError()),
+                                    formatNumber(fit.intercept())));
         }
-        out.println(good ? "\nall that was expected holds" : "\nfell short of what was expected");
-        return good;
+        out.println(passed ? "\nall that was expected holds" : "\nfell short of what was expected");
+        return passed;
     }
 
-    private void table(FleetOutcome o) {
+    private void printResult(FleetResult result) {
         out.printf(
                 Locale.ROOT,
                 "%n%d hollow relays, %d servers, seed %d%n",
-                o.size.relays(),
-                o.size.servers(),
+                result.size.relays(),
+                result.size.servers(),
                 plan.seed);
-        for (Plan.Expectation e : plan.expects) {
+        for (Plan.Expectation expectation : plan.expectations) {
             out.printf(
                     Locale.ROOT,
                     "  %-8s %-32s %14s   expected %s %s%n",
-                    o.holds(e) ? "holds" : "SHORT",
-                    e.figure(),
-                    small(o.figure(e.figure())),
-                    e.operator(),
-                    Tables.formatNumber(e.bound()));
+                    result.holds(expectation) ? "holds" : "SHORT",
+                    expectation.figure(),
+                    formatNumber(result.figure(expectation.figure())),
+                    expectation.operator(),
+                    Tables.formatNumber(expectation.bound()));
         }
-        for (String f : FleetFigures.AGAINST) {
-            double apart = o.figure("against." + f);
-            if (!Double.isNaN(apart)) {
+        for (String f : FleetFigures.COMPARED) {
+            double difference = result.figure("against." + f);
+            if (!Double.isNaN(difference)) {
                 out.printf(
                         Locale.ROOT,
                         "  %-8s hollow and real relays differ by %.1f%% in %s%n",
-                        apart <= LIKE ? "alike" : "APART",
-                        apart * 100,
+                        difference <= MAX_DIFFERENCE ? "alike" : "APART",
+                        difference * 100,
                         f);
             }
         }
-        if (o.noVerdict != null) {
-            out.println("  no verdict: " + o.noVerdict);
+        if (result.noVerdictReason != null) {
+            out.println("  no verdict: " + result.noVerdictReason);
         }
     }
 
-    private List<FleetOutcome> measured() {
-        return all.stream().filter(o -> !o.figures.isEmpty() && o.noVerdict == null).toList();
+    private List<FleetResult> measuredResults() {
+        return results.stream()
+                .filter(o -> !o.figures.isEmpty() && o.noVerdictReason == null)
+                .toList();
     }
 
     /** By relays where their number differs, else by servers. */
-    private String by() {
-        return measured().stream().mapToInt(o -> o.size.relays()).distinct().count() > 1
+    private String fitVariable() {
+        return measuredResults().stream().mapToInt(o -> o.size.relays()).distinct().count() > 1
                 ? "relay"
                 : "server";
     }
 
-    Map<String, Fit> fits() {
-        Map<String, Fit> fits = new LinkedHashMap<>();
-        List<FleetOutcome> points = measured();
+    Map<String, LinearFit> fits() {
+        Map<String, LinearFit> fits = new LinkedHashMap<>();
+        List<FleetResult> points = measuredResults();
         if (points.size() < 2) {
             return fits;
         }
-        ToDoubleFunction<FleetOutcome> x =
-                by().equals("relay") ? o -> o.size.relays() : o -> o.size.servers();
+        ToDoubleFunction<FleetResult> x =
+                fitVariable().equals("relay") ? o -> o.size.relays() : o -> o.size.servers();
         for (String name : FleetFigures.FITTED) {
             fits.put(
                     name,
-                    Fit.line(
+                    LinearFit.fit(
                             points.stream().mapToDouble(x).toArray(),
                             points.stream().mapToDouble(o -> o.figure(name)).toArray()));
         }
         return fits;
     }
 
-    static String small(double d) {
+    static String formatNumber(double d) {
         return Double.isNaN(d) || d == 0 || Math.abs(d) >= 0.1
                 ? Tables.formatNumber(d)
                 : String.format(Locale.ROOT, "%.3g", d);
     }
 
-    List<FleetOutcome> outcomes() {
-        return all;
+    List<FleetResult> results() {
+        return results;
     }
 
     /** All figures and the series by the second. */
-    public byte[] json() throws IOException {
-        return FleetReports.json(plan, this, by());
+    public byte[] toJson() throws IOException {
+        return FleetReports.toJson(plan, this, fitVariable());
     }
 
-    public void html(Path to) throws IOException {
-        FleetReports.html(plan, this, by(), to);
+    public void writeHtml(Path to) throws IOException {
+        FleetReports.writeHtml(plan, this, fitVariable(), to);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetPlan.java
@@ -29,50 +29,50 @@
         LIST_LATE,
         ROLL;
 
-        public String word() {
+        public String configName() {
             return name().toLowerCase().replace('_', '-');
         }
     }
 
     public static final class Entry {
         public Kind kind = Kind.CHANGE;
-        public double at, lasts = 5, every = 3, stepEvery = 1, down = 1, delay = 1;
+        public double at, duration = 5, interval = 3, stepInterval = 1, downTime = 1, delay = 1;
 
         /** The part of all relays that one step of a roll restarts. */
-        public double step = 0.1;
+        public double stepShare = 0.1;
 
         public int zone;
     }
 
     public String name, title;
     public long seed = 1;
-    public double length = 30, settle = 4, startWithin = 4, toldLate = 0.4;
-    public int zones = 11, real = 2, probeConnections, sockets = 8192, memory = 64;
+    public double duration = 30, settleTime = 4, startSpread = 4, listDelay = 0.4;
+    public int zones = 11, realRelays = 2, probeConnections, maxSockets = 8192, memoryMb = 64;
 
     /**
      * Relays start with the list as of their process's start; else with none, and ask for the
      * whole.
      */
-    public boolean known = true;
+    public boolean startsWithList = true;
 
     /** Relays are told who tells settings; else theirs are those of their start. */
-    public boolean settingsTold = true;
+    public boolean watchesSettings = true;
 
-    public double tunnels = 0.5, lifetime = 20, setup = 0.02, reported = 0.4;
-    public double probeFee = 0.01, crossingFee = 0.02, deemedTold = 6;
+    public double tunnelsPerSecond = 0.5, tunnelLifetime = 20, setupTime = 0.02, reportedLoad = 0.4;
+    public double probeFee = 0.01, crossZoneFee = 0.02, assumedListDelay = 6;
     public final List<Size> sizes = new ArrayList<>();
     public final List<Entry> entries = new ArrayList<>();
-    public final List<Plan.Expectation> expects = new ArrayList<>();
+    public final List<Plan.Expectation> expectations = new ArrayList<>();
 
     /** Everything in half the time. */
     public void halve() {
-        length /= 2;
-        settle /= 2;
-        startWithin /= 2;
+        duration /= 2;
+        settleTime /= 2;
+        startSpread /= 2;
         for (Entry e : entries) {
             e.at /= 2;
-            e.lasts /= 2;
-            e.stepEvery /= 2;
+            e.duration /= 2;
+            e.stepInterval /= 2;
         }
     }
 
@@ -80,7 +80,7 @@
         return entries.stream().anyMatch(e -> e.kind == Kind.SETTINGS);
     }
 
-    public String zone(int number) {
+    public String zoneName(int number) {
         return "z" + (number % zones + 1);
     }
 
@@ -88,40 +88,46 @@
      * The settings of a relay of this zone, under the platform's names, as every relay of the
      * laboratory is told them.
      */
-    Map<String, Object> settings(int zone, Size size) {
+    Map<String, Object> relaySettings(int zone, Size size) {
         Plan plan = new Plan();
         for (int z = 0; z < zones; z++) {
-            plan.rooms.add(zone(z));
+            plan.rooms.add(zoneName(z));
         }
         plan.profiles.add(new Plan.ProfilePlan());
         plan.customers.add(new Plan.CustomerPlan());
         plan.servers.add(new Plan.ServerPlan());
         plan.probeFee = probeFee;
-        plan.crossZoneFee = crossingFee;
-        plan.assumedListDelay = deemedTold;
+        plan.crossZoneFee = crossZoneFee;
+        plan.assumedListDelay = assumedListDelay;
         Map<String, Object> settings = new LinkedHashMap<>(RelaySettings.settingsFor(plan, zone));
         settings.put("siblings", size.relays);
         return settings;
     }
 
     /** A relay's configuration, hollow or real; {@code known} is the list that it starts with. */
-    Map<String, Object> config(
-            String name, int number, Size size, String listen, String list, Object known) {
+    Map<String, Object> relayConfig(
+            String name,
+            int number,
+            Size size,
+            String listenAddress,
+            String discoveryAddress,
+            Object initialList) {
         Map<String, Object> config =
                 RelaySettings.mapOf(
                         "name",
                         name,
                         "listen",
-                        listen,
+                        listenAddress,
                         "discovery",
-                        list,
+                        discoveryAddress,
                         "seed",
                         Long.toHexString(seed * 1_000_003 + number * 1009L),
                         "limits",
-                        RelaySettings.mapOf("cores", 1.0, "memory_mb", memory, "sockets", sockets),
+                        RelaySettings.mapOf(
+                                "cores", 1.0, "memory_mb", memoryMb, "sockets", maxSockets),
                         "known",
-                        known);
-        config.put("settings", settings(number % zones, size));
+                        initialList);
+        config.put("settings", relaySettings(number % zones, size));
         return config;
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetReports.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetReports.java
@@ -20,47 +20,49 @@
  * network.
  */
 final class FleetReports {
-    private static final ObjectMapper JSON =
+    private static final ObjectMapper JSON_MAPPER =
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
     private FleetReports() {}
 
-    static byte[] json(FleetPlan plan, FleetLab lab, String by) throws IOException {
-        List<Object> plays = new ArrayList<>();
-        for (FleetOutcome o : lab.outcomes()) {
-            List<Object> expects = new ArrayList<>();
-            for (Plan.Expectation e : plan.expects) {
-                expects.add(
+    static byte[] toJson(FleetPlan plan, FleetLab lab, String by) throws IOException {
+        List<Object> results = new ArrayList<>();
+        for (FleetResult result : lab.results()) {
+            List<Object> expectations = new ArrayList<>();
+            for (Plan.Expectation expectation : plan.expectations) {
+                expectations.add(
                         RelaySettings.mapOf(
                                 "figure",
-                                e.figure(),
+                                expectation.figure(),
                                 "expected",
-                                e.operator() + " " + Tables.formatNumber(e.bound()),
+                                expectation.operator()
+                                        + " "
+                                        + Tables.formatNumber(expectation.bound()),
                                 "is",
-                                o.figure(e.figure()),
+                                result.figure(expectation.figure()),
                                 "holds",
-                                o.holds(e)));
+                                result.holds(expectation)));
             }
-            plays.add(
+            results.add(
                     RelaySettings.mapOf(
                             "on",
                             "hollow relays",
                             "policy",
-                            o.size.relays() + " relays, " + o.size.servers() + " servers",
+                            result.size.relays() + " relays, " + result.size.servers() + " servers",
                             "relays",
-                            o.size.relays(),
+                            result.size.relays(),
                             "servers",
-                            o.size.servers(),
+                            result.size.servers(),
                             "verdict",
-                            o.noVerdict != null
-                                    ? "none: " + o.noVerdict
-                                    : o.good(plan) ? "holds" : "short",
+                            result.noVerdictReason != null
+                                    ? "none: " + result.noVerdictReason
+                                    : result.meetsExpectations(plan) ? "holds" : "short",
                             "expect",
-                            expects,
+                            expectations,
                             "figures",
-                            o.figures,
+                            result.figures,
                             "by_second",
-                            o.seconds));
+                            result.perSecond));
         }
         Map<String, Object> slopes = new LinkedHashMap<>();
         lab.fits()
@@ -72,10 +74,10 @@
                                                 "slope",
                                                 fit.slope(),
                                                 "error",
-                                                fit.error(),
+                                                fit.standardError(),
                                                 "at_0",
-                                                fit.at0())));
-        return JSON.writeValueAsBytes(
+                                                fit.intercept())));
+        return JSON_MAPPER.writeValueAsBytes(
                 RelaySettings.mapOf(
                         "experiment",
                         plan.name,
@@ -84,39 +86,43 @@
                         "seed",
                         plan.seed,
                         "plays",
-                        plays,
+                        results,
                         "slopes_by",
                         by,
                         "slopes",
                         slopes));
     }
 
-    static void html(FleetPlan plan, FleetLab lab, String by, Path to) throws IOException {
+    static void writeHtml(FleetPlan plan, FleetLab lab, String by, Path to) throws IOException {
         StringBuilder page = new StringBuilder(Reports.pageHead(plan.title, plan.name, plan.seed));
-        for (FleetOutcome o : lab.outcomes()) {
+        for (FleetResult result : lab.results()) {
             page.append("<h2>")
-                    .append(o.size.relays())
+                    .append(result.size.relays())
                     .append(" hollow relays, ")
-                    .append(o.size.servers())
+                    .append(result.size.servers())
                     .append(" servers</h2>");
-            if (o.noVerdict != null) {
+            if (result.noVerdictReason != null) {
                 page.append("<p class=short>no verdict: ")
-                        .append(Reports.escapeHtml(o.noVerdict))
+                        .append(Reports.escapeHtml(result.noVerdictReason))
                         .append("</p>");
             }
             page.append("<table><tr><th>figure<th>is<th>expected<th>");
-            for (Plan.Expectation e : plan.expects) {
-                page.append(Reports.expectationRow(e, o.figure(e.figure()), o.holds(e)));
+            for (Plan.Expectation expectation : plan.expectations) {
+                page.append(
+                        Reports.expectationRow(
+                                expectation,
+                                result.figure(expectation.figure()),
+                                result.holds(expectation)));
             }
-            o.figures.forEach(
+            result.figures.forEach(
                     (name, is) ->
                             page.append("<tr><td>")
                                     .append(name)
                                     .append("<td>")
-                                    .append(FleetLab.small(is)));
+                                    .append(FleetLab.formatNumber(is)));
             page.append("</table>");
         }
-        page.append(Reports.plotsHtml(new String(json(plan, lab, by), StandardCharsets.UTF_8)));
+        page.append(Reports.plotsHtml(new String(toJson(plan, lab, by), StandardCharsets.UTF_8)));
         Files.writeString(to, page.toString());
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetOutcome.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetResult.java
@@ -6,15 +6,15 @@
 import java.util.TreeMap;
 
 /** What one size of a fleet experiment gave, and which expectations held. */
-final class FleetOutcome {
+final class FleetResult {
     final FleetPlan.Size size;
     final Map<String, Double> figures = new TreeMap<>();
-    final Map<String, List<Long>> seconds = new TreeMap<>();
+    final Map<String, List<Long>> perSecond = new TreeMap<>();
 
     /** Why there is no verdict; null where there is one. */
-    String noVerdict;
+    String noVerdictReason;
 
-    FleetOutcome(FleetPlan.Size size) {
+    FleetResult(FleetPlan.Size size) {
         this.size = size;
     }
 
@@ -22,12 +22,12 @@
         return figures.getOrDefault(name, Double.NaN);
     }
 
-    boolean holds(Plan.Expectation e) {
-        return e.holds(figure(e.figure()));
+    boolean holds(Plan.Expectation expectation) {
+        return expectation.holds(figure(expectation.figure()));
     }
 
     /** Every expectation holds, and the run is worth a verdict. */
-    boolean good(FleetPlan plan) {
-        return noVerdict == null && plan.expects.stream().allMatch(this::holds);
+    boolean meetsExpectations(FleetPlan plan) {
+        return noVerdictReason == null && plan.expectations.stream().allMatch(this::holds);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetRun.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetRun.java
@@ -1,9 +1,9 @@
 package asterpulley.lab.fleet;
 
 import asterpulley.lab.plan.RelaySettings;
-import asterpulley.lab.sock.Pump;
 import asterpulley.lab.sock.RelayProcess;
-import asterpulley.lab.sock.Sockets;
+import asterpulley.lab.sock.SelectorLoop;
+import asterpulley.lab.sock.SocketTestbed;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
@@ -32,144 +32,152 @@
  * run good in which it was late itself.
  */
 final class FleetRun {
-    private static final double READY = 60, LOOK = 0.01;
-    private static final double MB = 1 << 20;
+    private static final double READY_TIMEOUT_SECONDS = 60, POLL_SECONDS = 0.01;
+    private static final double BYTES_PER_MB = 1 << 20;
 
     /** What was changed so long before the end should be in force by then. */
-    private static final double SETTLED = 1;
+    private static final double ACTIVATION_SECONDS = 1;
 
     /** What is changed at an entry's end is, within this, part of what has to be told after it. */
-    private static final double AT_ONCE = 0.1;
+    private static final double SIMULTANEOUS_SECONDS = 0.1;
 
-    private static final String REAL = "real", LIST = "instances";
+    private static final String REAL_RELAYS = "real", SERVER_LIST = "instances";
 
     private final FleetPlan plan;
-    private final Room room;
+    private final ProcessPlan processPlan;
     private final Path folder;
     private final Schedule schedule;
-    private final Catalog catalog;
-    private final Pump pump = new Pump();
-    private final InetAddress here = Sockets.ownAddress();
-    private final long zero = System.nanoTime();
-    private final List<Child> servers = new ArrayList<>(), hollows = new ArrayList<>();
-    private final List<RelayProcess> reals = new ArrayList<>();
+    private final ServerCatalog serverCatalog;
+    private final SelectorLoop loop = new SelectorLoop();
+    private final InetAddress hostAddress = SocketTestbed.ownAddress();
+    private final long startNanos = System.nanoTime();
+    private final List<ChildProcess> serverProcesses = new ArrayList<>(),
+            relayProcesses = new ArrayList<>();
+    private final List<RelayProcess> realRelays = new ArrayList<>();
     private final List<RealClients> clients = new ArrayList<>();
-    private final List<ListService> lists = new ArrayList<>();
-    private final Map<String, String[]> dials = new HashMap<>();
-    private final Tally hollowList = new Tally(zero),
-            realList = new Tally(zero),
-            settingsTold = new Tally(zero);
-    private final InForce inForce = new InForce(), settingsInForce = new InForce();
-    private final Revisions revisions = new Revisions();
-    private final List<ListService> settings = new ArrayList<>();
-    private final FleetOutcome outcome;
+    private final List<LongPollService> listServices = new ArrayList<>();
+    private final Map<String, String[]> dialAddresses = new HashMap<>();
+    private final TrafficCounters simulatedListTraffic = new TrafficCounters(startNanos),
+            realListTraffic = new TrafficCounters(startNanos),
+            settingsTraffic = new TrafficCounters(startNanos);
+    private final PropagationTracker listPropagation = new PropagationTracker(),
+            settingsPropagation = new PropagationTracker();
+    private final SettingsHistory settingsHistory = new SettingsHistory();
+    private final List<LongPollService> settingsServices = new ArrayList<>();
+    private final FleetResult result;
 
     /** How often each child was asked for an answer. */
-    private final Map<Child, Integer> asked = new HashMap<>();
+    private final Map<ChildProcess, Integer> requestCounts = new HashMap<>();
 
-    private double late;
-    private boolean cut;
-    private long start;
-    private Sample from, until;
+    private double listDelay;
+    private boolean listCutOff;
+    private long runStartNanos;
+    private Sample calmStart, calmEnd;
 
-    FleetRun(FleetPlan plan, FleetPlan.Size size, Room room, Path folder) throws IOException {
+    FleetRun(FleetPlan plan, FleetPlan.Size size, ProcessPlan processPlan, Path folder)
+            throws IOException {
         this.plan = plan;
-        this.room = room;
+        this.processPlan = processPlan;
         this.folder = folder;
         schedule = new Schedule(plan, size);
-        catalog = new Catalog(plan, size.servers());
-        outcome = new FleetOutcome(size);
+        serverCatalog = new ServerCatalog(plan, size.servers());
+        result = new FleetResult(size);
     }
 
-    FleetOutcome play() throws IOException {
+    FleetResult run() throws IOException {
         try {
-            servers();
-            hollows();
-            reals();
-            pump.run(pump.now() + plan.startWithin + plan.settle);
-            run();
-            finish();
-            return outcome;
+            startServers();
+            startSimulatedRelays();
+            startRealRelays();
+            loop.run(loop.now() + plan.startSpread + plan.settleTime);
+            runSchedule();
+            computeFigures();
+            return result;
         } finally {
-            clients.forEach(c -> c.over = true);
-            reals.forEach(RelayProcess::kill);
-            hollows.forEach(Child::close);
-            servers.forEach(Child::close);
-            pump.close();
+            clients.forEach(c -> c.stopped = true);
+            realRelays.forEach(RelayProcess::kill);
+            relayProcesses.forEach(ChildProcess::close);
+            serverProcesses.forEach(ChildProcess::close);
+            loop.close();
         }
     }
 
     // ---- Before
 
-    private void servers() throws IOException {
-        for (int k = 0; k < room.serverProcesses(); k++) {
+    private void startServers() throws IOException {
+        for (int process = 0; process < processPlan.serverProcesses(); process++) {
             // The real ones have the first for themselves.
-            int first = plan.real > 0 ? 1 : 0;
-            List<String> callers = new ArrayList<>(k < first ? List.of(REAL) : List.of());
-            for (int h = k - first;
-                    k >= first && h < room.hollowProcesses();
-                    h += room.serverProcesses() - first) {
+            int firstSimulated = plan.realRelays > 0 ? 1 : 0;
+            List<String> callers =
+                    new ArrayList<>(process < firstSimulated ? List.of(REAL_RELAYS) : List.of());
+            for (int h = process - firstSimulated;
+                    process >= firstSimulated && h < processPlan.relayProcesses();
+                    h += processPlan.serverProcesses() - firstSimulated) {
                 callers.add(Integer.toString(h));
             }
-            servers.add(
-                    new Child(
+            serverProcesses.add(
+                    new ChildProcess(
                             folder,
-                            "servers" + k,
+                            "servers" + process,
                             ServersMain.class,
                             RelaySettings.mapOf(
                                     "here",
-                                    here.getHostAddress(),
+                                    hostAddress.getHostAddress(),
                                     "callers",
                                     callers,
                                     "servers",
-                                    outcome.size.servers(),
+                                    result.size.servers(),
                                     "zero",
-                                    zero,
+                                    startNanos,
                                     "reported",
-                                    plan.reported,
+                                    plan.reportedLoad,
                                     "setup",
-                                    plan.setup),
+                                    plan.setupTime),
                             256));
         }
-        for (Child c : servers) {
-            await(c).fields()
+        for (ChildProcess c : serverProcesses) {
+            nextAnswer(c)
+                    .fields()
                     .forEachRemaining(
                             e -> {
-                                String[] to = new String[outcome.size.servers()];
+                                String[] to = new String[result.size.servers()];
                                 for (int s = 0; s < to.length; s++) {
                                     to[s] = e.getValue().get(s).asText();
                                 }
-                                dials.put(e.getKey(), to);
+                                dialAddresses.put(e.getKey(), to);
                             });
         }
     }
 
-    private Catalog.Page page(String caller) {
-        return catalog.new Page(s -> dials.get(caller)[s]);
+    private ServerCatalog.View viewFor(String caller) {
+        return serverCatalog.new View(s -> dialAddresses.get(caller)[s]);
     }
 
-    private void hollows() throws IOException {
-        for (int h = 0; h < room.hollowProcesses(); h++) {
-            Catalog.Page page = page(Integer.toString(h));
-            ListService list = new ListService(pump, page, LIST, hollowList, here);
-            lists.add(list);
+    private void startSimulatedRelays() throws IOException {
+        for (int h = 0; h < processPlan.relayProcesses(); h++) {
+            ServerCatalog.View page = viewFor(Integer.toString(h));
+            LongPollService list =
+                    new LongPollService(loop, page, SERVER_LIST, simulatedListTraffic, hostAddress);
+            listServices.add(list);
             Map<String, Object> config =
-                    plan.config(
+                    plan.relayConfig(
                             "h",
                             0,
-                            outcome.size,
+                            result.size,
                             "127.0.0.1:1",
                             list.address(),
-                            plan.known ? page.list() : Catalog.none());
-            if (plan.settingsTold && plan.changesSettings()) {
-                settings.add(new ListService(pump, revisions, "settings", settingsTold, here));
-                config.put("settings_service", settings.get(h).address());
+                            plan.startsWithList ? page.toDocument() : ServerCatalog.unknownList());
+            if (plan.watchesSettings && plan.changesSettings()) {
+                settingsServices.add(
+                        new LongPollService(
+                                loop, settingsHistory, "settings", settingsTraffic, hostAddress));
+                config.put("settings_service", settingsServices.get(h).address());
             }
-            hollows.add(
-                    new Child(
+            relayProcesses.add(
+                    new ChildProcess(
                             folder,
                             "hollow" + h,
-                            HollowMain.class,
+                            SimulatedRelaysMain.class,
                             RelaySettings.mapOf(
                                     "config",
                                     config,
@@ -178,76 +186,82 @@
                                     "seed",
                                     plan.seed,
                                     "tunnels",
-                                    plan.tunnels,
+                                    plan.tunnelsPerSecond,
                                     "lifetime",
-                                    plan.lifetime,
+                                    plan.tunnelLifetime,
                                     "setup",
-                                    plan.setup,
+                                    plan.setupTime,
                                     "timeout",
                                     2,
                                     "sights",
                                     folder.resolve("sights" + h).toString()),
-                            room.heapMb()));
+                            processPlan.heapMb()));
         }
-        for (Child c : hollows) {
-            await(c);
+        for (ChildProcess c : relayProcesses) {
+            nextAnswer(c);
         }
-        tell(
+        commandRelays(
                 "start",
-                range(outcome.size.relays()),
-                Long.toString(Math.round(plan.startWithin * 1000)));
+                range(result.size.relays()),
+                Long.toString(Math.round(plan.startSpread * 1000)));
     }
 
-    private void reals() throws IOException {
-        if (plan.real == 0) {
+    private void startRealRelays() throws IOException {
+        if (plan.realRelays == 0) {
             return;
         }
-        Catalog.Page page = page(REAL);
-        ListService list = new ListService(pump, page, LIST, realList, here);
-        lists.add(list);
-        for (int r = 0; r < plan.real; r++) {
-            InetSocketAddress at = new InetSocketAddress(here, 9_400 + r);
+        ServerCatalog.View page = viewFor(REAL_RELAYS);
+        LongPollService list =
+                new LongPollService(loop, page, SERVER_LIST, realListTraffic, hostAddress);
+        listServices.add(list);
+        for (int r = 0; r < plan.realRelays; r++) {
+            InetSocketAddress at = new InetSocketAddress(hostAddress, 9_400 + r);
             String name = "real" + (r + 1);
-            reals.add(
+            realRelays.add(
                     RelayProcess.start(
                             folder,
                             name,
-                            plan.config(
+                            plan.relayConfig(
                                     name,
-                                    outcome.size.relays() + r,
-                                    outcome.size,
+                                    result.size.relays() + r,
+                                    result.size,
                                     at.getHostString() + ":" + at.getPort(),
                                     list.address(),
-                                    plan.known ? page.list() : Catalog.none()),
-                            plan.memory,
+                                    plan.startsWithList
+                                            ? page.toDocument()
+                                            : ServerCatalog.unknownList()),
+                            plan.memoryMb,
                             at));
-            clients.add(new RealClients(plan, pump, at, outcome.size.relays() + r));
-            clients.get(r).waitFor();
+            clients.add(new RealClients(plan, loop, at, result.size.relays() + r));
+            clients.get(r).probeUntilReady();
         }
-        double end = pump.now() + READY;
+        double end = loop.now() + READY_TIMEOUT_SECONDS;
         while (!clients.stream().allMatch(c -> c.ready)) {
-            pump.run(pump.now() + LOOK);
-            if (pump.now() > end) {
+            loop.run(loop.now() + POLL_SECONDS);
+            if (loop.now() > end) {
                 throw new IOException(
-                        "no real relay became ready in " + READY + " s; its log is in " + folder);
+                        "no real relay became ready in "
+                                + READY_TIMEOUT_SECONDS
+                                + " s; its log is in "
+                                + folder);
             }
         }
         clients.forEach(RealClients::start);
     }
 
     /** The next answer of this process, while all sockets are served. */
-    private JsonNode await(Child child) throws IOException {
-        int n = asked.merge(child, 1, Integer::sum) - 1;
-        double end = pump.now() + READY;
-        for (JsonNode answer = child.answer(n); ; answer = child.answer(n)) {
+    private JsonNode nextAnswer(ChildProcess child) throws IOException {
+        int answerNumber = requestCounts.merge(child, 1, Integer::sum) - 1;
+        double end = loop.now() + READY_TIMEOUT_SECONDS;
+        for (JsonNode answer = child.answer(answerNumber); ; answer = child.answer(answerNumber)) {
             if (answer != null) {
                 return answer;
             }
-            pump.run(pump.now() + LOOK);
-            if (pump.now() > end) {
+            loop.run(loop.now() + POLL_SECONDS);
+            if (loop.now() > end) {
                 throw new IOException(
                         "a process of the laboratory did not answer in "
-                                + READY
+                                + READY_TIMEOUT_SECONDS
                                 + " s; its log is in "
                                 + folder);
             }
@@ -256,62 +270,71 @@
 
     // ---- The timetable
 
-    private void run() throws IOException {
-        for (Child c : servers) {
-            c.tell("begin");
+    private void runSchedule() throws IOException {
+        for (ChildProcess c : serverProcesses) {
+            c.send("begin");
         }
-        for (Child c : hollows) {
-            c.tell("begin");
+        for (ChildProcess c : relayProcesses) {
+            c.send("begin");
         }
-        pump.countFromNow();
-        start = System.nanoTime();
-        double at0 = pump.now();
+        loop.resetLateness();
+        runStartNanos = System.nanoTime();
+        double scheduleStart = loop.now();
         for (Schedule.Step step : schedule.steps) {
-            pump.schedule(at0 + step.at() - pump.now(), () -> does(step));
+            loop.schedule(scheduleStart + step.at() - loop.now(), () -> perform(step));
         }
-        from = sample();
-        pump.run(at0 + schedule.calm);
-        until = sample();
-        pump.run(at0 + plan.length);
+        calmStart = takeSample();
+        loop.run(scheduleStart + schedule.calmUntil);
+        calmEnd = takeSample();
+        loop.run(scheduleStart + plan.duration);
     }
 
-    private void does(Schedule.Step step) {
+    private void perform(Schedule.Step step) {
         try {
-            switch (step.act()) {
+            switch (step.action()) {
                 case CHANGE -> {
-                    int s = step.who().get(0);
-                    changes(
-                            step.who(),
-                            catalog.health(s) == Catalog.Health.UP
-                                    ? Catalog.Health.DRAINING
-                                    : Catalog.Health.UP,
+                    int server = step.numbers().get(0);
+                    changeServers(
+                            step.numbers(),
+                            serverCatalog.health(server) == ServerCatalog.Health.UP
+                                    ? ServerCatalog.Health.DRAINING
+                                    : ServerCatalog.Health.UP,
                             false,
-                            late);
+                            listDelay);
                 }
                 case SETTINGS -> {
-                    settingsInForce.made(revisions.change(), System.nanoTime(), true);
-                    settings.forEach(ListService::news);
+                    settingsPropagation.recordChange(
+                            settingsHistory.addChange(), System.nanoTime(), true);
+                    settingsServices.forEach(LongPollService::answerWaiting);
                 }
                 case SERVERS_GONE -> {
-                    order("gone", step.who());
-                    changes(step.who(), Catalog.Health.REMOVED, false, plan.toldLate + late);
+                    commandServers("gone", step.numbers());
+                    changeServers(
+                            step.numbers(),
+                            ServerCatalog.Health.REMOVED,
+                            false,
+                            plan.listDelay + listDelay);
                 }
                 case SERVERS_BACK -> {
-                    order("back", step.who());
-                    changes(step.who(), Catalog.Health.UP, true, plan.toldLate + late);
+                    commandServers("back", step.numbers());
+                    changeServers(
+                            step.numbers(),
+                            ServerCatalog.Health.UP,
+                            true,
+                            plan.listDelay + listDelay);
                 }
-                case RELAYS_GONE -> tell("stop", step.who(), null);
-                case RELAYS_BACK -> tell("start", step.who(), "0");
+                case RELAYS_GONE -> commandRelays("stop", step.numbers(), null);
+                case RELAYS_BACK -> commandRelays("start", step.numbers(), "0");
                 case LIST_DOWN -> {
-                    cut = true;
-                    lists.forEach(l -> l.cut(true));
+                    listCutOff = true;
+                    listServices.forEach(l -> l.setDown(true));
                 }
                 case LIST_UP -> {
-                    cut = false;
-                    lists.forEach(l -> l.cut(false));
+                    listCutOff = false;
+                    listServices.forEach(l -> l.setDown(false));
                 }
-                case LATE -> late = step.by();
-                default -> throw new IllegalStateException("nobody does " + step.act());
+                case LATE -> listDelay = step.delay();
+                default -> throw new IllegalStateException("nobody does " + step.action());
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -319,43 +342,54 @@
     }
 
     /** Made now; the service learns of it so much later. */
-    private void changes(List<Integer> who, Catalog.Health to, boolean born, double later) {
-        long made = System.nanoTime();
-        long bornMs = born ? System.currentTimeMillis() : 0;
-        Runnable learns =
+    private void changeServers(
+            List<Integer> serverNumbers,
+            ServerCatalog.Health newHealth,
+            boolean restarted,
+            double delay) {
+        long madeAt = System.nanoTime();
+        long startedAtMs = restarted ? System.currentTimeMillis() : 0;
+        Runnable publish =
                 () -> {
-                    for (int s : who) {
-                        inForce.made(catalog.change(s, to, bornMs), made, !cut);
+                    for (int s : serverNumbers) {
+                        listPropagation.recordChange(
+                                serverCatalog.change(s, newHealth, startedAtMs),
+                                madeAt,
+                                !listCutOff);
                     }
-                    lists.forEach(ListService::news);
+                    listServices.forEach(LongPollService::answerWaiting);
                 };
-        if (later > 0) {
-            pump.schedule(later, learns);
+        if (delay > 0) {
+            loop.schedule(delay, publish);
         } else {
-            learns.run();
+            publish.run();
         }
     }
 
-    private void order(String what, List<Integer> who) throws IOException {
-        String line = what + who.stream().map(s -> " " + s).collect(Collectors.joining());
-        for (Child c : servers) {
-            c.tell(line);
+    private void commandServers(String command, List<Integer> serverNumbers) throws IOException {
+        String line =
+                command + serverNumbers.stream().map(s -> " " + s).collect(Collectors.joining());
+        for (ChildProcess c : serverProcesses) {
+            c.send(line);
         }
     }
 
     /** Relays stand in their processes by turns. */
-    private void tell(String what, List<Integer> who, String first) throws IOException {
-        for (int h = 0; h < hollows.size(); h++) {
-            StringBuilder line = new StringBuilder(what).append(first == null ? "" : " " + first);
-            int many = 0;
-            for (int w : who) {
-                if (w % hollows.size() == h) {
-                    line.append(' ').append(w);
-                    many++;
+    private void commandRelays(String command, List<Integer> relayNumbers, String firstArgument)
+            throws IOException {
+        for (int process = 0; process < relayProcesses.size(); process++) {
+            StringBuilder line =
+                    new StringBuilder(command)
+                            .append(firstArgument == null ? "" : " " + firstArgument);
+            int count = 0;
+            for (int relay : relayNumbers) {
+                if (relay % relayProcesses.size() == process) {
+                    line.append(' ').append(relay);
+                    count++;
                 }
             }
-            if (many > 0) {
-                hollows.get(h).tell(line.toString());
+            if (count > 0) {
+                relayProcesses.get(process).send(line.toString());
             }
         }
     }
@@ -372,118 +406,122 @@
 
     /** What was counted up to a moment. */
     private record Sample(
-            double at,
-            Map<Tally.What, Long> hollowList,
-            Map<Tally.What, Long> realList,
-            List<JsonNode> servers,
-            List<JsonNode> hollows,
-            double realCpu) {}
-
-    private Sample sample() throws IOException {
-        for (Child c : servers) {
-            c.tell("count");
-        }
-        for (Child c : hollows) {
-            c.tell("count");
-        }
-        Map<Tally.What, Long> ofHollow = all(hollowList);
-        Map<Tally.What, Long> ofReal = all(realList);
-        double cpu = reals.stream().mapToDouble(RelayProcess::cpu).sum();
+            double atSeconds,
+            Map<TrafficCounters.Counter, Long> simulatedListTraffic,
+            Map<TrafficCounters.Counter, Long> realListTraffic,
+            List<JsonNode> serverAnswers,
+            List<JsonNode> relayAnswers,
+            double realCpuSeconds) {}
+
+    private Sample takeSample() throws IOException {
+        for (ChildProcess c : serverProcesses) {
+            c.send("count");
+        }
+        for (ChildProcess c : relayProcesses) {
+            c.send("count");
+        }
+        Map<TrafficCounters.Counter, Long> ofHollow = totals(simulatedListTraffic);
+        Map<TrafficCounters.Counter, Long> ofReal = totals(realListTraffic);
+        double cpu = realRelays.stream().mapToDouble(RelayProcess::cpuSeconds).sum();
         double at = System.nanoTime() / 1e9;
-        return new Sample(at, ofHollow, ofReal, answers(servers), answers(hollows), cpu);
+        return new Sample(
+                at, ofHollow, ofReal, answers(serverProcesses), answers(relayProcesses), cpu);
     }
 
-    private static Map<Tally.What, Long> all(Tally tally) {
-        Map<Tally.What, Long> all = new HashMap<>();
-        for (Tally.What what : Tally.What.values()) {
-            all.put(what, tally.all(what));
+    private static Map<TrafficCounters.Counter, Long> totals(TrafficCounters tally) {
+        Map<TrafficCounters.Counter, Long> all = new HashMap<>();
+        for (TrafficCounters.Counter what : TrafficCounters.Counter.values()) {
+            all.put(what, tally.total(what));
         }
         return all;
     }
 
-    private List<JsonNode> answers(List<Child> of) throws IOException {
+    private List<JsonNode> answers(List<ChildProcess> processes) throws IOException {
         List<JsonNode> all = new ArrayList<>();
-        for (Child c : of) {
-            all.add(await(c));
+        for (ChildProcess c : processes) {
+            all.add(nextAnswer(c));
         }
         return all;
     }
 
-    private void finish() throws IOException {
+    private void computeFigures() throws IOException {
         long end = System.nanoTime();
-        double own = pump.lateShare();
-        Map<String, Double> f = outcome.figures;
+        double ownLateShare = loop.lateShare();
+        Map<String, Double> figures = result.figures;
         double realHeap = 0;
-        for (RelayProcess r : reals) {
-            realHeap += r.heap() / MB / reals.size();
+        for (RelayProcess r : realRelays) {
+            realHeap += r.heapAfterGc() / BYTES_PER_MB / realRelays.size();
         }
-        for (Child c : hollows) {
-            c.tell("end");
+        for (ChildProcess c : relayProcesses) {
+            c.send("end");
         }
-        List<JsonNode> ofHollows = answers(hollows);
-        for (Child c : servers) {
-            c.tell("end");
+        List<JsonNode> relayAnswers = answers(relayProcesses);
+        for (ChildProcess c : serverProcesses) {
+            c.send("end");
         }
-        List<JsonNode> ofServers = answers(servers);
-        kind("hollow", outcome.size.relays(), false);
-        f.put(
+        List<JsonNode> serverAnswers = answers(serverProcesses);
+        putRelayFigures("hollow", result.size.relays(), false);
+        figures.put(
                 "hollow.heap_mb",
-                ofHollows.stream().mapToDouble(h -> h.get("heap").asDouble()).average().orElse(0)
-                        / MB);
-        if (!reals.isEmpty()) {
-            kind(REAL, reals.size(), true);
-            f.put("real.heap_mb", realHeap);
-            FleetFigures.against(f);
-        }
-        double seconds = until.at - from.at;
-        f.put(
+                relayAnswers.stream().mapToDouble(h -> h.get("heap").asDouble()).average().orElse(0)
+                        / BYTES_PER_MB);
+        if (!realRelays.isEmpty()) {
+            putRelayFigures(REAL_RELAYS, realRelays.size(), true);
+            figures.put("real.heap_mb", realHeap);
+            FleetFigures.putDifferences(figures);
+        }
+        double seconds = calmEnd.atSeconds - calmStart.atSeconds;
+        figures.put(
                 "service.list_calls_per_s",
-                (until.hollowList.get(Tally.What.CALLS) - from.hollowList.get(Tally.What.CALLS))
+                (calmEnd.simulatedListTraffic.get(TrafficCounters.Counter.CALLS)
+                                - calmStart.simulatedListTraffic.get(TrafficCounters.Counter.CALLS))
                         / seconds);
-        f.put(
+        figures.put(
                 "service.list_bytes_per_s",
-                f.get("hollow.list_bytes_in_per_s") * outcome.size.relays());
-        f.put("service.whole_bytes", (double) page("0").whole().length);
-        decisions(ofHollows);
-        double taken = sum(ofHollows, h -> h.get("taken").asDouble());
-        f.put(
+                figures.get("hollow.list_bytes_in_per_s") * result.size.relays());
+        figures.put("service.whole_bytes", (double) viewFor("0").fullDocument().length);
+        putDecisionFigures(relayAnswers);
+        double takenTunnels = sum(relayAnswers, h -> h.get("taken").asDouble());
+        figures.put(
                 "tunnels.opened_share",
-                taken > 0 ? sum(ofHollows, h -> h.get("opened").asDouble()) / taken : 1);
-        seconds(ofServers);
-        for (int h = 0; h < hollows.size(); h++) {
-            sights(folder.resolve("sights" + h));
-        }
-        inForce.work(end - (long) (SETTLED * 1e9));
-        f.put("inforce.p50_ms", inForce.us.getValueAtPercentile(50) / 1e3);
-        f.put("inforce.p99_ms", inForce.us.getValueAtPercentile(99) / 1e3);
-        f.put("inforce.last_ms", inForce.us.getMaxValue() / 1e3);
-        f.put("inforce.count", (double) inForce.us.getTotalCount());
-        f.put("inforce.missing", (double) inForce.missing);
-        settingsFigures(end);
-        after();
-        double most = own;
-        for (JsonNode n : ofServers) {
-            most = Math.max(most, n.get("late_share").asDouble());
-        }
-        for (JsonNode n : ofHollows) {
-            most = Math.max(most, n.get("late_share").asDouble());
-        }
-        f.put("run.late_share", most);
-        double lines = f.get("hollow.probe_connections");
-        if (plan.probeConnections > 0 && lines > plan.probeConnections) {
-            outcome.noVerdict =
+                takenTunnels > 0
+                        ? sum(relayAnswers, h -> h.get("opened").asDouble()) / takenTunnels
+                        : 1);
+        putPerSecondFigures(serverAnswers);
+        for (int h = 0; h < relayProcesses.size(); h++) {
+            readEvents(folder.resolve("sights" + h));
+        }
+        listPropagation.computeDelays(end - (long) (ACTIVATION_SECONDS * 1e9));
+        figures.put("inforce.p50_ms", listPropagation.delayMicros.getValueAtPercentile(50) / 1e3);
+        figures.put("inforce.p99_ms", listPropagation.delayMicros.getValueAtPercentile(99) / 1e3);
+        figures.put("inforce.last_ms", listPropagation.delayMicros.getMaxValue() / 1e3);
+        figures.put("inforce.count", (double) listPropagation.delayMicros.getTotalCount());
+        figures.put("inforce.missing", (double) listPropagation.missing);
+        putSettingsFigures(end);
+        putObservationFigures();
+        double maxLateShare = ownLateShare;
+        for (JsonNode n : serverAnswers) {
+            maxLateShare = Math.max(maxLateShare, n.get("late_share").asDouble());
+        }
+        for (JsonNode n : relayAnswers) {
+            maxLateShare = Math.max(maxLateShare, n.get("late_share").asDouble());
+        }
+        figures.put("run.late_share", maxLateShare);
+        double connectionsPerRelay = figures.get("hollow.probe_connections");
+        if (plan.probeConnections > 0 && connectionsPerRelay > plan.probeConnections) {
+            result.noVerdictReason =
                     String.format(
                             Locale.ROOT,
                             "relays had %.1f connections to servers each, planned for were %d",
-                            lines,
+                            connectionsPerRelay,
                             plan.probeConnections);
         }
-        if (most > Sockets.LATE) {
-            outcome.noVerdict =
+        if (maxLateShare > SocketTestbed.MAX_LATE_SHARE) {
+            result.noVerdictReason =
                     String.format(
                             Locale.ROOT,
                             "the run was behind its own clock for %.1f%% of the time",
-                            most * 100);
+                            maxLateShare * 100);
         }
     }
 
@@ -491,104 +529,147 @@
      * From a change until it is in force at each relay, and what one costs in bytes; without such
      * changes nothing.
      */
-    private void settingsFigures(long end) {
+    private void putSettingsFigures(long end) {
         if (plan.changesSettings()) {
-            settingsInForce.work(end - (long) (SETTLED * 1e9));
-            Histogram us = settingsInForce.us;
-            Map<String, Double> f = outcome.figures;
-            f.put("settings.p50_ms", us.getValueAtPercentile(50) / 1e3);
-            f.put("settings.p99_ms", us.getValueAtPercentile(99) / 1e3);
-            f.put("settings.last_ms", us.getMaxValue() / 1e3);
-            f.put("settings.count", (double) us.getTotalCount());
-            f.put("settings.missing", (double) settingsInForce.missing);
-            double seconds = (System.nanoTime() - zero) / 1e9;
-            f.put(
+            settingsPropagation.computeDelays(end - (long) (ACTIVATION_SECONDS * 1e9));
+            Histogram delayMicros = settingsPropagation.delayMicros;
+            Map<String, Double> figures = result.figures;
+            figures.put("settings.p50_ms", delayMicros.getValueAtPercentile(50) / 1e3);
+            figures.put("settings.p99_ms", delayMicros.getValueAtPercentile(99) / 1e3);
+            figures.put("settings.last_ms", delayMicros.getMaxValue() / 1e3);
+            figures.put("settings.count", (double) delayMicros.getTotalCount());
+            figures.put("settings.missing", (double) settingsPropagation.missing);
+            double seconds = (System.nanoTime() - startNanos) / 1e9;
+            figures.put(
                     "settings.bytes_per_s",
-                    (settingsTold.all(Tally.What.BYTES_FROM)
-                                    + settingsTold.all(Tally.What.BYTES_TO))
+                    (settingsTraffic.total(TrafficCounters.Counter.BYTES_FROM)
+                                    + settingsTraffic.total(TrafficCounters.Counter.BYTES_TO))
                             / seconds
-                            / outcome.size.relays());
-            f.put("settings.whole_asked", (double) settingsTold.all(Tally.What.WHOLE));
+                            / result.size.relays());
+            figures.put(
+                    "settings.whole_asked",
+                    (double) settingsTraffic.total(TrafficCounters.Counter.WHOLE));
         }
     }
 
-    private static double sum(List<JsonNode> of, ToDoubleFunction<JsonNode> what) {
-        return of.stream().mapToDouble(what).sum();
+    private static double sum(List<JsonNode> answers, ToDoubleFunction<JsonNode> figure) {
+        return answers.stream().mapToDouble(figure).sum();
     }
 
     /** What relays of this kind used a relay and second in the calm time. */
-    private void kind(String kind, int many, boolean real) {
-        double per = (until.at - from.at) * many;
-        Map<Tally.What, Long> a = real ? from.realList : from.hollowList;
-        Map<Tally.What, Long> b = real ? until.realList : until.hollowList;
-        ToDoubleFunction<Tally.What> list = w -> (b.get(w) - a.get(w)) / per;
-        ToDoubleFunction<Tally.What> probe =
-                w -> (asked(until.servers, w, real) - asked(from.servers, w, real)) / per;
-        Map<String, Double> f = outcome.figures;
-        put(kind, "list_calls_per_s", list.applyAsDouble(Tally.What.CALLS));
-        put(kind, "list_bytes_in_per_s", list.applyAsDouble(Tally.What.BYTES_TO));
-        put(kind, "list_bytes_out_per_s", list.applyAsDouble(Tally.What.BYTES_FROM));
-        put(kind, "probes_per_s", probe.applyAsDouble(Tally.What.CALLS));
-        put(kind, "probe_bytes_in_per_s", probe.applyAsDouble(Tally.What.BYTES_TO));
-        put(kind, "probe_bytes_out_per_s", probe.applyAsDouble(Tally.What.BYTES_FROM));
-        put(
+    private void putRelayFigures(String kind, int relayCount, boolean ofRealRelays) {
+        double relaySeconds = (calmEnd.atSeconds - calmStart.atSeconds) * relayCount;
+        Map<TrafficCounters.Counter, Long> listBefore =
+                ofRealRelays ? calmStart.realListTraffic : calmStart.simulatedListTraffic;
+        Map<TrafficCounters.Counter, Long> listAfter =
+                ofRealRelays ? calmEnd.realListTraffic : calmEnd.simulatedListTraffic;
+        ToDoubleFunction<TrafficCounters.Counter> list =
+                w -> (listAfter.get(w) - listBefore.get(w)) / relaySeconds;
+        ToDoubleFunction<TrafficCounters.Counter> probe =
+                w ->
+                        (serverTotal(calmEnd.serverAnswers, w, ofRealRelays)
+                                        - serverTotal(calmStart.serverAnswers, w, ofRealRelays))
+                                / relaySeconds;
+        Map<String, Double> figures = result.figures;
+        putFigure(kind, "list_calls_per_s", list.applyAsDouble(TrafficCounters.Counter.CALLS));
+        putFigure(
+                kind, "list_bytes_in_per_s", list.applyAsDouble(TrafficCounters.Counter.BYTES_TO));
+        putFigure(
+                kind,
+                "list_bytes_out_per_s",
+                list.applyAsDouble(TrafficCounters.Counter.BYTES_FROM));
+        putFigure(kind, "probes_per_s", probe.applyAsDouble(TrafficCounters.Counter.CALLS));
+        putFigure(
+                kind,
+                "probe_bytes_in_per_s",
+                probe.applyAsDouble(TrafficCounters.Counter.BYTES_TO));
+        putFigure(
+                kind,
+                "probe_bytes_out_per_s",
+                probe.applyAsDouble(TrafficCounters.Counter.BYTES_FROM));
+        putFigure(
                 kind,
                 "messages_in_per_s",
-                list.applyAsDouble(Tally.What.ANSWERS) + probe.applyAsDouble(Tally.What.ANSWERS));
-        put(
+                list.applyAsDouble(TrafficCounters.Counter.ANSWERS)
+                        + probe.applyAsDouble(TrafficCounters.Counter.ANSWERS));
+        putFigure(
                 kind,
                 "messages_out_per_s",
-                list.applyAsDouble(Tally.What.CALLS) + probe.applyAsDouble(Tally.What.CALLS));
-        put(
+                list.applyAsDouble(TrafficCounters.Counter.CALLS)
+                        + probe.applyAsDouble(TrafficCounters.Counter.CALLS));
+        putFigure(
                 kind,
                 "bytes_per_s",
-                f.get(kind + ".list_bytes_in_per_s")
-                        + f.get(kind + ".list_bytes_out_per_s")
-                        + f.get(kind + ".probe_bytes_in_per_s")
-                        + f.get(kind + ".probe_bytes_out_per_s"));
-        put(kind, "start_probes", asked(from.servers, Tally.What.CALLS, real) / many);
-        if (real) {
-            put(kind, "tunnels_per_s", probe.applyAsDouble(Tally.What.OPENINGS));
-            put(kind, "cpu_percent", (until.realCpu - from.realCpu) / per * 100);
+                figures.get(kind + ".list_bytes_in_per_s")
+                        + figures.get(kind + ".list_bytes_out_per_s")
+                        + figures.get(kind + ".probe_bytes_in_per_s")
+                        + figures.get(kind + ".probe_bytes_out_per_s"));
+        putFigure(
+                kind,
+                "start_probes",
+                serverTotal(calmStart.serverAnswers, TrafficCounters.Counter.CALLS, ofRealRelays)
+                        / relayCount);
+        if (ofRealRelays) {
+            putFigure(kind, "tunnels_per_s", probe.applyAsDouble(TrafficCounters.Counter.OPENINGS));
+            putFigure(
+                    kind,
+                    "cpu_percent",
+                    (calmEnd.realCpuSeconds - calmStart.realCpuSeconds) / relaySeconds * 100);
         } else {
-            put(
+            putFigure(
                     kind,
                     "cpu_percent",
-                    (used(until, "process_cpu") - used(from, "process_cpu")) / per * 100);
-            put(
+                    (relayTotal(calmEnd, "process_cpu") - relayTotal(calmStart, "process_cpu"))
+                            / relaySeconds
+                            * 100);
+            putFigure(
                     kind,
                     "thread_cpu_percent",
-                    (used(until, "thread_cpu") - used(from, "thread_cpu")) / per * 100);
-            put(kind, "tunnels_per_s", (used(until, "opened") - used(from, "opened")) / per);
-            put(kind, "start_list_bytes", (double) a.get(Tally.What.BYTES_TO) / many);
-            put(kind, "probe_connections", asked(until.servers, Tally.What.CONNECTS, false) / many);
+                    (relayTotal(calmEnd, "thread_cpu") - relayTotal(calmStart, "thread_cpu"))
+                            / relaySeconds
+                            * 100);
+            putFigure(
+                    kind,
+                    "tunnels_per_s",
+                    (relayTotal(calmEnd, "opened") - relayTotal(calmStart, "opened"))
+                            / relaySeconds);
+            putFigure(
+                    kind,
+                    "start_list_bytes",
+                    (double) listBefore.get(TrafficCounters.Counter.BYTES_TO) / relayCount);
+            putFigure(
+                    kind,
+                    "probe_connections",
+                    serverTotal(calmEnd.serverAnswers, TrafficCounters.Counter.CONNECTS, false)
+                            / relayCount);
         }
     }
 
-    private void put(String kind, String figure, double is) {
-        outcome.figures.put(kind + "." + figure, is);
+    private void putFigure(String kind, String figure, double value) {
+        result.figures.put(kind + "." + figure, value);
     }
 
-    private static double used(Sample sample, String what) {
-        return sum(sample.hollows, h -> h.get(what).asDouble());
+    private static double relayTotal(Sample sample, String figure) {
+        return sum(sample.relayAnswers, h -> h.get(figure).asDouble());
     }
 
-    private static double asked(List<JsonNode> servers, Tally.What what, boolean real) {
-        double all = 0;
+    private static double serverTotal(
+            List<JsonNode> servers, TrafficCounters.Counter counter, boolean ofRealRelays) {
+        double total = 0;
         for (JsonNode node : servers) {
             for (var fields = node.fields(); fields.hasNext(); ) {
                 var e = fields.next();
-                if (e.getValue().isObject() && e.getKey().equals(REAL) == real) {
-                    all += e.getValue().get(what.name().toLowerCase()).asDouble();
+                if (e.getValue().isObject() && e.getKey().equals(REAL_RELAYS) == ofRealRelays) {
+                    total += e.getValue().get(counter.name().toLowerCase()).asDouble();
                 }
             }
         }
-        return all;
+        return total;
     }
 
-    private void decisions(List<JsonNode> ofHollows) throws IOException {
+    private void putDecisionFigures(List<JsonNode> relayAnswers) throws IOException {
         Histogram all = new Histogram(10_000_000, 3);
-        for (JsonNode h : ofHollows) {
+        for (JsonNode h : relayAnswers) {
             try {
                 byte[] bytes = Base64.getDecoder().decode(h.get("decisions").asText());
                 all.add(Histogram.decodeFromCompressedByteBuffer(ByteBuffer.wrap(bytes), 0));
@@ -596,26 +677,28 @@
                 throw new IOException("a histogram can't be read", e);
             }
         }
-        outcome.figures.put("decision.p50_us", (double) all.getValueAtPercentile(50));
-        outcome.figures.put("decision.p99_us", (double) all.getValueAtPercentile(99));
+        result.figures.put("decision.p50_us", (double) all.getValueAtPercentile(50));
+        result.figures.put("decision.p99_us", (double) all.getValueAtPercentile(99));
     }
 
     /** From the timetable's start on. */
-    private void seconds(List<JsonNode> ofServers) {
-        int skip = (int) ((start - zero) / 1_000_000_000L);
-        Map<String, List<Long>> list = hollowList.seconds();
-        series("list_calls", list.get("calls"), skip, "worst.calls_per_s");
-        series("list_connects", list.get("connects"), skip, "worst.connects_per_s");
-        series("list_bytes", list.get("bytes_to"), skip, "worst.bytes_per_s");
-        series("whole_lists", list.get("whole"), skip, null);
+    private void putPerSecondFigures(List<JsonNode> serverAnswers) {
+        int skip = (int) ((runStartNanos - startNanos) / 1_000_000_000L);
+        Map<String, List<Long>> list = simulatedListTraffic.countsPerSecond();
+        putSeries("list_calls", list.get("calls"), skip, "worst.calls_per_s");
+        putSeries("list_connects", list.get("connects"), skip, "worst.connects_per_s");
+        putSeries("list_bytes", list.get("bytes_to"), skip, "worst.bytes_per_s");
+        putSeries("whole_lists", list.get("whole"), skip, null);
         List<Long> probes = new ArrayList<>();
-        for (JsonNode node : ofServers) {
+        for (JsonNode node : serverAnswers) {
             node.get("seconds")
                     .fields()
                     .forEachRemaining(
                             e -> {
                                 JsonNode calls = e.getValue().get("calls");
-                                for (int i = 0; i < calls.size() && !e.getKey().equals(REAL); i++) {
+                                for (int i = 0;
+                                        i < calls.size() && !e.getKey().equals(REAL_RELAYS);
+                                        i++) {
                                     while (probes.size() <= i) {
                                         probes.add(0L);
                                     }
@@ -623,33 +706,37 @@
                                 }
                             });
         }
-        series("probes", probes, skip, "worst.probes_per_s");
-        outcome.figures.put("whole_asked", (double) hollowList.all(Tally.What.WHOLE));
+        putSeries("probes", probes, skip, "worst.probes_per_s");
+        result.figures.put(
+                "whole_asked", (double) simulatedListTraffic.total(TrafficCounters.Counter.WHOLE));
     }
 
-    private void series(String name, List<Long> all, int skip, String worst) {
-        List<Long> of = new ArrayList<>();
-        for (int s = skip; s < skip + (int) Math.ceil(plan.length); s++) {
-            of.add(s < all.size() ? all.get(s) : 0L);
+    private void putSeries(String name, List<Long> counts, int skip, String maxFigure) {
+        List<Long> scheduled = new ArrayList<>();
+        for (int s = skip; s < skip + (int) Math.ceil(plan.duration); s++) {
+            scheduled.add(s < counts.size() ? counts.get(s) : 0L);
         }
-        outcome.seconds.put(name, of);
-        if (worst != null) {
-            outcome.figures.put(worst, (double) of.stream().mapToLong(l -> l).max().orElse(0));
+        result.perSecond.put(name, scheduled);
+        if (maxFigure != null) {
+            result.figures.put(
+                    maxFigure, (double) scheduled.stream().mapToLong(l -> l).max().orElse(0));
         }
     }
 
-    private void sights(Path file) throws IOException {
+    private void readEvents(Path file) throws IOException {
         try (DataInputStream in =
                 new DataInputStream(new BufferedInputStream(Files.newInputStream(file), 1 << 16))) {
             while (true) {
-                InForce.What what = InForce.What.values()[in.readByte()];
-                InForce.Sight sight =
-                        new InForce.Sight(in.readInt(), what, in.readLong(), in.readLong());
-                if (what != InForce.What.SETTINGS_CAME_TO) {
-                    inForce.saw(sight);
+                PropagationTracker.EventType type =
+                        PropagationTracker.EventType.values()[in.readByte()];
+                PropagationTracker.RelayEvent event =
+                        new PropagationTracker.RelayEvent(
+                                in.readInt(), type, in.readLong(), in.readLong());
+                if (type != PropagationTracker.EventType.SETTINGS_CAME_TO) {
+                    listPropagation.recordEvent(event);
                 }
-                if (what != InForce.What.CAME_TO) {
-                    settingsInForce.saw(sight.ofSettings());
+                if (type != PropagationTracker.EventType.CAME_TO) {
+                    settingsPropagation.recordEvent(event.toSettingsEvent());
                 }
             }
         } catch (EOFException e) {
@@ -658,36 +745,38 @@
         }
     }
 
-    private void after() {
-        for (Schedule.After a : schedule.afters) {
-            String to = "after." + a.kind().word() + ".";
-            int first = (int) a.from();
-            int last = (int) Math.ceil(a.until());
-            worst(to + "calls_worst", "list_calls", first, last);
-            worst(to + "connects_worst", "list_connects", first, last);
-            worst(to + "bytes_worst", "list_bytes", first, last);
-            List<Long> whole = outcome.seconds.get("whole_lists");
-            outcome.figures.merge(
-                    to + "whole_asked",
+    private void putObservationFigures() {
+        for (Schedule.ObservationPeriod period : schedule.observationPeriods) {
+            String prefix = "after." + period.kind().configName() + ".";
+            int first = (int) period.from();
+            int last = (int) Math.ceil(period.until());
+            putWorst(prefix + "calls_worst", "list_calls", first, last);
+            putWorst(prefix + "connects_worst", "list_connects", first, last);
+            putWorst(prefix + "bytes_worst", "list_bytes", first, last);
+            List<Long> whole = result.perSecond.get("whole_lists");
+            result.figures.merge(
+                    prefix + "whole_asked",
                     (double)
                             whole.subList(first, Math.min(whole.size(), last)).stream()
                                     .mapToLong(l -> l)
                                     .sum(),
                     Double::sum);
-            long from = start + (long) (a.from() * 1e9);
-            outcome.figures.merge(
-                    to + "told_s",
-                    inForce.told(inForce.versionAt(from + (long) (AT_ONCE * 1e9)), from),
+            long from = runStartNanos + (long) (period.from() * 1e9);
+            result.figures.merge(
+                    prefix + "told_s",
+                    listPropagation.secondsUntilKnown(
+                            listPropagation.versionAt(from + (long) (SIMULTANEOUS_SECONDS * 1e9)),
+                            from),
                     Math::max);
         }
     }
 
-    private void worst(String figure, String series, int first, int last) {
-        List<Long> of = outcome.seconds.get(series);
-        outcome.figures.merge(
+    private void putWorst(String figure, String series, int first, int last) {
+        List<Long> counts = result.perSecond.get(series);
+        result.figures.merge(
                 figure,
                 (double)
-                        of.subList(first, Math.min(of.size(), last)).stream()
+                        counts.subList(first, Math.min(counts.size(), last)).stream()
                                 .mapToLong(l -> l)
                                 .max()
                                 .orElse(0),
--- a/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
@@ -1,7 +1,7 @@
 package asterpulley.lab.fleet;
 
-import asterpulley.lab.sock.Conn;
-import asterpulley.lab.sock.Pump;
+import asterpulley.lab.sock.LineConnection;
+import asterpulley.lab.sock.SelectorLoop;
 import java.net.InetSocketAddress;
 
 /**
@@ -9,68 +9,69 @@
  * stand as long. It must never retry.
  */
 final class RealClients {
-    private final Pump pump;
+    private final SelectorLoop loop;
     private final InetSocketAddress relay;
-    private final Arrivals arrivals;
-    boolean ready, over;
+    private final TunnelArrivals arrivals;
+    boolean ready, stopped;
     long opened, failed;
 
-    RealClients(FleetPlan plan, Pump pump, InetSocketAddress relay, int number) {
-        this.pump = pump;
+    RealClients(FleetPlan plan, SelectorLoop loop, InetSocketAddress relay, int number) {
+        this.loop = loop;
         this.relay = relay;
-        arrivals = new Arrivals(plan.seed, number, plan.tunnels, plan.lifetime);
+        arrivals =
+                new TunnelArrivals(plan.seed, number, plan.tunnelsPerSecond, plan.tunnelLifetime);
     }
 
     /** Asks until the relay answers, as a front does. */
-    void waitFor() {
-        pump.connect(
+    void probeUntilReady() {
+        loop.connect(
                 relay,
-                new Conn.Ear() {
+                new LineConnection.Handler() {
                     @Override
-                    public void up(Conn conn) {
-                        conn.say("PING");
+                    public void connected(LineConnection conn) {
+                        conn.sendLine("PING");
                     }
 
                     @Override
-                    public void line(Conn conn, String line) {
+                    public void lineReceived(LineConnection conn, String line) {
                         conn.close();
                         ready = true;
                     }
 
                     @Override
-                    public void ended(Conn conn, boolean broken) {
-                        if (!over) {
-                            pump.schedule(0.05, RealClients.this::waitFor);
+                    public void disconnected(LineConnection conn, boolean broken) {
+                        if (!stopped) {
+                            loop.schedule(0.05, RealClients.this::probeUntilReady);
                         }
                     }
                 });
     }
 
     void start() {
-        if (!over && arrivals.any()) {
-            pump.schedule(arrivals.gap(), this::comes);
+        if (!stopped && arrivals.hasArrivals()) {
+            loop.schedule(arrivals.nextGap(), this::openTunnel);
         }
     }
 
-    private void comes() {
+    private void openTunnel() {
         start();
-        if (over) {
+        if (stopped) {
             return;
         }
-        String id = arrivals.id();
-        pump.connect(
+        String id = arrivals.nextId();
+        loop.connect(
                 relay,
-                new Conn.Ear() {
+                new LineConnection.Handler() {
                     @Override
-                    public void up(Conn conn) {
-                        conn.say("OPEN " + id + " " + id + " c=live,t=all,d=2000,g=c" + id);
+                    public void connected(LineConnection conn) {
+                        conn.sendLine("OPEN " + id + " " + id + " c=live,t=all,d=2000,g=c" + id);
                     }
 
                     @Override
-                    public void line(Conn conn, String line) {
+                    public void lineReceived(LineConnection conn, String line) {
                         if (line.startsWith("UP")) {
                             opened++;
-                            pump.schedule(arrivals.lifetime(), conn::close);
+                            loop.schedule(arrivals.nextLifetime(), conn::close);
                         } else if (line.startsWith("BUSY") || line.startsWith("ERR")) {
                             failed++;
                             conn.close();
@@ -80,7 +81,7 @@
                     }
 
                     @Override
-                    public void ended(Conn conn, boolean broken) {
+                    public void disconnected(LineConnection conn, boolean broken) {
                         // It stood where a server or the relay went.
                     }
                 });
--- a/lab/src/main/java/asterpulley/lab/fleet/Schedule.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Schedule.java
@@ -10,7 +10,7 @@
  * time what follows is looked at. Without input or output; the seed draws, never the run.
  */
 final class Schedule {
-    enum Act {
+    enum Action {
         CHANGE,
         SETTINGS,
         SERVERS_GONE,
@@ -26,103 +26,117 @@
      * One thing that is done; {@code who}: servers or relays by number, {@code by}: seconds of
      * delay.
      */
-    record Step(double at, Act act, List<Integer> who, double by) {}
+    record Step(double at, Action action, List<Integer> numbers, double delay) {}
 
     /** The time in which what follows an entry is looked at. */
-    record After(FleetPlan.Kind kind, double from, double until) {}
+    record ObservationPeriod(FleetPlan.Kind kind, double from, double until) {}
 
     /** What follows is looked at so long at most, and not beyond the next entry that disturbs. */
-    private static final double FOLLOWS = 10;
+    private static final double MAX_OBSERVATION_SECONDS = 10;
 
     final List<Step> steps = new ArrayList<>();
-    final List<After> afters = new ArrayList<>();
+    final List<ObservationPeriod> observationPeriods = new ArrayList<>();
 
     /**
      * Until here nothing but ordinary changes happens: the figures a relay and second are of this
      * time.
      */
-    final double calm;
+    final double calmUntil;
 
     Schedule(FleetPlan plan, FleetPlan.Size size) {
         Random random = new Random(plan.seed);
-        double first = plan.length;
-        for (FleetPlan.Entry e : plan.entries) {
-            if (disturbs(e)) {
-                first = Math.min(first, e.at);
+        double firstDisruption = plan.duration;
+        for (FleetPlan.Entry entry : plan.entries) {
+            if (isDisruptive(entry)) {
+                firstDisruption = Math.min(firstDisruption, entry.at);
             }
-            add(plan, size, e, random);
+            addEntry(plan, size, entry, random);
         }
-        calm = first;
-        steps.removeIf(s -> s.at >= plan.length);
+        calmUntil = firstDisruption;
+        steps.removeIf(s -> s.at >= plan.duration);
         steps.sort(Comparator.comparingDouble(Step::at));
     }
 
-    private static boolean disturbs(FleetPlan.Entry e) {
-        return e.kind != FleetPlan.Kind.CHANGE
-                && e.kind != FleetPlan.Kind.SETTINGS
-                && e.kind != FleetPlan.Kind.LIST_LATE;
+    private static boolean isDisruptive(FleetPlan.Entry entry) {
+        return entry.kind != FleetPlan.Kind.CHANGE
+                && entry.kind != FleetPlan.Kind.SETTINGS
+                && entry.kind != FleetPlan.Kind.LIST_LATE;
     }
 
-    private void add(FleetPlan plan, FleetPlan.Size size, FleetPlan.Entry e, Random random) {
-        double end = e.at + e.lasts;
-        switch (e.kind) {
+    private void addEntry(
+            FleetPlan plan, FleetPlan.Size size, FleetPlan.Entry entry, Random random) {
+        double end = entry.at + entry.duration;
+        switch (entry.kind) {
             case CHANGE -> {
-                for (double at = e.at; at < Math.min(end, plan.length); at += e.every) {
-                    steps.add(new Step(at, Act.CHANGE, List.of(random.nextInt(size.servers())), 0));
+                for (double at = entry.at;
+                        at < Math.min(end, plan.duration);
+                        at += entry.interval) {
+                    steps.add(
+                            new Step(
+                                    at, Action.CHANGE, List.of(random.nextInt(size.servers())), 0));
                 }
             }
             case SETTINGS -> {
-                for (double at = e.at; at < Math.min(end, plan.length); at += e.every) {
-                    steps.add(new Step(at, Act.SETTINGS, List.of(), 0));
+                for (double at = entry.at;
+                        at < Math.min(end, plan.duration);
+                        at += entry.interval) {
+                    steps.add(new Step(at, Action.SETTINGS, List.of(), 0));
                 }
             }
             case ZONE_SERVERS ->
-                    pair(
+                    addPair(
                             plan,
-                            e,
-                            Act.SERVERS_GONE,
-                            Act.SERVERS_BACK,
-                            inZone(plan, size.servers(), e.zone));
+                            entry,
+                            Action.SERVERS_GONE,
+                            Action.SERVERS_BACK,
+                            inZone(plan, size.servers(), entry.zone));
             case ZONE_RELAYS ->
-                    pair(
+                    addPair(
                             plan,
-                            e,
-                            Act.RELAYS_GONE,
-                            Act.RELAYS_BACK,
-                            inZone(plan, size.relays(), e.zone));
-            case LIST_CUT -> pair(plan, e, Act.LIST_DOWN, Act.LIST_UP, List.of());
+                            entry,
+                            Action.RELAYS_GONE,
+                            Action.RELAYS_BACK,
+                            inZone(plan, size.relays(), entry.zone));
+            case LIST_CUT -> addPair(plan, entry, Action.LIST_DOWN, Action.LIST_UP, List.of());
             case LIST_LATE -> {
-                steps.add(new Step(e.at, Act.LATE, List.of(), e.delay));
-                steps.add(new Step(end, Act.LATE, List.of(), 0));
+                steps.add(new Step(entry.at, Action.LATE, List.of(), entry.delay));
+                steps.add(new Step(end, Action.LATE, List.of(), 0));
             }
             case ROLL -> {
-                int many = Math.max(1, (int) Math.ceil(e.step * size.relays()));
-                double at = e.at;
-                for (int r = 0; r < size.relays(); r += many) {
-                    List<Integer> who = range(r, Math.min(size.relays(), r + many));
-                    steps.add(new Step(at, Act.RELAYS_GONE, who, 0));
-                    steps.add(new Step(at + e.down, Act.RELAYS_BACK, who, 0));
-                    at += e.stepEvery;
+                int relaysPerStep = Math.max(1, (int) Math.ceil(entry.stepShare * size.relays()));
+                double at = entry.at;
+                for (int r = 0; r < size.relays(); r += relaysPerStep) {
+                    List<Integer> numbers = range(r, Math.min(size.relays(), r + relaysPerStep));
+                    steps.add(new Step(at, Action.RELAYS_GONE, numbers, 0));
+                    steps.add(new Step(at + entry.downTime, Action.RELAYS_BACK, numbers, 0));
+                    at += entry.stepInterval;
                 }
-                after(plan, e.kind, e.at, at + e.down);
+                addObservationPeriod(plan, entry.kind, entry.at, at + entry.downTime);
             }
-            default -> throw new IllegalStateException("no such entry: " + e.kind);
+            default -> throw new IllegalStateException("no such entry: " + entry.kind);
         }
     }
 
-    private void pair(FleetPlan plan, FleetPlan.Entry e, Act begin, Act end, List<Integer> who) {
-        steps.add(new Step(e.at, begin, who, 0));
-        steps.add(new Step(e.at + e.lasts, end, who, 0));
-        after(plan, e.kind, e.at + e.lasts, e.at + e.lasts);
+    private void addPair(
+            FleetPlan plan,
+            FleetPlan.Entry entry,
+            Action begin,
+            Action end,
+            List<Integer> numbers) {
+        steps.add(new Step(entry.at, begin, numbers, 0));
+        steps.add(new Step(entry.at + entry.duration, end, numbers, 0));
+        addObservationPeriod(
+                plan, entry.kind, entry.at + entry.duration, entry.at + entry.duration);
     }
 
-    private void after(FleetPlan plan, FleetPlan.Kind kind, double from, double over) {
-        if (from < plan.length) {
-            double until = Math.min(plan.length, over + FOLLOWS);
+    private void addObservationPeriod(
+            FleetPlan plan, FleetPlan.Kind kind, double from, double effectEnd) {
+        if (from < plan.duration) {
+            double until = Math.min(plan.duration, effectEnd + MAX_OBSERVATION_SECONDS);
             for (FleetPlan.Entry next : plan.entries) {
-                until = disturbs(next) && next.at > from ? Math.min(until, next.at) : until;
+                until = isDisruptive(next) && next.at > from ? Math.min(until, next.at) : until;
             }
-            afters.add(new After(kind, from, until));
+            observationPeriods.add(new ObservationPeriod(kind, from, until));
         }
     }
 
--- a/lab/src/main/java/asterpulley/lab/fleet/Catalog.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ServerCatalog.java
@@ -15,31 +15,31 @@
  * comes from. Callers that are at one version are told the same bytes, which are written once.
  * Without input or output.
  */
-final class Catalog {
+final class ServerCatalog {
     enum Health {
         UP,
         DRAINING,
         REMOVED
     }
 
-    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final ObjectMapper JSON_MAPPER = new ObjectMapper();
 
     /** Stands for no version: the whole list. */
-    private static final long WHOLE = -1;
+    private static final long NO_VERSION = -1;
 
     private final FleetPlan plan;
     private final Health[] health;
-    private final long[] changed, born;
+    private final long[] changedInVersion, startedAtMs;
     private long version = 1;
 
-    Catalog(FleetPlan plan, int servers) {
+    ServerCatalog(FleetPlan plan, int servers) {
         this.plan = plan;
         health = new Health[servers];
-        changed = new long[servers];
-        born = new long[servers];
+        changedInVersion = new long[servers];
+        startedAtMs = new long[servers];
         for (int s = 0; s < servers; s++) {
             health[s] = Health.UP;
-            changed[s] = version;
+            changedInVersion[s] = version;
         }
     }
 
@@ -59,23 +59,23 @@
      * A change is a version of its own; {@code bornMs}: when it started, 0 where that did not
      * change.
      */
-    long change(int server, Health to, long bornMs) {
-        health[server] = to;
-        born[server] = bornMs > 0 ? bornMs : born[server];
-        changed[server] = ++version;
+    long change(int server, Health newHealth, long newStartMs) {
+        health[server] = newHealth;
+        startedAtMs[server] = newStartMs > 0 ? newStartMs : startedAtMs[server];
+        changedInVersion[server] = ++version;
         return version;
     }
 
     /**
      * As those are told it that reach servers so; it keeps what it wrote until the list changes.
      */
-    final class Page implements ListService.Source {
-        private final IntFunction<String> dials;
-        private final Map<Long, byte[]> written = new HashMap<>();
-        private long of;
+    final class View implements LongPollService.Source {
+        private final IntFunction<String> dialAddress;
+        private final Map<Long, byte[]> encodedByVersion = new HashMap<>();
+        private long encodedVersion;
 
-        Page(IntFunction<String> dials) {
-            this.dials = dials;
+        View(IntFunction<String> dialAddress) {
+            this.dialAddress = dialAddress;
         }
 
         @Override
@@ -84,35 +84,37 @@
         }
 
         @Override
-        public byte[] whole() {
-            return written(WHOLE);
+        public byte[] fullDocument() {
+            return encoded(NO_VERSION);
         }
 
         @Override
-        public byte[] since(long seen) {
-            return written(Math.max(0, seen));
+        public byte[] changesSince(long knownVersion) {
+            return encoded(Math.max(0, knownVersion));
         }
 
-        private byte[] written(long seen) {
-            if (of != version) {
-                of = version;
-                written.clear();
+        private byte[] encoded(long knownVersion) {
+            if (encodedVersion != version) {
+                encodedVersion = version;
+                encodedByVersion.clear();
             }
-            return written.computeIfAbsent(seen, at -> json(list(at)));
+            return encodedByVersion.computeIfAbsent(knownVersion, at -> toJson(toDocument(at)));
         }
 
-        Map<String, Object> list(long seen) {
+        Map<String, Object> toDocument(long knownVersion) {
             List<Object> hosts = new ArrayList<>();
             for (int s = 0; s < health.length; s++) {
-                if (seen == WHOLE ? health[s] != Health.REMOVED : changed[s] > seen) {
+                if (knownVersion == NO_VERSION
+                        ? health[s] != Health.REMOVED
+                        : changedInVersion[s] > knownVersion) {
                     hosts.add(
                             RelaySettings.mapOf(
                                     "host",
                                     name(s),
                                     "dial",
-                                    dials.apply(s),
+                                    dialAddress.apply(s),
                                     "site",
-                                    plan.zone(s),
+                                    plan.zoneName(s),
                                     "class",
                                     "feed",
                                     "block",
@@ -122,25 +124,26 @@
                                     "share",
                                     1.0,
                                     "born_ms",
-                                    born[s]));
+                                    startedAtMs[s]));
                 }
             }
-            return RelaySettings.mapOf("seq", version, "whole", seen == WHOLE, "hosts", hosts);
+            return RelaySettings.mapOf(
+                    "seq", version, "whole", knownVersion == NO_VERSION, "hosts", hosts);
         }
 
-        Map<String, Object> list() {
-            return list(WHOLE);
+        Map<String, Object> toDocument() {
+            return toDocument(NO_VERSION);
         }
     }
 
     /** What a relay starts with that knows no list: it asks for the whole one. */
-    static Map<String, Object> none() {
-        return RelaySettings.mapOf("seq", WHOLE, "whole", true, "hosts", List.of());
+    static Map<String, Object> unknownList() {
+        return RelaySettings.mapOf("seq", NO_VERSION, "whole", true, "hosts", List.of());
     }
 
-    static byte[] json(Object value) {
+    static byte[] toJson(Object value) {
         try {
-            return JSON.writeValueAsString(value).getBytes(StandardCharsets.ISO_8859_1);
+            return JSON_MAPPER.writeValueAsString(value).getBytes(StandardCharsets.ISO_8859_1);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
--- a/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
@@ -2,8 +2,8 @@
 
 import asterpulley.decode.Json;
 import asterpulley.lab.plan.RelaySettings;
-import asterpulley.lab.sock.Conn;
-import asterpulley.lab.sock.Pump;
+import asterpulley.lab.sock.LineConnection;
+import asterpulley.lab.sock.SelectorLoop;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -31,112 +31,115 @@
  * decide nothing.
  */
 final class ServersMain {
-    private static final int LINE_END = 2;
-    private static final double LOOK = 0.005;
+    private static final int LINE_END_BYTES = 2;
+    private static final double COMMAND_POLL_SECONDS = 0.005;
 
-    private final Pump pump = new Pump();
-    private final InetAddress here;
-    private final String report;
-    private final double setup;
+    private final SelectorLoop loop = new SelectorLoop();
+    private final InetAddress hostAddress;
+    private final String loadReport;
+    private final double setupSeconds;
     private final List<Caller> callers = new ArrayList<>();
-    private final Queue<String> orders = new ConcurrentLinkedQueue<>();
-
-    private ServersMain(Map<String, Object> told) throws IOException {
-        here = InetAddress.getByName(Json.text(told, "here"));
-        report = String.format(Locale.ROOT, "PONG x0=%.5f", Json.number(told, "reported", 0));
-        setup = Json.number(told, "setup", 0);
-        for (Object name : Json.list(told, "callers")) {
+    private final Queue<String> commands = new ConcurrentLinkedQueue<>();
+
+    private ServersMain(Map<String, Object> options) throws IOException {
+        hostAddress = InetAddress.getByName(Json.text(options, "here"));
+        loadReport =
+                String.format(Locale.ROOT, "PONG x0=%.5f", Json.number(options, "reported", 0));
+        setupSeconds = Json.number(options, "setup", 0);
+        for (Object name : Json.list(options, "callers")) {
             callers.add(
                     new Caller(
                             (String) name,
-                            (int) Json.number(told, "servers", 0),
-                            Json.integer(told, "zero")));
+                            (int) Json.number(options, "servers", 0),
+                            Json.integer(options, "zero")));
         }
     }
 
     /** One process of relays, and where it reaches the servers. */
     private final class Caller {
         private final String name;
-        private final Tally tally;
-        private final Pump.Listening[] listening;
+        private final TrafficCounters counters;
+        private final SelectorLoop.ListeningSocket[] sockets;
         private final InetSocketAddress[] addresses;
-        private final List<Set<Conn>> conns = new ArrayList<>();
+        private final List<Set<LineConnection>> connections = new ArrayList<>();
 
         private Caller(String name, int servers, long zero) throws IOException {
             this.name = name;
-            tally = new Tally(zero);
-            listening = new Pump.Listening[servers];
+            counters = new TrafficCounters(zero);
+            sockets = new SelectorLoop.ListeningSocket[servers];
             addresses = new InetSocketAddress[servers];
             for (int s = 0; s < servers; s++) {
-                addresses[s] = new InetSocketAddress(here, 0);
-                conns.add(new LinkedHashSet<>());
+                addresses[s] = new InetSocketAddress(hostAddress, 0);
+                connections.add(new LinkedHashSet<>());
                 listen(s);
             }
         }
 
         private void listen(int server) throws IOException {
-            listening[server] =
-                    pump.listen(
+            sockets[server] =
+                    loop.listen(
                             addresses[server],
                             conn -> {
-                                tally.add(Tally.What.CONNECTS, 1);
-                                conns.get(server).add(conn);
-                                return new Line(this, server);
+                                counters.add(TrafficCounters.Counter.CONNECTS, 1);
+                                connections.get(server).add(conn);
+                                return new ServerConnection(this, server);
                             });
-            addresses[server] = listening[server].address;
+            addresses[server] = sockets[server].address;
         }
 
-        private void gone(int server) {
-            listening[server].close();
-            List.copyOf(conns.get(server)).forEach(Conn::reset);
-            conns.get(server).clear();
+        private void stop(int server) {
+            sockets[server].close();
+            List.copyOf(connections.get(server)).forEach(LineConnection::reset);
+            connections.get(server).clear();
         }
 
-        private List<String> dials() {
+        private List<String> dialAddresses() {
             return Arrays.stream(addresses)
                     .map(a -> a.getHostString() + ":" + a.getPort())
                     .toList();
         }
     }
 
-    private final class Line implements Conn.Ear {
-        private final Caller of;
+    private final class ServerConnection implements LineConnection.Handler {
+        private final Caller caller;
         private final int server;
 
-        private Line(Caller of, int server) {
-            this.of = of;
+        private ServerConnection(Caller caller, int server) {
+            this.caller = caller;
             this.server = server;
         }
 
         @Override
-        public void line(Conn conn, String line) {
+        public void lineReceived(LineConnection conn, String line) {
             if (line.equals("STATS")) {
-                of.tally.add(Tally.What.CALLS, 1);
-                of.tally.add(Tally.What.BYTES_FROM, line.length() + LINE_END);
-                of.tally.add(Tally.What.BYTES_TO, report.length() + LINE_END);
-                of.tally.add(Tally.What.ANSWERS, 1);
-                conn.say(report);
+                caller.counters.add(TrafficCounters.Counter.CALLS, 1);
+                caller.counters.add(
+                        TrafficCounters.Counter.BYTES_FROM, line.length() + LINE_END_BYTES);
+                caller.counters.add(
+                        TrafficCounters.Counter.BYTES_TO, loadReport.length() + LINE_END_BYTES);
+                caller.counters.add(TrafficCounters.Counter.ANSWERS, 1);
+                conn.sendLine(loadReport);
             } else if (line.startsWith("OPEN ")) {
-                of.tally.add(Tally.What.OPENINGS, 1);
-                pump.schedule(setup, () -> conn.say("UP s" + server));
+                caller.counters.add(TrafficCounters.Counter.OPENINGS, 1);
+                loop.schedule(setupSeconds, () -> conn.sendLine("UP s" + server));
             } else {
-                conn.say("ok " + line);
+                conn.sendLine("ok " + line);
             }
         }
 
         @Override
-        public void ended(Conn conn, boolean broken) {
-            of.conns.get(server).remove(conn);
+        public void disconnected(LineConnection conn, boolean broken) {
+            caller.connections.get(server).remove(conn);
         }
     }
 
     @SuppressWarnings("unchecked")
     public static void main(String[] args) throws IOException {
-        new ServersMain(new ObjectMapper().readValue(Path.of(args[0]).toFile(), Map.class)).serve();
+        new ServersMain(new ObjectMapper().readValue(Path.of(args[0]).toFile(), Map.class)).run();
         System.exit(0);
     }
 
-    private void serve() throws IOException {
+    private void run() throws IOException {
         Thread reader =
                 new Thread(
                         () -> {
@@ -147,51 +150,51 @@
                                 for (String line = in.readLine();
                                         line != null;
                                         line = in.readLine()) {
-                                    orders.add(line);
+                                    commands.add(line);
                                 }
                             } catch (IOException e) {
                                 // As an end.
-                                orders.add("end");
+                                commands.add("end");
                             }
-                            orders.add("end");
+                            commands.add("end");
                         });
         reader.setDaemon(true);
         reader.start();
         Map<String, Object> dials = new LinkedHashMap<>();
-        callers.forEach(c -> dials.put(c.name, c.dials()));
-        say(dials);
-        look();
-        pump.run(Double.MAX_VALUE);
-        Map<String, Object> last = counts();
+        callers.forEach(c -> dials.put(c.name, c.dialAddresses()));
+        writeAnswer(dials);
+        runCommands();
+        loop.run(Double.MAX_VALUE);
+        Map<String, Object> finalAnswer = counts();
         Map<String, Object> seconds = new LinkedHashMap<>();
-        callers.forEach(c -> seconds.put(c.name, c.tally.seconds()));
-        last.put("seconds", seconds);
-        last.put("late_share", pump.lateShare());
-        say(last);
+        callers.forEach(c -> seconds.put(c.name, c.counters.countsPerSecond()));
+        finalAnswer.put("seconds", seconds);
+        finalAnswer.put("late_share", loop.lateShare());
+        writeAnswer(finalAnswer);
     }
 
-    private void look() {
-        for (String line = orders.poll(); line != null; line = orders.poll()) {
-            int[] who =
+    private void runCommands() {
+        for (String line = commands.poll(); line != null; line = commands.poll()) {
+            int[] serverNumbers =
                     Arrays.stream(line.split(" ")).skip(1).mapToInt(Integer::parseInt).toArray();
             switch (line.split(" ")[0]) {
-                case "begin" -> pump.countFromNow();
-                case "count" -> say(counts());
-                case "gone" -> callers.forEach(c -> Arrays.stream(who).forEach(c::gone));
-                case "back" -> back(who);
+                case "begin" -> loop.resetLateness();
+                case "count" -> writeAnswer(counts());
+                case "gone" -> callers.forEach(c -> Arrays.stream(serverNumbers).forEach(c::stop));
+                case "back" -> restartServers(serverNumbers);
                 default -> {
-                    pump.stop();
+                    loop.stop();
                     return;
                 }
             }
         }
-        pump.schedule(LOOK, this::look);
+        loop.schedule(COMMAND_POLL_SECONDS, this::runCommands);
     }
 
-    private void back(int[] who) {
+    private void restartServers(int[] serverNumbers) {
         try {
             for (Caller c : callers) {
-                for (int s : who) {
+                for (int s : serverNumbers) {
                     c.listen(s);
                 }
             }
@@ -202,12 +205,12 @@
 
     private Map<String, Object> counts() {
         Map<String, Object> counts = RelaySettings.mapOf("at", System.nanoTime());
-        callers.forEach(c -> counts.put(c.name, c.tally.totals()));
+        callers.forEach(c -> counts.put(c.name, c.counters.totals()));
         return counts;
     }
 
-    private static void say(Map<String, Object> answer) {
-        System.out.println(new String(Catalog.json(answer), StandardCharsets.US_ASCII));
+    private static void writeAnswer(Map<String, Object> answer) {
+        System.out.println(new String(ServerCatalog.toJson(answer), StandardCharsets.US_ASCII));
         System.out.flush();
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/Revisions.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/SettingsHistory.java
@@ -11,11 +11,11 @@
  * Callers that are at one version are told the same bytes, which are written once. Without input or
  * output.
  */
-final class Revisions implements ListService.Source {
+final class SettingsHistory implements LongPollService.Source {
     private static final long EPOCH = 1;
 
     private final List<Object> patches = new ArrayList<>();
-    private final Map<Long, byte[]> written = new HashMap<>();
+    private final Map<Long, byte[]> encodedByVersion = new HashMap<>();
     private Map<String, Object> document = Map.of();
 
     /** Before the first change there is one version, of nothing told. */
@@ -25,26 +25,26 @@
     }
 
     /** Another limit; the version that has it. */
-    long change() {
+    long addChange() {
         document =
                 RelaySettings.mapOf(
                         "limits", RelaySettings.mapOf("maxRetryAfterMs", 1000 + patches.size()));
         patches.add(document);
-        written.clear();
+        encodedByVersion.clear();
         return version();
     }
 
     @Override
-    public byte[] whole() {
-        return Catalog.json(
+    public byte[] fullDocument() {
+        return ServerCatalog.toJson(
                 RelaySettings.mapOf(
                         "epoch", EPOCH, "seq", version(), "whole", true, "settings", document));
     }
 
     @Override
-    public byte[] since(long seen) {
-        return written.computeIfAbsent(
-                seen,
+    public byte[] changesSince(long knownVersion) {
+        return encodedByVersion.computeIfAbsent(
+                knownVersion,
                 from -> {
                     List<Object> changes = new ArrayList<>();
                     for (long v = Math.max(1, from); v < version(); v++) {
@@ -52,7 +52,7 @@
                                 RelaySettings.mapOf(
                                         "seq", v + 1, "patch", patches.get((int) v - 1)));
                     }
-                    return Catalog.json(
+                    return ServerCatalog.toJson(
                             RelaySettings.mapOf(
                                     "epoch", EPOCH, "seq", version(), "whole", false, "changes",
                                     changes));
--- a/lab/src/main/java/asterpulley/lab/fleet/HollowMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/SimulatedRelaysMain.java
@@ -2,7 +2,7 @@
 
 import asterpulley.decode.Json;
 import asterpulley.lab.plan.RelaySettings;
-import asterpulley.lab.sock.Pump;
+import asterpulley.lab.sock.SelectorLoop;
 import asterpulley.net.SocketFilter;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedOutputStream;
@@ -35,41 +35,41 @@
  * relays by number, {@code begin} the run, {@code count} what was used so far, {@code end}. It ends
  * with who started it. It must not measure what it does for itself as the relays' own.
  */
-final class HollowMain implements Hollow.Sights {
+final class SimulatedRelaysMain implements SimulatedRelay.EventRecorder {
     /** The longest decision that is told apart, in microseconds. */
-    private static final long LONGEST_US = 10_000_000;
+    private static final long MAX_DECISION_MICROS = 10_000_000;
 
-    private static final double LOOK = 0.1;
+    private static final double PACE_CHECK_SECONDS = 0.1;
 
-    private final Map<String, Object> told;
-    private final Map<Integer, Hollow> relays = new TreeMap<>();
-    private final DataOutputStream sights;
-    private final Hollow.Shared shared;
-    private final Histogram decisions = new ConcurrentHistogram(LONGEST_US, 3);
-    private final Pump pace = new Pump();
+    private final Map<String, Object> options;
+    private final Map<Integer, SimulatedRelay> relays = new TreeMap<>();
+    private final DataOutputStream eventLog;
+    private final SimulatedRelay.Shared shared;
+    private final Histogram decisionMicros = new ConcurrentHistogram(MAX_DECISION_MICROS, 3);
+    private final SelectorLoop paceLoop = new SelectorLoop();
 
     /** The run begins, so that the pace counts; and how late that was. */
-    private volatile boolean begins;
+    private volatile boolean runStarted;
 
-    private volatile double late;
+    private volatile double lateShare;
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     private final com.sun.management.OperatingSystemMXBean system =
             (com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
 
-    private HollowMain(Map<String, Object> told) throws IOException {
-        this.told = told;
-        sights =
+    private SimulatedRelaysMain(Map<String, Object> options) throws IOException {
+        this.options = options;
+        eventLog =
                 new DataOutputStream(
                         new BufferedOutputStream(
-                                Files.newOutputStream(Path.of(Json.text(told, "sights"))),
+                                Files.newOutputStream(Path.of(Json.text(options, "sights"))),
                                 1 << 16));
         shared =
-                new Hollow.Shared(
+                new SimulatedRelay.Shared(
                         new PooledMemoryManager(
                                 SocketFilter.BUFFER_BYTES, 1, 1, 4, 0.03f, 0.25f, false),
-                        number("setup"),
-                        number("timeout"),
-                        decisions,
+                        numberOption("setup"),
+                        numberOption("timeout"),
+                        decisionMicros,
                         this,
                         new LongAdder(),
                         new LongAdder(),
@@ -82,111 +82,116 @@
         for (String quiet : List.of("", "org.glassfish.grizzly")) {
             Logger.getLogger(quiet).setLevel(Level.WARNING);
         }
-        new HollowMain(new ObjectMapper().readValue(Path.of(args[0]).toFile(), Map.class)).serve();
+        new SimulatedRelaysMain(new ObjectMapper().readValue(Path.of(args[0]).toFile(), Map.class))
+                .run();
         System.exit(0);
     }
 
-    private double number(String name) {
-        return Json.number(told, name, 0);
+    private double numberOption(String name) {
+        return Json.number(options, name, 0);
     }
 
-    private void serve() throws IOException, InterruptedException {
-        Thread beat =
+    private void run() throws IOException, InterruptedException {
+        Thread paceThread =
                 new Thread(
                         () -> {
                             try {
                                 while (true) {
-                                    pace.run(pace.now() + LOOK);
-                                    if (begins) {
-                                        begins = false;
-                                        pace.countFromNow();
+                                    paceLoop.run(paceLoop.now() + PACE_CHECK_SECONDS);
+                                    if (runStarted) {
+                                        runStarted = false;
+                                        paceLoop.resetLateness();
                                     }
-                                    late = pace.lateShare();
+                                    lateShare = paceLoop.lateShare();
                                 }
                             } catch (IOException e) {
                                 throw new UncheckedIOException(e);
                             }
                         });
-        beat.setDaemon(true);
-        beat.start();
-        double empty = heap();
-        say(RelaySettings.mapOf("ready", true));
+        paceThread.setDaemon(true);
+        paceThread.start();
+        double heapWithoutRelays = usedHeapBytes();
+        writeAnswer(RelaySettings.mapOf("ready", true));
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
         for (String line = in.readLine();
                 line != null && !line.equals("end");
                 line = in.readLine()) {
-            int[] who =
+            int[] arguments =
                     Arrays.stream(line.split(" ")).skip(1).mapToInt(Integer::parseInt).toArray();
             switch (line.split(" ")[0]) {
-                case "start" -> start(who);
-                case "stop" -> stop(who);
-                case "begin" -> begins = true;
-                case "count" -> say(counts());
+                case "start" -> start(arguments);
+                case "stop" -> stop(arguments);
+                case "begin" -> runStarted = true;
+                case "count" -> writeAnswer(counts());
                 default -> throw new IOException("not understood: " + line);
             }
         }
-        double wasLate = late;
-        double full = heap();
-        synchronized (sights) {
-            sights.close();
+        double finalLateShare = lateShare;
+        double heapWithRelays = usedHeapBytes();
+        synchronized (eventLog) {
+            eventLog.close();
         }
-        Map<String, Object> last = counts();
-        last.put("heap", (full - empty) / Math.max(1, relays.size()));
-        last.put("late_share", wasLate);
-        ByteBuffer histogram = ByteBuffer.allocate(decisions.getNeededByteBufferCapacity());
-        int size = decisions.encodeIntoCompressedByteBuffer(histogram);
-        last.put(
+        Map<String, Object> finalAnswer = counts();
+        finalAnswer.put("heap", (heapWithRelays - heapWithoutRelays) / Math.max(1, relays.size()));
+        finalAnswer.put("late_share", finalLateShare);
+        ByteBuffer histogram = ByteBuffer.allocate(decisionMicros.getNeededByteBufferCapacity());
+        int size = decisionMicros.encodeIntoCompressedByteBuffer(histogram);
+        finalAnswer.put(
                 "decisions",
                 Base64.getEncoder().encodeToString(Arrays.copyOf(histogram.array(), size)));
-        say(last);
+        writeAnswer(finalAnswer);
     }
 
     /** {@code who[0]}: milliseconds over which they start. */
-    private void start(int[] who) throws IOException, InterruptedException {
-        long from = System.nanoTime();
-        for (int i = 1; i < who.length; i++) {
-            long due = from + (long) (who[0] * 1e6 * (i - 1) / (who.length - 1));
-            Thread.sleep(Math.max(0, (due - System.nanoTime()) / 1_000_000));
-            Map<String, Object> config = new LinkedHashMap<>(Json.objectOrEmpty(told, "config"));
+    private void start(int[] arguments) throws IOException, InterruptedException {
+        long startNanos = System.nanoTime();
+        for (int i = 1; i < arguments.length; i++) {
+            long dueNanos =
+                    startNanos + (long) (arguments[0] * 1e6 * (i - 1) / (arguments.length - 1));
+            Thread.sleep(Math.max(0, (dueNanos - System.nanoTime()) / 1_000_000));
+            Map<String, Object> config = new LinkedHashMap<>(Json.objectOrEmpty(options, "config"));
             config.put("settings", new LinkedHashMap<>(Json.objectOrEmpty(config, "settings")));
-            Json.objectOrEmpty(config, "settings").put("myZone", who[i] % (int) number("zones"));
-            config.put("name", "h" + (who[i] + 1));
+            Json.objectOrEmpty(config, "settings")
+                    .put("myZone", arguments[i] % (int) numberOption("zones"));
+            config.put("name", "h" + (arguments[i] + 1));
             config.put(
-                    "seed", Long.toHexString(((long) number("seed")) * 1_000_003 + who[i] * 1009L));
+                    "seed",
+                    Long.toHexString(
+                            ((long) numberOption("seed")) * 1_000_003 + arguments[i] * 1009L));
             relays.put(
-                    who[i],
-                    new Hollow(
-                            who[i],
+                    arguments[i],
+                    new SimulatedRelay(
+                            arguments[i],
                             config,
-                            new Arrivals(
-                                    (long) number("seed"),
-                                    who[i],
-                                    number("tunnels"),
-                                    number("lifetime")),
+                            new TunnelArrivals(
+                                    (long) numberOption("seed"),
+                                    arguments[i],
+                                    numberOption("tunnels"),
+                                    numberOption("lifetime")),
                             shared));
         }
     }
 
-    private void stop(int[] who) throws IOException {
-        for (int w : who) {
-            Hollow gone = relays.remove(w);
-            if (gone != null) {
-                gone.stop();
+    private void stop(int[] relayNumbers) throws IOException {
+        for (int number : relayNumbers) {
+            SimulatedRelay relay = relays.remove(number);
+            if (relay != null) {
+                relay.stop();
             }
         }
     }
 
     /** Bytes in use after a collection. */
-    private static double heap() {
+    private static double usedHeapBytes() {
         System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
     private Map<String, Object> counts() {
         long cpu = 0;
-        for (Hollow h : relays.values()) {
-            cpu += Math.max(0, threads.getThreadCpuTime(h.thread()));
+        for (SimulatedRelay h : relays.values()) {
+            cpu += Math.max(0, threads.getThreadCpuTime(h.threadId()));
         }
         return RelaySettings.mapOf(
                 "at",
@@ -207,19 +212,19 @@
                 shared.errors().sum());
     }
 
-    private static void say(Map<String, Object> answer) {
-        System.out.println(new String(Catalog.json(answer), StandardCharsets.US_ASCII));
+    private static void writeAnswer(Map<String, Object> answer) {
+        System.out.println(new String(ServerCatalog.toJson(answer), StandardCharsets.US_ASCII));
         System.out.flush();
     }
 
     @Override
-    public void saw(int relay, InForce.What what, long version) {
+    public void record(int relay, PropagationTracker.EventType type, long version) {
         try {
-            synchronized (sights) {
-                sights.writeByte(what.ordinal());
-                sights.writeInt(relay);
-                sights.writeLong(version);
-                sights.writeLong(System.nanoTime());
+            synchronized (eventLog) {
+                eventLog.writeByte(type.ordinal());
+                eventLog.writeInt(relay);
+                eventLog.writeLong(version);
+                eventLog.writeLong(System.nanoTime());
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- /dev/null
+++ b/lab/src/main/java/asterpulley/lab/sock/LineConnection.java
@@ -0,0 +1,180 @@
+package asterpulley.lab.sock;
+
+import java.io.IOException;
+import java.net.StandardSocketOptions;
+import java.nio.ByteBuffer;
+import java.nio.channels.SelectionKey;
+import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+
+/**
+ * One connection of a stand-in, in lines. What is to be written waits here, unbounded: a run is
+ * bounded by its plan.
+ */
+public final class LineConnection {
+    /** Who hears what comes. */
+    public interface Handler {
+        default void connected(LineConnection connection) {}
+
+        void lineReceived(LineConnection connection, String line);
+
+        /**
+         * It ended: by a reset, or before it came up, or in order. Told once, and not for what this
+         * side ended.
+         */
+        void disconnected(LineConnection connection, boolean broken);
+    }
+
+    private static final int MAX_LINE_BYTES = 1 << 20;
+
+    private final SocketChannel channel;
+    final SelectionKey key;
+    Handler handler;
+    private final ArrayDeque<ByteBuffer> pendingWrites = new ArrayDeque<>();
+    private byte[] lineBuffer = new byte[128];
+    private int lineLength;
+    private boolean closed, connected, closeRequested;
+
+    LineConnection(SocketChannel channel, SelectionKey key) {
+        this.channel = channel;
+        this.key = key;
+    }
+
+    public boolean isClosed() {
+        return closed;
+    }
+
+    /** Who hears what comes from now on. */
+    public void setHandler(Handler newHandler) {
+        handler = newHandler;
+    }
+
+    void finishConnect() {
+        if (closed || connected) {
+            return;
+        }
+        try {
+            if (!channel.finishConnect()) {
+                return;
+            }
+        } catch (IOException e) {
+            connectionLost(true);
+            return;
+        }
+        connected = true;
+        key.interestOps(SelectionKey.OP_READ);
+        handler.connected(this);
+    }
+
+    void readAvailable(ByteBuffer buffer) {
+        buffer.clear();
+        int count;
+        try {
+            count = channel.read(buffer);
+        } catch (IOException e) {
+            connectionLost(true);
+            return;
+        }
+        if (count < 0) {
+            connectionLost(false);
+            return;
+        }
+        buffer.flip();
+        while (buffer.hasRemaining() && !closed) {
+            byte b = buffer.get();
+            if (b == '\n') {
+                int end =
+                        lineLength > 0 && lineBuffer[lineLength - 1] == '\r'
+                                ? lineLength - 1
+                                : lineLength;
+                String line = new String(lineBuffer, 0, end, StandardCharsets.ISO_8859_1);
+                lineLength = 0;
+                handler.lineReceived(this, line);
+            } else if (lineLength < MAX_LINE_BYTES) {
+                if (lineLength == lineBuffer.length) {
+                    lineBuffer = java.util.Arrays.copyOf(lineBuffer, 2 * lineLength);
+                }
+                lineBuffer[lineLength++] = b;
+            }
+        }
+    }
+
+    void connectionLost(boolean broken) {
+        if (!closed) {
+            close();
+            handler.disconnected(this, broken);
+        }
+    }
+
+    /** Says a line. */
+    public void sendLine(String line) {
+        send((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+    }
+
+    public void send(byte[] bytes) {
+        if (closed) {
+            return;
+        }
+        pendingWrites.add(ByteBuffer.wrap(bytes));
+        flush();
+    }
+
+    void flush() {
+        try {
+            while (!pendingWrites.isEmpty()) {
+                channel.write(pendingWrites.peek());
+                if (pendingWrites.peek().hasRemaining()) {
+                    key.interestOps(SelectionKey.OP_READ | SelectionKey.OP_WRITE);
+                    return;
+                }
+                pendingWrites.poll();
+            }
+            if (closeRequested) {
+                close();
+            } else if (key.isValid()) {
+                key.interestOps(SelectionKey.OP_READ);
+            }
+        } catch (IOException e) {
+            connectionLost(true);
+        }
+    }
+
+    /** Ends it once all is written. */
+    public void closeAfterWrites() {
+        closeRequested = true;
+        if (pendingWrites.isEmpty()) {
+            close();
+        }
+    }
+
+    public void close() {
+        if (closed) {
+            return;
+        }
+        closed = true;
+        try {
+            if (channel != null) {
+                channel.close();
+            }
+        } catch (IOException e) {
+            // It is not to be used again in any case.
+            return;
+        }
+    }
+
+    /** Ends it so that the other side sees it broken. */
+    public void reset() {
+        if (closed) {
+            return;
+        }
+        try {
+            channel.setOption(StandardSocketOptions.SO_LINGER, 0);
+        } catch (IOException e) {
+            // Already broken.
+            close();
+            return;
+        }
+        close();
+    }
+}
--- a/lab/src/main/java/asterpulley/lab/sock/LoadTool.java
+++ b/lab/src/main/java/asterpulley/lab/sock/LoadTool.java
@@ -17,131 +17,134 @@
  */
 public final class LoadTool {
     /** What to drive, and how. */
-    public static final class Order {
-        public InetSocketAddress to;
-        public double rate = 100, seconds = 10, life = 1, patience = 3;
+    public static final class Options {
+        public InetSocketAddress target;
+        public double rate = 100, seconds = 10, lifetime = 1, clientTimeout = 3;
         public int concurrency = 10_000;
         public String profile = "live", customer = "all";
         public long seed = 1;
     }
 
-    private static final long LONGEST = 600_000_000L;
+    private static final long MAX_SETUP_MICROS = 600_000_000L;
 
-    private final Order order;
-    private final Pump pump;
+    private final Options options;
+    private final SelectorLoop loop;
     private final RandomGenerator random;
-    private final long mark = System.nanoTime() & 0xffffffffL;
-    public final Histogram setups = new Histogram(LONGEST, 3);
-    public long meant, opened, declined, errors, broken, late;
-    private int open;
+    private final long idPrefix = System.nanoTime() & 0xffffffffL;
+    public final Histogram setupTimes = new Histogram(MAX_SETUP_MICROS, 3);
+    public long scheduled, opened, declined, errors, broken, startedLate;
+    private int openCount;
 
     /**
      * Openings that are due but have to wait for another to end: each still counts from when it was
      * due.
      */
-    private final ArrayDeque<Double> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Double> waitingDueTimes = new ArrayDeque<>();
 
-    private LoadTool(Order order) throws IOException {
-        this.order = order;
-        pump = new Pump();
-        random = LoadGenerator.newRandom(order.seed);
+    private LoadTool(Options options) throws IOException {
+        this.options = options;
+        loop = new SelectorLoop();
+        random = LoadGenerator.newRandom(options.seed);
     }
 
     /** Drives it to the end. */
-    public static LoadTool drive(Order order) throws IOException {
-        LoadTool tool = new LoadTool(order);
-        try (Pump pump = tool.pump) {
-            pump.zeroIn(0.05);
-            pump.schedule(-pump.now(), () -> tool.next(0));
-            pump.run(order.seconds + order.patience + Math.min(order.life, 2));
+    public static LoadTool drive(Options options) throws IOException {
+        LoadTool tool = new LoadTool(options);
+        try (SelectorLoop pump = tool.loop) {
+            pump.resetClock(0.05);
+            pump.schedule(-pump.now(), () -> tool.scheduleNext(0));
+            pump.run(options.seconds + options.clientTimeout + Math.min(options.lifetime, 2));
         }
         return tool;
     }
 
     /** The part of the time in which this tool was behind its own clock. */
     public double lateShare() {
-        return pump.lateShare();
+        return loop.lateShare();
     }
 
-    public boolean worthIt() {
-        return lateShare() <= Sockets.LATE;
+    public boolean keptPace() {
+        return lateShare() <= SocketTestbed.MAX_LATE_SHARE;
     }
 
-    private void next(double due) {
-        if (due >= order.seconds) {
+    private void scheduleNext(double dueAt) {
+        if (dueAt >= options.seconds) {
             return;
         }
-        double after = -Math.log(1 - random.nextDouble()) / order.rate;
-        pump.schedule(due + after - pump.now(), () -> next(due + after));
-        meant++;
-        if (open >= order.concurrency) {
-            late++;
-            waiting.add(due);
+        double gap = -Math.log(1 - random.nextDouble()) / options.rate;
+        loop.schedule(dueAt + gap - loop.now(), () -> scheduleNext(dueAt + gap));
+        scheduled++;
+        if (openCount >= options.concurrency) {
+            startedLate++;
+            waitingDueTimes.add(dueAt);
         } else {
-            open(due);
+            startOpening(dueAt);
         }
     }
 
-    private void open(double due) {
-        open++;
-        new Opening(due, meant);
+    private void startOpening(double dueAt) {
+        openCount++;
+        new Opening(dueAt, scheduled);
     }
 
-    private void done() {
-        open--;
-        if (!waiting.isEmpty()) {
-            open(waiting.poll());
+    private void openingEnded() {
+        openCount--;
+        if (!waitingDueTimes.isEmpty()) {
+            startOpening(waitingDueTimes.poll());
         }
     }
 
-    private final class Opening implements Conn.Ear {
-        private final double due;
+    private final class Opening implements LineConnection.Handler {
+        private final double dueAt;
         private final String id;
-        private final Conn conn;
-        private boolean answered, over;
-
-        private Opening(double due, long number) {
-            this.due = due;
-            id = Long.toHexString(mark << 24 | number & 0xffffff);
-            conn = pump.connect(order.to, this);
-            pump.schedule(
-                    order.patience,
+        private final LineConnection connection;
+        private boolean answered, finished;
+
+        private Opening(double dueAt, long number) {
+            this.dueAt = dueAt;
+            id = Long.toHexString(idPrefix << 24 | number & 0xffffff);
+            connection = loop.connect(options.target, this);
+            loop.schedule(
+                    options.clientTimeout,
                     () -> {
                         if (!answered) {
                             broken++;
-                            end();
+                            finish();
                         }
                     });
         }
 
         @Override
-        public void up(Conn up) {
-            up.say(
+        public void connected(LineConnection openedConnection) {
+            openedConnection.sendLine(
                     "OPEN "
                             + id
                             + " "
                             + id
                             + " c="
-                            + order.profile
+                            + options.profile
                             + ",t="
-                            + order.customer
+                            + options.customer
                             + ",d="
-                            + Math.round(order.patience * 1000)
+                            + Math.round(options.clientTimeout * 1000)
                             + ",g="
                             + id);
         }
 
         @Override
-        public void line(Conn from, String line) {
-            if (over || answered) {
+        public void lineReceived(LineConnection from, String line) {
+            if (finished || answered) {
                 return;
             }
             answered = true;
             if (line.startsWith("UP ")) {
                 opened++;
-                setups.recordValue(
-                        Math.max(0, Math.min(LONGEST, Math.round((pump.now() - due) * 1e6))));
-                pump.schedule(order.life, this::end);
+                setupTimes.recordValue(
+                        Math.max(
+                                0,
+                                Math.min(
+                                        MAX_SETUP_MICROS, Math.round((loop.now() - dueAt) * 1e6))));
+                loop.schedule(options.lifetime, this::finish);
                 return;
             }
             if (line.startsWith("BUSY")) {
@@ -149,47 +152,47 @@
             } else {
                 errors++;
             }
-            end();
+            finish();
         }
 
         @Override
-        public void ended(Conn from, boolean wasBroken) {
+        public void disconnected(LineConnection from, boolean wasBroken) {
             if (!answered) {
                 answered = true;
                 broken++;
             }
-            end();
+            finish();
         }
 
-        private void end() {
-            if (!over) {
-                over = true;
+        private void finish() {
+            if (!finished) {
+                finished = true;
                 answered = true;
-                conn.close();
-                done();
+                connection.close();
+                openingEnded();
             }
         }
     }
 
     /** All figures, for scripts. */
     public Map<String, Object> figures() {
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("meant", meant);
-        all.put("opened", opened);
-        all.put("declined", declined);
-        all.put("errors", errors);
-        all.put("broken", broken);
-        all.put("started_late", late);
+        Map<String, Object> figures = new LinkedHashMap<>();
+        figures.put("meant", scheduled);
+        figures.put("opened", opened);
+        figures.put("declined", declined);
+        figures.put("errors", errors);
+        figures.put("broken", broken);
+        figures.put("started_late", startedLate);
         for (double p : new double[] {50, 90, 99, 99.9}) {
-            all.put(
+            figures.put(
                     String.format(
                             Locale.ROOT,
                             "setup_p%s_ms",
                             p == Math.rint(p) ? Integer.toString((int) p) : Double.toString(p)),
-                    setups.getValueAtPercentile(p) / 1e3);
+                    setupTimes.getValueAtPercentile(p) / 1e3);
         }
-        all.put("setup_max_ms", setups.getMaxValue() / 1e3);
-        all.put("own_late_share", lateShare());
-        return all;
+        figures.put("setup_max_ms", setupTimes.getMaxValue() / 1e3);
+        figures.put("own_late_share", lateShare());
+        return figures;
     }
 }
--- /dev/null
+++ b/lab/src/main/java/asterpulley/lab/sock/LongPollResponder.java
@@ -0,0 +1,150 @@
+package asterpulley.lab.sock;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/**
+ * The words of the service of the server list, or of another thing that relays watch, towards one
+ * caller: reads its calls, lets one wait for news and answers. It must tell only what its service
+ * knows.
+ */
+public final class LongPollResponder implements LineConnection.Handler {
+    /** What is told, and who hears of it that it was. */
+    public interface Service {
+        boolean isDown();
+
+        long version();
+
+        /** The whole list. */
+        Answer fullAnswer();
+
+        /** What changed after that version; nothing, where that is the version now. */
+        Answer answerSince(long version);
+
+        /** So many bytes came with a call, or went out with an answer. */
+        default void recordTraffic(int in, int out) {}
+
+        /** Its connection ended. */
+        default void callerLeft(LongPollResponder caller) {}
+    }
+
+    /** An answer's body, and what is to be done once it is on its way. */
+    public record Answer(byte[] body, Runnable onSent) {}
+
+    private static final String SERVER_LIST = "instances";
+    private static final byte[] EMPTY_OBJECT = "{}".getBytes(StandardCharsets.ISO_8859_1);
+    private static final int LINE_END_BYTES = 2;
+
+    private final SelectorLoop loop;
+    private final Service service;
+    private final Pattern requestPattern;
+    private String requestLine;
+    private LineConnection waitingConnection;
+    private long waitingVersion;
+    private int requestCount, receivedBytes;
+
+    public LongPollResponder(SelectorLoop loop, Service service) {
+        this(loop, service, SERVER_LIST);
+    }
+
+    /** {@code watched}: what is called for, behind {@code /registry/}. */
+    public LongPollResponder(SelectorLoop loop, Service service, String resource) {
+        this.loop = loop;
+        this.service = service;
+        requestPattern =
+                Pattern.compile(
+                        "GET /registry/"
+                                + resource
+                                + "(?:\\?index=([0-9]+)&wait=([0-9]+)(?:&epoch=[0-9]+)?)? HTTP/1.1");
+    }
+
+    /** For a service that has an address for each caller. */
+    InetSocketAddress listen(InetSocketAddress address) throws IOException {
+        return loop.listen(address, conn -> this).address;
+    }
+
+    @Override
+    public void lineReceived(LineConnection conn, String line) {
+        receivedBytes += line.length() + LINE_END_BYTES;
+        if (line.startsWith("GET ")) {
+            requestLine = line;
+        } else if (line.isEmpty() && requestLine != null) {
+            Matcher request = requestPattern.matcher(requestLine);
+            requestLine = null;
+            requestCount++;
+            service.recordTraffic(receivedBytes, 0);
+            receivedBytes = 0;
+            if (!request.matches()) {
+                sendResponse(conn, "400 Bad Request", EMPTY_OBJECT);
+            } else if (service.isDown()) {
+                sendResponse(conn, "503 Service Unavailable", EMPTY_OBJECT);
+            } else if (request.group(1) == null) {
+                sendAnswer(conn, service.fullAnswer());
+            } else {
+                waitingVersion = Long.parseLong(request.group(1));
+                waitingConnection = conn;
+                int requestNumber = requestCount;
+                if (service.version() > waitingVersion) {
+                    answerWaiting();
+                } else {
+                    loop.schedule(
+                            Long.parseLong(request.group(2)) / 1e3,
+                            () -> {
+                                if (waitingConnection != null && requestCount == requestNumber) {
+                                    answerWaiting();
+                                }
+                            });
+                }
+            }
+        }
+    }
+
+    @Override
+    public void disconnected(LineConnection conn, boolean broken) {
+        if (waitingConnection == conn) {
+            waitingConnection = null;
+        }
+        service.callerLeft(this);
+    }
+
+    /** Answers the call that waits, with what is new since its version. */
+    public void answerWaiting() {
+        if (waitingConnection != null && !service.isDown()) {
+            LineConnection conn = waitingConnection;
+            waitingConnection = null;
+            sendAnswer(conn, service.answerSince(waitingVersion));
+        }
+    }
+
+    /** Breaks off the call that waits. */
+    public void dropWaiting() {
+        if (waitingConnection != null) {
+            waitingConnection.reset();
+            waitingConnection = null;
+            service.callerLeft(this);
+        }
+    }
+
+    private void sendAnswer(LineConnection conn, Answer answer) {
+        sendResponse(conn, "200 OK", answer.body);
+        answer.onSent.run();
+    }
+
+    private void sendResponse(LineConnection conn, String status, byte[] body) {
+        byte[] head =
+                ("HTTP/1.1 "
+                                + status
+                                + "\r\nContent-Type: application/json\r\nContent-Length: "
+                                + body.length
+                                + "\r\n\r\n")
+                        .getBytes(StandardCharsets.ISO_8859_1);
+        byte[] all = Arrays.copyOf(head, head.length + body.length);
+        System.arraycopy(body, 0, all, head.length, body.length);
+        service.recordTraffic(0, all.length);
+        conn.send(all);
+    }
+}
--- a/lab/src/main/java/asterpulley/lab/sock/RelayConfig.java
+++ b/lab/src/main/java/asterpulley/lab/sock/RelayConfig.java
@@ -15,25 +15,27 @@
 
     static Map<String, Object> of(
             Plan plan,
-            Simulation world,
+            Simulation simulation,
             int relay,
-            String listen,
-            String list,
-            Map<String, Object> known) {
+            String listenAddress,
+            String discoveryAddress,
+            Map<String, Object> initialList) {
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", "r" + (relay + 1));
-        config.put("listen", listen);
-        config.put("discovery", list);
+        config.put("listen", listenAddress);
+        config.put("discovery", discoveryAddress);
         config.put(
                 "seed",
                 Long.toHexString(
-                        plan.seed * 1_000_003 + relay * 1009L + world.relayIncarnation(relay)));
+                        plan.seed * 1_000_003
+                                + relay * 1009L
+                                + simulation.relayIncarnation(relay)));
         config.put(
                 "limits",
                 RelaySettings.mapOf(
                         "cores", 1.0, "memory_mb", plan.memoryMb, "sockets", plan.maxSockets));
-        config.put("known", known);
-        config.put("settings", RelaySettings.settingsFor(plan, world.roomOfRelay(relay)));
+        config.put("known", initialList);
+        config.put("settings", RelaySettings.settingsFor(plan, simulation.roomOfRelay(relay)));
         if (plan.routes != null) {
             config.put("routes", plan.routes);
         }
--- a/lab/src/main/java/asterpulley/lab/sock/RelayProcess.java
+++ b/lab/src/main/java/asterpulley/lab/sock/RelayProcess.java
@@ -21,20 +21,20 @@
  * broken off. It must never end a process that it did not start.
  */
 public final class RelayProcess {
-    private static final Set<Process> OURS = ConcurrentHashMap.newKeySet();
+    private static final Set<Process> STARTED = ConcurrentHashMap.newKeySet();
 
     static {
         Runtime.getRuntime()
-                .addShutdownHook(new Thread(() -> OURS.forEach(Process::destroyForcibly)));
+                .addShutdownHook(new Thread(() -> STARTED.forEach(Process::destroyForcibly)));
     }
 
     private final Process process;
     public final InetSocketAddress address;
 
-    private final Path file;
+    private final Path configFile;
 
-    private RelayProcess(Process process, Path file, InetSocketAddress address) {
-        this.file = file;
+    private RelayProcess(Process process, Path configFile, InetSocketAddress address) {
+        this.configFile = configFile;
         this.process = process;
         this.address = address;
     }
@@ -44,12 +44,12 @@
             Path folder,
             String name,
             Map<String, Object> config,
-            int memory,
+            int memoryMb,
             InetSocketAddress address)
             throws IOException {
-        Path file = folder.resolve(name + ".json");
-        Files.writeString(file, WorldList.text(config));
-        int heap = Math.max(12, Math.min(2048, memory - memory / 8 - 44));
+        Path configFile = folder.resolve(name + ".json");
+        Files.writeString(configFile, SimulationServerList.toJson(config));
+        int heapMb = Math.max(12, Math.min(2048, memoryMb - memoryMb / 8 - 44));
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -59,8 +59,8 @@
                                 "-XX:-UsePerfData",
                                 "-Xshare:auto",
                                 "-Xss512k",
-                                "-Xmx" + heap + "m",
-                                "-XX:MaxDirectMemorySize=" + Math.max(8, memory / 16) + "m",
+                                "-Xmx" + heapMb + "m",
+                                "-XX:MaxDirectMemorySize=" + Math.max(8, memoryMb / 16) + "m",
                                 "-XX:MaxMetaspaceSize=32m",
                                 "-XX:ReservedCodeCacheSize=16m",
                                 "-XX:+ExitOnOutOfMemoryError",
@@ -69,35 +69,39 @@
                                 "asterpulley.serve.Main",
                                 "serve"));
         ProcessBuilder builder = new ProcessBuilder(command);
-        builder.environment().put("LB_CONFIG", file.toString());
+        builder.environment().put("LB_CONFIG", configFile.toString());
         builder.environment().put("MALLOC_ARENA_MAX", "1");
         builder.redirectInput(ProcessBuilder.Redirect.from(new File("/dev/null")));
         builder.redirectErrorStream(true);
         builder.redirectOutput(
                 ProcessBuilder.Redirect.appendTo(folder.resolve(name + ".log").toFile()));
         Process process = builder.start();
-        OURS.add(process);
-        return new RelayProcess(process, file, address);
+        STARTED.add(process);
+        return new RelayProcess(process, configFile, address);
     }
 
-    public boolean alive() {
+    public boolean isAlive() {
         return process.isAlive();
     }
 
-    public int status() {
+    public int exitStatus() {
         return process.exitValue();
     }
 
     /** Gives it another configuration, and tells it to read that. */
     void reload(Map<String, Object> config) throws IOException {
-        Path anew = file.resolveSibling(file.getFileName() + ".new");
-        Files.writeString(anew, WorldList.text(config));
-        Files.move(anew, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
-        run("kill", "-HUP", Long.toString(process.pid()));
+        Path newFile = configFile.resolveSibling(configFile.getFileName() + ".new");
+        Files.writeString(newFile, SimulationServerList.toJson(config));
+        Files.move(
+                newFile,
+                configFile,
+                StandardCopyOption.REPLACE_EXISTING,
+                StandardCopyOption.ATOMIC_MOVE);
+        runCommand("kill", "-HUP", Long.toString(process.pid()));
     }
 
     /** Tells it to leave in order. */
-    public void leave() {
+    public void terminate() {
         process.destroy();
     }
 
@@ -108,11 +112,11 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        OURS.remove(process);
+        STARTED.remove(process);
     }
 
     /** Resident memory in bytes, where the system tells it; else NaN. */
-    public double resident() {
+    public double residentBytes() {
         try {
             for (String line :
                     Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status"))) {
@@ -128,34 +132,35 @@
     }
 
     /** Bytes in use on its heap after a collection, as the JDK's own tool tells. */
-    public double heap() throws IOException {
+    public double heapAfterGc() throws IOException {
         String jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd").toString();
         String pid = Long.toString(process.pid());
-        run(jcmd, pid, "GC.run");
+        runCommand(jcmd, pid, "GC.run");
         double used = 0;
-        Matcher m =
+        Matcher matcher =
                 Pattern.compile("(?:generation|space) +total [0-9]+K, used ([0-9]+)K")
-                        .matcher(run(jcmd, pid, "GC.heap_info"));
-        while (m.find()) {
-            used += Double.parseDouble(m.group(1)) * 1024;
+                        .matcher(runCommand(jcmd, pid, "GC.heap_info"));
+        while (matcher.find()) {
+            used += Double.parseDouble(matcher.group(1)) * 1024;
         }
         return used;
     }
 
-    private static String run(String... command) throws IOException {
-        Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
-        String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    private static String runCommand(String... command) throws IOException {
+        Process commandProcess = new ProcessBuilder(command).redirectErrorStream(true).start();
+        String output =
+                new String(commandProcess.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         try {
             // It has said all, and is gone in a moment: it must not be left behind either.
-            p.waitFor(5, TimeUnit.SECONDS);
+            commandProcess.waitFor(5, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return said;
+        return output;
     }
 
     /** Seconds of processor time so far. */
-    public double cpu() {
+    public double cpuSeconds() {
         return process.info().totalCpuDuration().map(d -> d.toNanos() / 1e9).orElse(Double.NaN);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/sock/WorldList.java
+++ b/lab/src/main/java/asterpulley/lab/sock/SimulationServerList.java
@@ -17,54 +17,58 @@
  * The list of a world's servers as one relay is told it, at an address of its own, so that it is
  * known who was told what and when. It must tell only what the world's registry knows.
  */
-final class WorldList implements ListStandIn.Service {
-    private static final ObjectMapper JSON = new ObjectMapper();
+final class SimulationServerList implements LongPollResponder.Service {
+    private static final ObjectMapper JSON_MAPPER = new ObjectMapper();
 
-    private final Sockets carrier;
-    private final Simulation world;
+    private final SocketTestbed testbed;
+    private final Simulation simulation;
     private final int relay;
-    private final Function<Integer, String> dials;
+    private final Function<Integer, String> dialAddress;
 
-    WorldList(Sockets carrier, Simulation world, int relay, Function<Integer, String> dials) {
-        this.carrier = carrier;
-        this.world = world;
+    SimulationServerList(
+            SocketTestbed testbed,
+            Simulation simulation,
+            int relay,
+            Function<Integer, String> dialAddress) {
+        this.testbed = testbed;
+        this.simulation = simulation;
         this.relay = relay;
-        this.dials = dials;
+        this.dialAddress = dialAddress;
     }
 
     @Override
-    public boolean down() {
-        return world.registry.isDown();
+    public boolean isDown() {
+        return simulation.registry.isDown();
     }
 
     @Override
     public long version() {
-        return world.registry.version();
+        return simulation.registry.version();
     }
 
     @Override
-    public ListStandIn.Answer whole() {
-        return answer(true, world.registry.currentEntries());
+    public LongPollResponder.Answer fullAnswer() {
+        return answer(true, simulation.registry.currentEntries());
     }
 
     @Override
-    public ListStandIn.Answer since(long version) {
-        return answer(false, world.registry.changesSince(version));
+    public LongPollResponder.Answer answerSince(long version) {
+        return answer(false, simulation.registry.changesSince(version));
     }
 
-    private ListStandIn.Answer answer(boolean whole, List<ServerRegistry.Entry> entries) {
-        return new ListStandIn.Answer(
-                text(list(whole, entries)).getBytes(StandardCharsets.ISO_8859_1),
-                () -> world.entriesDelivered(relay, entries));
+    private LongPollResponder.Answer answer(boolean whole, List<ServerRegistry.Entry> entries) {
+        return new LongPollResponder.Answer(
+                toJson(toDocument(whole, entries)).getBytes(StandardCharsets.ISO_8859_1),
+                () -> simulation.entriesDelivered(relay, entries));
     }
 
-    Map<String, Object> list(boolean whole, List<ServerRegistry.Entry> entries) {
-        Plan plan = world.plan;
+    Map<String, Object> toDocument(boolean whole, List<ServerRegistry.Entry> entries) {
+        Plan plan = simulation.plan;
         List<Object> hosts = new ArrayList<>();
         for (ServerRegistry.Entry e : entries) {
             Map<String, Object> host = new LinkedHashMap<>();
             host.put("host", e.server().name);
-            host.put("dial", dials.apply(e.server().index));
+            host.put("dial", dialAddress.apply(e.server().index));
             host.put("site", plan.rooms.get(e.server().room));
             host.put("class", e.server().plan.model);
             host.put("block", e.server().room);
@@ -78,19 +82,19 @@
                     "born_ms",
                     Double.isInfinite(e.startedAt())
                             ? 0
-                            : Math.round(carrier.unix(e.startedAt()) * 1000));
+                            : Math.round(testbed.toUnixSeconds(e.startedAt()) * 1000));
             hosts.add(host);
         }
         Map<String, Object> list = new LinkedHashMap<>();
-        list.put("seq", world.registry.version());
+        list.put("seq", simulation.registry.version());
         list.put("whole", whole);
         list.put("hosts", hosts);
         return list;
     }
 
-    static String text(Object json) {
+    static String toJson(Object json) {
         try {
-            return JSON.writeValueAsString(json);
+            return JSON_MAPPER.writeValueAsString(json);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
--- /dev/null
+++ b/lab/src/main/java/asterpulley/lab/sock/StartupBenchmark.java
@@ -0,0 +1,310 @@
+package asterpulley.lab.sock;
+
+import asterpulley.lab.plan.Plan;
+import asterpulley.lab.plan.RelaySettings;
+import java.io.IOException;
+import java.io.PrintStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+
+/**
+ * Measures what a whole list of servers costs a relay: how long its start takes where the list is
+ * handed to it, how long it is busy with one that discovery sends, and the memory that it keeps.
+ * Each start is a process of its own. It must end what it starts, and say so where a relay did not
+ * become ready.
+ */
+public final class StartupBenchmark implements LineConnection.Handler {
+    /** What to measure. */
+    public static final class Options {
+        public List<Integer> entries = List.of(100, 1000, 10_000);
+        public int rounds = 3, memoryMb = 128;
+        public boolean fromDiscovery = true;
+    }
+
+    /** A relay that is not ready by now is taken for one that never will be. */
+    private static final double READY_TIMEOUT_SECONDS = 30;
+
+    private static final double POLL_SECONDS = 0.005;
+
+    private final Options options;
+    private final PrintStream out;
+    private final InetAddress hostAddress;
+    private final SelectorLoop loop = new SelectorLoop();
+    private byte[] listResponse;
+    private double listSentAt, nextCallAt;
+    private String requestLine;
+    private boolean listSent;
+    private LineConnection relayConnection;
+
+    private StartupBenchmark(Options options, PrintStream out) throws IOException {
+        this.options = options;
+        this.out = out;
+        hostAddress = SocketTestbed.ownAddress();
+    }
+
+    public static Map<String, Object> measure(Options options, PrintStream out) throws IOException {
+        return new StartupBenchmark(options, out).run();
+    }
+
+    /**
+     * A list of so many servers as discovery writes it; nobody listens where they are said to be.
+     */
+    static Map<String, Object> serverList(int entries, long version) {
+        List<Object> hosts = new ArrayList<>();
+        for (int i = 0; i < entries; i++) {
+            hosts.add(
+                    RelaySettings.mapOf(
+                            "host",
+                            "feed-" + i,
+                            "dial",
+                            "127.9."
+                                    + (i >> 8 & 255)
+                                    + "."
+                                    + (1 + (i & 127))
+                                    + ":"
+                                    + (20_000 + i % 10_000),
+                            "site",
+                            "here",
+                            "class",
+                            "feed",
+                            "block",
+                            i / 100,
+                            "health",
+                            "up",
+                            "share",
+                            1.0,
+                            "born_ms",
+                            0));
+        }
+        return RelaySettings.mapOf("seq", version, "whole", true, "hosts", hosts);
+    }
+
+    /** The first call hears the whole list; that the next one comes says that it was taken. */
+    @Override
+    public void lineReceived(LineConnection conn, String line) {
+        if (line.startsWith("GET ")) {
+            requestLine = line;
+        } else if (line.isEmpty() && requestLine != null) {
+            requestLine = null;
+            relayConnection = conn;
+            if (!listSent) {
+                listSent = true;
+                listSentAt = loop.now();
+                conn.send(listResponse);
+            } else if (nextCallAt == 0) {
+                nextCallAt = loop.now();
+            }
+        }
+    }
+
+    @Override
+    public void disconnected(LineConnection conn, boolean broken) {
+        relayConnection = relayConnection == conn ? null : relayConnection;
+    }
+
+    private Map<String, Object> run() throws IOException {
+        Path folder = Files.createTempDirectory("asterpulley-starts");
+        InetSocketAddress discoveryAddress =
+                loop.listen(new InetSocketAddress(hostAddress, 0), c -> this).address;
+        List<Map<String, Object>> rows = new ArrayList<>();
+        boolean allReady = true;
+        try {
+            for (int entries : options.entries) {
+                Map<String, Object> row = RelaySettings.mapOf("entries", entries);
+                double bytes = SimulationServerList.toJson(serverList(entries, 5)).length();
+                row.put("list_bytes", bytes);
+                row.put("bytes_per_entry", bytes / entries);
+                allReady &= runRounds(folder, discoveryAddress, entries, false, row);
+                if (options.fromDiscovery) {
+                    allReady &= runRounds(folder, discoveryAddress, entries, true, row);
+                }
+                rows.add(row);
+            }
+        } finally {
+            loop.close();
+        }
+        Map<String, Object> figures = new LinkedHashMap<>();
+        figures.put("memory_mb", options.memoryMb);
+        figures.put("all_ready", allReady);
+        figures.put("starts", rows);
+        return figures;
+    }
+
+    private boolean runRounds(
+            Path folder,
+            InetSocketAddress discoveryAddress,
+            int entries,
+            boolean fromDiscovery,
+            Map<String, Object> row)
+            throws IOException {
+        String mode = fromDiscovery ? "asked" : "handed";
+        int n = options.rounds;
+        double[] readyMs = new double[n];
+        double[] appliedMs = new double[n];
+        double[] cpuMs = new double[n];
+        double[] heapMb = new double[n];
+        double[] residentMb = new double[n];
+        boolean allReady = true;
+        for (int i = 0; i < n; i++) {
+            String name = mode + entries + "-" + i;
+            InetSocketAddress relayAddress = new InetSocketAddress(hostAddress, 9_200 + i);
+            listSent = false;
+            listSentAt = nextCallAt = 0;
+            listResponse = httpResponse(serverList(entries, 5));
+            double startedAt = loop.now();
+            RelayProcess relay =
+                    RelayProcess.start(
+                            folder,
+                            name,
+                            relayConfig(
+                                    relayAddress,
+                                    fromDiscovery ? discoveryAddress : null,
+                                    fromDiscovery ? 1 : entries),
+                            options.memoryMb,
+                            relayAddress);
+            try {
+                boolean up =
+                        awaitReady(relayAddress)
+                                && (!fromDiscovery
+                                        || runUntil(() -> nextCallAt > 0, READY_TIMEOUT_SECONDS));
+                allReady &= up && relay.isAlive();
+                readyMs[i] = up ? (loop.now() - startedAt) * 1e3 : Double.NaN;
+                appliedMs[i] = fromDiscovery && up ? (nextCallAt - listSentAt) * 1e3 : Double.NaN;
+                cpuMs[i] = up ? relay.cpuSeconds() * 1e3 : Double.NaN;
+                heapMb[i] =
+                        up
+                                ? Math.min(relay.heapAfterGc(), relay.heapAfterGc()) / (1 << 20)
+                                : Double.NaN;
+                residentMb[i] = up ? relay.residentBytes() / (1 << 20) : Double.NaN;
+            } finally {
+                relay.kill();
+            }
+        }
+        putSpread(row, mode + "_ready_ms", readyMs);
+        putSpread(row, mode + "_cpu_ms", cpuMs);
+        putSpread(row, mode + "_heap_mb", heapMb);
+        putSpread(row, mode + "_rss_mb", residentMb);
+        if (fromDiscovery) {
+            putSpread(row, "asked_taken_ms", appliedMs);
+        }
+        out.printf(
+                Locale.ROOT,
+                "%7d entries %s: ready after %.0f ms (%.0f to %.0f), %.0f ms of processor, heap %.1f MB, resident %.0f MB%s%n",
+                entries,
+                mode,
+                row.get(mode + "_ready_ms"),
+                row.get(mode + "_ready_ms_least"),
+                row.get(mode + "_ready_ms_most"),
+                row.get(mode + "_cpu_ms"),
+                row.get(mode + "_heap_mb"),
+                row.get(mode + "_rss_mb"),
+                fromDiscovery
+                        ? String.format(
+                                Locale.ROOT,
+                                ", the answer taken in %.0f ms",
+                                row.get("asked_taken_ms"))
+                        : "");
+        return allReady;
+    }
+
+    private static byte[] httpResponse(Map<String, Object> list) {
+        String body = SimulationServerList.toJson(list);
+        return ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
+                        + body.length()
+                        + "\r\n\r\n"
+                        + body)
+                .getBytes(StandardCharsets.ISO_8859_1);
+    }
+
+    private interface Condition {
+        boolean holds();
+    }
+
+    private boolean runUntil(Condition condition, double timeoutSeconds) throws IOException {
+        double end = loop.now() + timeoutSeconds;
+        while (!condition.holds() && loop.now() < end) {
+            loop.run(Math.min(end, loop.now() + POLL_SECONDS));
+        }
+        return condition.holds();
+    }
+
+    /** Asks until it answers. */
+    private boolean awaitReady(InetSocketAddress relayAddress) throws IOException {
+        boolean[] answered = {false};
+        double end = loop.now() + READY_TIMEOUT_SECONDS;
+        while (!answered[0] && loop.now() < end) {
+            boolean[] finished = {false};
+            LineConnection connection =
+                    loop.connect(
+                            relayAddress,
+                            new LineConnection.Handler() {
+                                @Override
+                                public void connected(LineConnection conn) {
+                                    conn.sendLine("PING");
+                                }
+
+                                @Override
+                                public void lineReceived(LineConnection conn, String line) {
+                                    answered[0] |= line.equals("PONG");
+                                    finished[0] = true;
+                                }
+
+                                @Override
+                                public void disconnected(LineConnection conn, boolean broken) {
+                                    finished[0] = true;
+                                }
+                            });
+            runUntil(() -> finished[0], 1);
+            connection.close();
+            if (!answered[0]) {
+                loop.run(loop.now() + POLL_SECONDS);
+            }
+        }
+        return answered[0];
+    }
+
+    private Map<String, Object> relayConfig(
+            InetSocketAddress relayAddress, InetSocketAddress discoveryAddress, int entries) {
+        Plan plan = new Plan();
+        plan.rooms.add("here");
+        plan.roomShares.add(1.0);
+        plan.profiles.add(new Plan.ProfilePlan());
+        plan.customers.add(new Plan.CustomerPlan());
+        plan.servers.add(new Plan.ServerPlan());
+        plan.relaysPerRoom = 6_400;
+        Map<String, Object> config =
+                RelaySettings.mapOf(
+                        "name",
+                        "start",
+                        "listen",
+                        SocketTestbed.formatAddress(relayAddress),
+                        "seed",
+                        "1",
+                        "limits",
+                        RelaySettings.mapOf("memory_mb", options.memoryMb, "sockets", 8192),
+                        "known",
+                        serverList(entries, 1));
+        if (discoveryAddress != null) {
+            config.put("discovery", SocketTestbed.formatAddress(discoveryAddress));
+        }
+        config.put("settings", RelaySettings.settingsFor(plan, 0));
+        return config;
+    }
+
+    private static void putSpread(Map<String, Object> figures, String name, double[] values) {
+        double[] sorted = values.clone();
+        Arrays.sort(sorted);
+        figures.put(name, sorted[sorted.length / 2]);
+        figures.put(name + "_least", sorted[0]);
+        figures.put(name + "_most", sorted[sorted.length - 1]);
+    }
+}
--- a/lab/src/test/java/asterpulley/lab/fleet/BordersTest.java
+++ b/lab/src/test/java/asterpulley/lab/fleet/DependencyRulesTest.java
@@ -7,18 +7,18 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The borders within the laboratory. */
-class BordersTest {
+/** Checks which packages the classes of the lab may depend on. */
+class DependencyRulesTest {
     private final JavaClasses lab =
             new ClassFileImporter()
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages("asterpulley.lab");
 
     @Test
-    void onlyHollowRelaysShareCodeWithTheRelay() {
+    void onlySimulatedRelaysDependOnRelayCode() {
         noClasses()
                 .that()
-                .haveNameNotMatching("asterpulley\\.lab\\.fleet\\.Hollow(Main)?(\\$.*)?")
+                .haveNameNotMatching("asterpulley\\.lab\\.fleet\\.SimulatedRelay(sMain)?(\\$.*)?")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -31,28 +31,28 @@
     }
 
     @Test
-    void whatIsWorkedOutDoesNoInputOrOutput() {
+    void calculationsDoNoInputOrOutput() {
         noClasses()
                 .that()
                 .haveSimpleName("Schedule")
                 .or()
-                .haveSimpleName("InForce")
+                .haveSimpleName("PropagationTracker")
                 .or()
-                .haveSimpleName("Fit")
+                .haveSimpleName("LinearFit")
                 .or()
-                .haveSimpleName("Room")
+                .haveSimpleName("ProcessPlan")
                 .or()
-                .haveSimpleName("Catalog")
+                .haveSimpleName("ServerCatalog")
                 .or()
-                .haveSimpleName("Tally")
+                .haveSimpleName("TrafficCounters")
                 .or()
-                .haveSimpleName("Revisions")
+                .haveSimpleName("SettingsHistory")
                 .or()
-                .haveSimpleName("Arrivals")
+                .haveSimpleName("TunnelArrivals")
                 .or()
                 .haveSimpleName("FleetFigures")
                 .or()
-                .haveSimpleName("FleetOutcome")
+                .haveSimpleName("FleetResult")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
--- a/lab/src/test/java/asterpulley/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/asterpulley/lab/fleet/FleetTest.java
@@ -53,17 +53,17 @@
         return plan;
     }
 
-    private FleetLab play(String text) throws IOException {
-        return new FleetLab(plan(text), new PrintStream(printed)).play();
+    private FleetLab run(String text) throws IOException {
+        return new FleetLab(plan(text), new PrintStream(printed)).run();
     }
 
     @Test
     void hollowRelaysAreMeasuredBesideARealOne() throws IOException {
-        FleetLab lab = play(SMALL.formatted(6, 1));
-        boolean good = lab.verdict();
-        FleetOutcome o = lab.outcomes().get(0);
+        FleetLab lab = run(SMALL.formatted(6, 1));
+        boolean good = lab.printVerdict();
+        FleetResult o = lab.results().get(0);
         // A busy machine may leave no verdict; what was measured then still has to hold.
-        assertEquals(o.noVerdict == null, good, printed.toString());
+        assertEquals(o.noVerdictReason == null, good, printed.toString());
         assertTrue(
                 o.figure("inforce.last_ms") < 3000 && o.figure("inforce.missing") == 0,
                 printed.toString());
@@ -84,25 +84,25 @@
         assertTrue(
                 printed.toString().contains("hollow and real relays differ by"),
                 printed.toString());
-        JsonNode json = new ObjectMapper().readTree(lab.json());
+        JsonNode json = new ObjectMapper().readTree(lab.toJson());
         assertEquals(6, json.get("plays").get(0).get("by_second").get("list_calls").size());
     }
 
     @Test
     void aListThatIsToldLateMakesAnExpectationFall() throws IOException {
         FleetLab lab =
-                play(
+                run(
                         SMALL.formatted(6, 0)
                                 + "[[entry]]\nkind = \"list-late\"\nat_s = 0\nfor_s = 2\ndelay_s = 3.2\n");
-        assertFalse(lab.verdict());
-        assertTrue(lab.outcomes().get(0).figure("inforce.last_ms") >= 3200, printed.toString());
+        assertFalse(lab.printVerdict());
+        assertTrue(lab.results().get(0).figure("inforce.last_ms") >= 3200, printed.toString());
         assertTrue(printed.toString().contains("SHORT    inforce.last_ms"), printed.toString());
     }
 
     @Test
     void afterACutAllComeBackAndLearnWhatTheyMissed() throws IOException {
         FleetLab lab =
-                play(
+                run(
                         SMALL.formatted(8, 0)
                                 + """
                 [[entry]]
@@ -115,8 +115,8 @@
                 for_s = 1
                 zone = 2
                 """);
-        lab.verdict();
-        FleetOutcome o = lab.outcomes().get(0);
+        lab.printVerdict();
+        FleetResult o = lab.results().get(0);
         // Twenty calls at least in the seconds after it, and as many new connections over the run.
         assertTrue(o.figure("after.list-cut.calls_worst") >= 10, o.figures.toString());
         assertTrue(o.figure("worst.connects_per_s") >= 10, o.figures.toString());
@@ -137,9 +137,9 @@
 
     @Test
     void changedSettingsAreInForceAtEveryRelayThatStands() throws IOException {
-        FleetLab lab = play(SETTINGS);
-        lab.verdict();
-        FleetOutcome o = lab.outcomes().get(0);
+        FleetLab lab = run(SETTINGS);
+        lab.printVerdict();
+        FleetResult o = lab.results().get(0);
         assertEquals(0, o.figure("settings.missing"), o.figures.toString());
         assertTrue(
                 o.figure("settings.last_ms") > 0 && o.figure("settings.last_ms") < 5000,
@@ -155,24 +155,24 @@
     @Test
     void withoutAServiceOfSettingsNoChangeIsEverInForce() throws IOException {
         FleetLab lab =
-                play(
+                run(
                         SETTINGS.replace("length_s = 5", "length_s = 3")
                                 + "[settings]\ntold = false\n");
-        assertFalse(lab.verdict());
+        assertFalse(lab.printVerdict());
         assertTrue(printed.toString().contains("SHORT    settings.missing"), printed.toString());
     }
 
     @Test
     void relaysThatKnowNoListAskForTheWholeOne() throws IOException {
-        FleetLab lab = play(SMALL.formatted(2, 0).replace("[relays]", "[relays]\nknown = false"));
-        lab.verdict();
-        assertEquals(20, lab.outcomes().get(0).figure("whole_asked"), printed.toString());
+        FleetLab lab = run(SMALL.formatted(2, 0).replace("[relays]", "[relays]\nknown = false"));
+        lab.printVerdict();
+        assertEquals(20, lab.results().get(0).figure("whole_asked"), printed.toString());
     }
 
     @Test
     void aSizeThatDoesNotFitIsToldAndGivesNoVerdict() throws IOException {
-        FleetLab lab = play(SMALL.formatted(4, 0).replace("relays = 20", "relays = 100000"));
-        assertFalse(lab.verdict());
+        FleetLab lab = run(SMALL.formatted(4, 0).replace("relays = 20", "relays = 100000"));
+        assertFalse(lab.printVerdict());
         assertTrue(printed.toString().contains("not run, it does not fit"), printed.toString());
     }
 
@@ -183,7 +183,9 @@
             for (Path file : files.filter(f -> f.toString().endsWith(".toml")).toList()) {
                 TomlDocument sheet = TomlDocument.read(file);
                 FleetPlan plan = FleetReader.read(sheet, file.getFileName().toString());
-                if (!sheet.problems().isEmpty() || plan.expects.isEmpty() || plan.sizes.isEmpty()) {
+                if (!sheet.problems().isEmpty()
+                        || plan.expectations.isEmpty()
+                        || plan.sizes.isEmpty()) {
                     wrong.put(file.toString(), sheet.problems());
                 }
             }
@@ -215,11 +217,11 @@
     @Test
     void aPlanWithoutRealRelaysNamesNoneOfTheirFigures() {
         assertNull(
-                plan(SMALL.formatted(4, 0)).expects.stream()
+                plan(SMALL.formatted(4, 0)).expectations.stream()
                         .filter(e -> e.figure().startsWith("real."))
                         .findAny()
                         .orElse(null));
-        assertFalse(FleetFigures.known("real.cpu_percent", plan(SMALL.formatted(4, 0))));
-        assertTrue(FleetFigures.known("real.cpu_percent", plan(SMALL.formatted(4, 1))));
+        assertFalse(FleetFigures.isKnown("real.cpu_percent", plan(SMALL.formatted(4, 0))));
+        assertTrue(FleetFigures.isKnown("real.cpu_percent", plan(SMALL.formatted(4, 1))));
     }
 }
