--- a/lab/src/test/java/asterpulley/lab/sock/DeliveriesTest.java
+++ b/lab/src/test/java/asterpulley/lab/sock/DeliveryBenchmarkTest.java
@@ -18,9 +18,9 @@
  * The tools that measure deliveries and whole lists, against real relay processes, at a small size.
  */
 @Timeout(60)
-class DeliveriesTest {
-    private final ByteArrayOutputStream said = new ByteArrayOutputStream();
-    private final PrintStream out = new PrintStream(said, true, StandardCharsets.UTF_8);
+class DeliveryBenchmarkTest {
+    private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
+    private final PrintStream out = new PrintStream(printed, true, StandardCharsets.UTF_8);
 
     @SuppressWarnings("unchecked")
     private static List<Map<String, Object>> rows(Map<String, Object> figures, String name) {
@@ -32,35 +32,39 @@
     }
 
     @Test
-    void aLineHasItsSizeAndTellsWhenItWasWritten() {
-        for (int size : new int[] {Deliveries.SMALLEST, 64, 1000, Deliveries.LARGEST}) {
-            byte[] line = Deliveries.line(123_456_789_012L, size);
+    void lineHasRequestedSizeAndTimestamp() {
+        for (int size :
+                new int[] {
+                    DeliveryBenchmark.MIN_LINE_BYTES, 64, 1000, DeliveryBenchmark.MAX_LINE_BYTES
+                }) {
+            byte[] line = DeliveryBenchmark.deliveryLine(123_456_789_012L, size);
             assertEquals(size, line.length);
             String text = new String(line, StandardCharsets.ISO_8859_1);
             assertTrue(text.endsWith("x\r\n"));
             assertEquals(-1, text.substring(0, size - 2).indexOf('\n'));
-            assertEquals(123_456_789_012L, Deliveries.written(text.substring(0, size - 2)));
+            assertEquals(
+                    123_456_789_012L, DeliveryBenchmark.writtenAt(text.substring(0, size - 2)));
         }
-        assertEquals(-1, Deliveries.written("UP s"));
-        assertEquals(-1, Deliveries.written("MOVE"));
+        assertEquals(-1, DeliveryBenchmark.writtenAt("UP s"));
+        assertEquals(-1, DeliveryBenchmark.writtenAt("MOVE"));
     }
 
     @Test
-    void everyLineThatServersSendIsMeasuredThroughARealRelay() throws IOException {
-        Deliveries.Order order = new Deliveries.Order();
-        order.standing = List.of(40);
-        order.servers = List.of(20);
-        order.sizes = List.of(64, 1500);
-        order.rates = List.of(400.0);
-        order.quiet = 1.5;
-        order.seconds = 0.5;
-        order.rounds = 2;
-        order.bursts = 2;
-        Map<String, Object> figures = Deliveries.measure(order, out);
-        assertEquals(0L, figures.get("lost"), said.toString());
+    void everyDeliveredLineIsMeasured() throws IOException {
+        DeliveryBenchmark.Options options = new DeliveryBenchmark.Options();
+        options.connectionCounts = List.of(40);
+        options.serverCounts = List.of(20);
+        options.lineSizes = List.of(64, 1500);
+        options.linesPerSecond = List.of(400.0);
+        options.idleSeconds = 1.5;
+        options.seconds = 0.5;
+        options.rounds = 2;
+        options.bursts = 2;
+        Map<String, Object> figures = DeliveryBenchmark.measure(options, out);
+        assertEquals(0L, figures.get("lost"), printed.toString());
         assertEquals(2, rows(figures, "paced").size());
         for (Map<String, Object> row : rows(figures, "paced")) {
-            assertEquals(row.get("lines"), row.get("measured"), said.toString());
+            assertEquals(row.get("lines"), row.get("measured"), printed.toString());
             // Two rounds of half a second; a busy machine may keep less of the rate, never more
             // than it makes up for.
             assertTrue(figure(row, "lines") > 100 && figure(row, "lines") < 500, row.toString());
@@ -82,12 +86,12 @@
     }
 
     @Test
-    void aStartIsTimedWithTheListHandedToItAndWithOneOfDiscoverys() throws IOException {
-        Starts.Order order = new Starts.Order();
-        order.entries = List.of(300);
-        order.rounds = 1;
-        Map<String, Object> figures = Starts.measure(order, out);
-        assertEquals(true, figures.get("all_ready"), said.toString());
+    void startupIsTimedWithInitialListAndWithDiscovery() throws IOException {
+        StartupBenchmark.Options options = new StartupBenchmark.Options();
+        options.entries = List.of(300);
+        options.rounds = 1;
+        Map<String, Object> figures = StartupBenchmark.measure(options, out);
+        assertEquals(true, figures.get("all_ready"), printed.toString());
         Map<String, Object> row = rows(figures, "starts").get(0);
         assertTrue(
                 figure(row, "bytes_per_entry") > 100 && figure(row, "bytes_per_entry") < 200,
@@ -101,13 +105,14 @@
     }
 
     @Test
-    void aRelayThatCannotListenIsSaidAndLeavesNoProcessBehind() throws IOException {
-        Deliveries.Order order = new Deliveries.Order();
-        try (ServerSocket taken = new ServerSocket(Deliveries.PORT, 1, Sockets.ownAddress())) {
+    void relayThatCannotListenFailsAndLeavesNoProcess() throws IOException {
+        DeliveryBenchmark.Options options = new DeliveryBenchmark.Options();
+        try (ServerSocket taken =
+                new ServerSocket(DeliveryBenchmark.RELAY_PORT, 1, SocketTestbed.ownAddress())) {
             assertTrue(taken.isBound());
-            IOException said =
-                    assertThrows(IOException.class, () -> Deliveries.measure(order, out));
-            assertEquals("the relay ended by itself", said.getMessage());
+            IOException failure =
+                    assertThrows(IOException.class, () -> DeliveryBenchmark.measure(options, out));
+            assertEquals("the relay ended by itself", failure.getMessage());
         }
         assertEquals(0, ProcessHandle.current().children().filter(ProcessHandle::isAlive).count());
     }
--- a/lab/src/test/java/asterpulley/lab/sock/SocketsTest.java
+++ b/lab/src/test/java/asterpulley/lab/sock/SocketTestbedTest.java
@@ -23,7 +23,7 @@
 
 /** The world on sockets, against real relay processes, for a few seconds each. */
 @Timeout(90)
-class SocketsTest {
+class SocketTestbedTest {
     private static final String SHORT =
             """
             length_s = 5
@@ -48,16 +48,16 @@
         return plan;
     }
 
-    private Simulation play(String text) throws IOException {
-        Sockets sockets = new Sockets(plan(text), folder);
-        Simulation world = sockets.play();
-        assertEquals(null, sockets.trouble());
+    private Simulation run(String text) throws IOException {
+        SocketTestbed sockets = new SocketTestbed(plan(text), folder);
+        Simulation world = sockets.run();
+        assertEquals(null, sockets.failureReason());
         return world;
     }
 
     @Test
     void aRelayProcessServesAndItsProcessIsGoneAfterwards() throws IOException {
-        Simulation world = play(SHORT);
+        Simulation world = run(SHORT);
         assertEquals(List.of(), world.ruleChecker.notes());
         assertTrue(
                 world.figures.byName().get("credit.share") > 0.8,
@@ -69,7 +69,7 @@
     @Test
     void aRelayKilledWithSetupsOutCountsByWhatClientsSaw() throws IOException {
         Simulation world =
-                play(
+                run(
                         SHORT.replace("holds = 60", "holds = 60\nsetup_s = 0.3")
                                         .replace(
                                                 "lifetime_s = 3",
@@ -88,12 +88,12 @@
                 CompletableFuture.supplyAsync(
                         () -> {
                             try {
-                                return new Sockets(plan(SHORT), other).play();
+                                return new SocketTestbed(plan(SHORT), other).run();
                             } catch (IOException e) {
                                 throw new java.io.UncheckedIOException(e);
                             }
                         });
-        Simulation first = play(SHORT);
+        Simulation first = run(SHORT);
         assertEquals(List.of(), first.ruleChecker.notes());
         assertEquals(List.of(), second.get(60, TimeUnit.SECONDS).ruleChecker.notes());
     }
@@ -101,16 +101,18 @@
     @Test
     void aRelayThatEndsByItselfIsToldAndGivesNoFigures() throws IOException {
         Plan plan = plan(SHORT);
-        Sockets sockets = new Sockets(plan, folder);
+        SocketTestbed sockets = new SocketTestbed(plan, folder);
         // Its relays are told of no profile, which no relay takes.
         plan.profiles.clear();
-        assertEquals(null, sockets.play());
-        assertTrue(sockets.trouble().contains("ended by itself with status 1"), sockets.trouble());
+        assertEquals(null, sockets.run());
+        assertTrue(
+                sockets.failureReason().contains("ended by itself with status 1"),
+                sockets.failureReason());
     }
 
     @Test
     void aThreadThatIsHeldUpSaysThatItCouldNotKeepItsPace() throws IOException {
-        try (Pump pump = new Pump()) {
+        try (SelectorLoop pump = new SelectorLoop()) {
             pump.run(0.2);
             double before = pump.lateShare();
             pump.schedule(
@@ -123,31 +125,32 @@
                     });
             pump.run(1);
             assertTrue(
-                    pump.lateShare() > Math.max(before, Sockets.LATE),
+                    pump.lateShare() > Math.max(before, SocketTestbed.MAX_LATE_SHARE),
                     "late share " + pump.lateShare());
         }
     }
 
     @Test
     void theLoadToolCountsFromWhenAnOpeningWasDue() throws Exception {
-        try (Pump pump = new Pump()) {
+        try (SelectorLoop pump = new SelectorLoop()) {
             // One at a time, and each answer takes 50 ms: the tenth waits for the nine before it.
-            Pump.Listening server =
+            SelectorLoop.ListeningSocket server =
                     pump.listen(
                             new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
                             conn ->
-                                    new Conn.Ear() {
+                                    new LineConnection.Handler() {
                                         @Override
-                                        public void line(Conn on, String line) {
-                                            pump.schedule(0.05, () -> on.say("UP r"));
+                                        public void lineReceived(LineConnection on, String line) {
+                                            pump.schedule(0.05, () -> on.sendLine("UP r"));
                                         }
 
                                         @Override
-                                        public void ended(Conn on, boolean broken) {
+                                        public void disconnected(
+                                                LineConnection on, boolean broken) {
                                             // Counted by the tool.
                                         }
                                     });
-            Thread stage =
+            Thread serverThread =
                     new Thread(
                             () -> {
                                 try {
@@ -156,27 +159,29 @@
                                     return;
                                 }
                             });
-            stage.start();
-            LoadTool.Order order = new LoadTool.Order();
-            order.to = server.address;
-            order.rate = 200;
-            order.seconds = 0.2;
-            order.life = 0;
-            order.concurrency = 1;
-            LoadTool tool = LoadTool.drive(order);
+            serverThread.start();
+            LoadTool.Options options = new LoadTool.Options();
+            options.target = server.address;
+            options.rate = 200;
+            options.seconds = 0.2;
+            options.lifetime = 0;
+            options.concurrency = 1;
+            LoadTool tool = LoadTool.drive(options);
             pump.stop();
-            stage.join();
-            assertTrue(tool.opened > 10 && tool.opened == tool.meant, tool.figures().toString());
+            serverThread.join();
+            assertTrue(
+                    tool.opened > 10 && tool.opened == tool.scheduled, tool.figures().toString());
             assertTrue(
-                    tool.setups.getMaxValue() > 300_000, "coordinated omission: " + tool.figures());
-            assertTrue(tool.setups.getMinValue() >= 45_000, tool.figures().toString());
+                    tool.setupTimes.getMaxValue() > 300_000,
+                    "coordinated omission: " + tool.figures());
+            assertTrue(tool.setupTimes.getMinValue() >= 45_000, tool.figures().toString());
         }
     }
 
     @Test
     void addressesAreThisProcesssOwnAndOnLoopback() throws IOException {
-        assertTrue(Sockets.ownAddress().isLoopbackAddress());
-        assertNotEquals("127.0.0.1", Sockets.ownAddress().getHostAddress());
-        assertFalse(Sockets.ownAddress().isAnyLocalAddress());
+        assertTrue(SocketTestbed.ownAddress().isLoopbackAddress());
+        assertNotEquals("127.0.0.1", SocketTestbed.ownAddress().getHostAddress());
+        assertFalse(SocketTestbed.ownAddress().isAnyLocalAddress());
     }
 }
