--- a/lab/src/main/java/asterpulley/lab/fleet/ChildProcess.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ChildProcess.java
@@ -18,9 +18,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process of the laboratory itself: hollow relays, or stand-in servers. It is told what to do
- * line by line and answers each by a line of JSON. It is ended with the run, also when that is
- * broken off; no other process ever is.
+ * A process of the lab itself, running simulated relays or stub servers. It receives commands line
+ * by line and answers with lines of JSON. It is ended with this JVM, also when a run is aborted;
+ * other processes are never touched.
  */
 final class ChildProcess implements Closeable {
     private static final ObjectMapper JSON_MAPPER = new ObjectMapper();
@@ -35,12 +35,12 @@
     private final Writer commands;
     private final Path log;
 
-    /** What it said, in order; guarded by itself. */
+    /** The answers in order; also the lock that guards them and {@code ended}. */
     private final List<JsonNode> answers = new ArrayList<>();
 
     private boolean ended;
 
-    /** Starts this main class with what it is told in a file, and so much heap. */
+    /** Starts this main class with its options in a JSON file and with the given heap size. */
     ChildProcess(Path folder, String name, Class<?> main, Map<String, Object> options, int heapMb)
             throws IOException {
         Path optionsFile = folder.resolve(name + ".json");
@@ -82,7 +82,7 @@
                 }
             }
         } catch (IOException e) {
-            // Seen below as its end.
+            // The end of the process is reported by answer().
             return;
         } finally {
             synchronized (answers) {
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Its n-th answer; null where that has not come yet. Whoever waits for one of a process that
-     * ended is told so.
+     * Returns the answer with index {@code n}, or null if it has not arrived yet. Throws if the
+     * process has ended without giving it.
      */
     JsonNode answer(int n) throws IOException {
         synchronized (answers) {
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetFigures.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetFigures.java
@@ -5,13 +5,12 @@
 import java.util.Map;
 
 /**
- * The names of the figures that a fleet run gives, and which of them a line is fitted through. It
- * must never judge.
+ * The names of the figures that a fleet run reports, and of those that a line is fitted through.
  */
 final class FleetFigures {
     /**
-     * Of one relay and second while nothing but ordinary changes happens; {@code hollow.} and
-     * {@code real.} go before.
+     * Figures per relay, most of them also per second, measured while only ordinary changes happen;
+     * prefixed with {@code hollow.} for simulated relays or {@code real.} for real ones.
      */
     static final List<String> PER_RELAY =
             List.of(
@@ -29,7 +28,10 @@
                     "start_probes",
                     "tunnels_per_s");
 
-    /** What hollow relays are held against the real ones in; {@code against.} goes before. */
+    /**
+     * Figures in which simulated relays are compared with real ones; prefixed with {@code
+     * against.}.
+     */
     static final List<String> COMPARED = List.of("list_calls", "list_bytes", "probes", "messages");
 
     private static final List<String> OTHER_FIGURES =
@@ -56,8 +58,8 @@
                     "run.late_share");
 
     /**
-     * Where settings are changed: from a change until it is in force, and the bytes of a relay and
-     * second, both ways.
+     * Figures of plans that change settings: the time from a change until it is active, and the
+     * bytes per relay and second in both directions.
      */
     private static final List<String> SETTINGS_FIGURES =
             List.of(
@@ -72,7 +74,7 @@
     private static final List<String> OBSERVATION_FIGURES =
             List.of("calls_worst", "connects_worst", "bytes_worst", "whole_asked", "told_s");
 
-    /** A line is fitted through these over the sizes. */
+    /** Figures that are fitted as a linear function of the size. */
     static final List<String> FITTED =
             List.of(
                     "hollow.list_calls_per_s",
@@ -93,7 +95,7 @@
 
     private FleetFigures() {}
 
-    /** True where some run of this plan gives that figure. */
+    /** Returns whether a run of this plan reports the figure. */
     static boolean isKnown(String figure, FleetPlan plan) {
         return allNames(plan).contains(figure);
     }
@@ -114,7 +116,7 @@
         return names;
     }
 
-    /** How far hollow relays are from real ones, as a part of the real ones' figure. */
+    /** Computes the difference between simulated and real relays, relative to the real ones. */
     static void putDifferences(Map<String, Double> figures) {
         putDifference(figures, "list_calls", "list_calls_per_s");
         putDifference(figures, "list_bytes", "list_bytes_in_per_s", "list_bytes_out_per_s");
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetLab.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetLab.java
@@ -18,14 +18,13 @@
 import java.util.stream.Stream;
 
 /**
- * Plays fleet experiments, one size after the other, fits lines through what they gave and says
- * whether what was expected holds. It must give no verdict on a run that could not keep its own
- * pace, nor on a size that was not run.
+ * Runs fleet experiments size by size, fits lines through the figures and checks the expectations.
+ * There is no verdict on a run that could not keep its own pace, nor on a size that was not run.
  */
 public final class FleetLab {
     private static final double BYTES_PER_MB = 1 << 20;
 
-    /** Hollow relays stand for real ones within this part. */
+    /** Largest relative difference at which simulated relays count as like real ones. */
     static final double MAX_DIFFERENCE = 0.1;
 
     private final FleetPlan plan;
@@ -37,7 +36,7 @@
         this.out = out;
     }
 
-    /** Plays every size that fits the machine. */
+    /** Runs every size that fits on this machine. */
     public FleetLab run() throws IOException {
         UnixOperatingSystemMXBean system =
                 (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
@@ -81,8 +80,7 @@
     }
 
     /**
-     * Prints the table of each size and the lines through them; true where all that was expected
-     * holds.
+     * Prints the table of each size and the fitted lines; returns whether all expectations hold.
      */
     public boolean printVerdict() {
         boolean passed = !results.isEmpty();
@@ -148,7 +146,9 @@
                 .toList();
     }
 
-    /** By relays where their number differs, else by servers. */
+    /**
+     * Fits by the number of relays if that differs between sizes, else by the number of servers.
+     */
     private String fitVariable() {
         return measuredResults().stream().mapToInt(o -> o.size.relays()).distinct().count() > 1
                 ? "relay"
@@ -183,7 +183,7 @@
         return results;
     }
 
-    /** All figures and the series by the second. */
+    /** Returns all figures and the per-second series as JSON. */
     public byte[] toJson() throws IOException {
         return FleetReports.toJson(plan, this, fitVariable());
     }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetPlan.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 
 /**
- * What a fleet experiment asks for: sizes to play one after the other, what relays are told, a
- * timetable and what is expected of every size. Plain values, read once and never changed; all
- * times are seconds.
+ * A fleet experiment: the sizes to run one after the other, the configuration of the relays, a
+ * schedule, and the expectations for every size. Plain values, read once and then unchanged; all
+ * times are in seconds.
  */
 public final class FleetPlan {
-    /** One play: so many hollow relays over so many servers. */
+    /** One run: the numbers of simulated relays and of servers. */
     public record Size(int relays, int servers) {}
 
     /**
-     * What an entry of the timetable does. Whoever adds a watched thing adds its change here and in
+     * What a schedule entry does. A new kind of watched resource needs a kind of change here and in
      * {@link Schedule}.
      */
     public enum Kind {
@@ -38,7 +38,7 @@
         public Kind kind = Kind.CHANGE;
         public double at, duration = 5, interval = 3, stepInterval = 1, downTime = 1, delay = 1;
 
-        /** The part of all relays that one step of a roll restarts. */
+        /** The share of all relays that one step of a rolling restart covers. */
         public double stepShare = 0.1;
 
         public int zone;
@@ -50,12 +50,15 @@
     public int zones = 11, realRelays = 2, probeConnections, maxSockets = 8192, memoryMb = 64;
 
     /**
-     * Relays start with the list as of their process's start; else with none, and ask for the
-     * whole.
+     * Whether relays start with the server list as of their start; if not, they start without one
+     * and request the full list.
      */
     public boolean startsWithList = true;
 
-    /** Relays are told who tells settings; else theirs are those of their start. */
+    /**
+     * Whether relays are given a settings service; if not, they keep the settings they started
+     * with.
+     */
     public boolean watchesSettings = true;
 
     public double tunnelsPerSecond = 0.5, tunnelLifetime = 20, setupTime = 0.02, reportedLoad = 0.4;
@@ -64,7 +67,7 @@
     public final List<Entry> entries = new ArrayList<>();
     public final List<Plan.Expectation> expectations = new ArrayList<>();
 
-    /** Everything in half the time. */
+    /** Halves all times, for a quick run. */
     public void halve() {
         duration /= 2;
         settleTime /= 2;
@@ -85,8 +88,8 @@
     }
 
     /**
-     * The settings of a relay of this zone, under the platform's names, as every relay of the
-     * laboratory is told them.
+     * Returns the settings of a relay in this zone, under their external names and with the
+     * defaults of all lab relays.
      */
     Map<String, Object> relaySettings(int zone, Size size) {
         Plan plan = new Plan();
@@ -104,7 +107,10 @@
         return settings;
     }
 
-    /** A relay's configuration, hollow or real; {@code known} is the list that it starts with. */
+    /**
+     * Returns the configuration of a relay, simulated or real; {@code initialList} is the server
+     * list it starts with.
+     */
     Map<String, Object> relayConfig(
             String name,
             int number,
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetReader.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetReader.java
@@ -6,20 +6,20 @@
 import asterpulley.lab.plan.PlanReader;
 
 /**
- * Reads a fleet experiment's file into a plan. Every fault of the file is told by the sheet that it
- * comes from; what the sheet can't see is told here.
+ * Reads a fleet experiment from a TOML file into a plan. Problems of the file are collected by its
+ * {@link TomlDocument}; only checks the document cannot make are done here.
  */
 public final class FleetReader {
     private static final double MAX_SECONDS = 3600;
 
     private FleetReader() {}
 
-    /** True where this file tells sizes: then it is a fleet's, and no other experiment's. */
+    /** Returns whether the file has sizes, which only fleet experiments have. */
     public static boolean isFleet(TomlDocument document) {
         return document.root().has("size");
     }
 
-    /** Reads the whole of it; ask the sheet for its problems before the plan is used. */
+    /** Reads the whole file; check the document for problems before using the plan. */
     public static FleetPlan read(TomlDocument document, String name) {
         TomlSection root = document.root();
         FleetPlan plan = new FleetPlan();
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetReports.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetReports.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 
 /**
- * Writes what a fleet experiment gave into files: JSON for scripts, and a page that needs no
+ * Writes the results of a fleet experiment as JSON for scripts and as an HTML page that needs no
  * network.
  */
 final class FleetReports {
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetResult.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetResult.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What one size of a fleet experiment gave, and which expectations held. */
+/** The figures of one size of a fleet experiment, checked against the expectations. */
 final class FleetResult {
     final FleetPlan.Size size;
     final Map<String, Double> figures = new TreeMap<>();
     final Map<String, List<Long>> perSecond = new TreeMap<>();
 
-    /** Why there is no verdict; null where there is one. */
+    /** Why there is no verdict; null if there is one. */
     String noVerdictReason;
 
     FleetResult(FleetPlan.Size size) {
@@ -26,7 +26,7 @@
         return expectation.holds(figure(expectation.figure()));
     }
 
-    /** Every expectation holds, and the run is worth a verdict. */
+    /** Returns whether the run is valid and every expectation holds. */
     boolean meetsExpectations(FleetPlan plan) {
         return noVerdictReason == null && plan.expectations.stream().allMatch(this::holds);
     }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetRun.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetRun.java
@@ -27,18 +27,18 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Plays one size: the list's service and the timetable on this thread, stand-in servers, hollow
- * relays and a few real ones in processes beside. It must end whatever it started, and never call a
- * run good in which it was late itself.
+ * Runs one size: the list service and the schedule on this thread; stub servers, simulated relays
+ * and a few real relays in processes of their own. Every process started here is ended here, and a
+ * run that was late itself is never reported as good.
  */
 final class FleetRun {
     private static final double READY_TIMEOUT_SECONDS = 60, POLL_SECONDS = 0.01;
     private static final double BYTES_PER_MB = 1 << 20;
 
-    /** What was changed so long before the end should be in force by then. */
+    /** Changes made longer than this before the end should be active by then. */
     private static final double ACTIVATION_SECONDS = 1;
 
-    /** What is changed at an entry's end is, within this, part of what has to be told after it. */
+    /** Changes made within this time after the end of a schedule entry count as caused by it. */
     private static final double SIMULTANEOUS_SECONDS = 0.1;
 
     private static final String REAL_RELAYS = "real", SERVER_LIST = "instances";
@@ -66,7 +66,7 @@
     private final List<LongPollService> settingsServices = new ArrayList<>();
     private final FleetResult result;
 
-    /** How often each child was asked for an answer. */
+    /** The number of answers requested from each child process so far. */
     private final Map<ChildProcess, Integer> requestCounts = new HashMap<>();
 
     private double listDelay;
@@ -102,11 +102,11 @@
         }
     }
 
-    // ---- Before
+    // ---- Startup
 
     private void startServers() throws IOException {
         for (int process = 0; process < processPlan.serverProcesses(); process++) {
-            // The real ones have the first for themselves.
+            // The first process is reserved for the real relays.
             int firstSimulated = plan.realRelays > 0 ? 1 : 0;
             List<String> callers =
                     new ArrayList<>(process < firstSimulated ? List.of(REAL_RELAYS) : List.of());
@@ -249,7 +249,7 @@
         clients.forEach(RealClients::start);
     }
 
-    /** The next answer of this process, while all sockets are served. */
+    /** Returns the next answer of a child process; sockets are served while waiting. */
     private JsonNode nextAnswer(ChildProcess child) throws IOException {
         int answerNumber = requestCounts.merge(child, 1, Integer::sum) - 1;
         double end = loop.now() + READY_TIMEOUT_SECONDS;
@@ -268,7 +268,7 @@
         }
     }
 
-    // ---- The timetable
+    // ---- Schedule
 
     private void runSchedule() throws IOException {
         for (ChildProcess c : serverProcesses) {
@@ -341,7 +341,7 @@
         }
     }
 
-    /** Made now; the service learns of it so much later. */
+    /** Changes servers now; the list service learns of it after {@code delay} seconds. */
     private void changeServers(
             List<Integer> serverNumbers,
             ServerCatalog.Health newHealth,
@@ -374,7 +374,9 @@
         }
     }
 
-    /** Relays stand in their processes by turns. */
+    /**
+     * Sends a command to simulated relays, which are distributed round-robin over the processes.
+     */
     private void commandRelays(String command, List<Integer> relayNumbers, String firstArgument)
             throws IOException {
         for (int process = 0; process < relayProcesses.size(); process++) {
@@ -404,7 +406,7 @@
 
     // ---- Figures
 
-    /** What was counted up to a moment. */
+    /** The counters at one moment. */
     private record Sample(
             double atSeconds,
             Map<TrafficCounters.Counter, Long> simulatedListTraffic,
@@ -526,8 +528,8 @@
     }
 
     /**
-     * From a change until it is in force at each relay, and what one costs in bytes; without such
-     * changes nothing.
+     * Reports the time from a settings change until it is active at each relay, and the bytes it
+     * costs; nothing if the plan changes no settings.
      */
     private void putSettingsFigures(long end) {
         if (plan.changesSettings()) {
@@ -556,7 +558,7 @@
         return answers.stream().mapToDouble(figure).sum();
     }
 
-    /** What relays of this kind used a relay and second in the calm time. */
+    /** Reports what one relay of a kind used per second during the calm period. */
     private void putRelayFigures(String kind, int relayCount, boolean ofRealRelays) {
         double relaySeconds = (calmEnd.atSeconds - calmStart.atSeconds) * relayCount;
         Map<TrafficCounters.Counter, Long> listBefore =
@@ -681,7 +683,7 @@
         result.figures.put("decision.p99_us", (double) all.getValueAtPercentile(99));
     }
 
-    /** From the timetable's start on. */
+    /** Reports the per-second series from the start of the schedule. */
     private void putPerSecondFigures(List<JsonNode> serverAnswers) {
         int skip = (int) ((runStartNanos - startNanos) / 1_000_000_000L);
         Map<String, List<Long>> list = simulatedListTraffic.countsPerSecond();
@@ -740,7 +742,7 @@
                 }
             }
         } catch (EOFException e) {
-            // All of it is read.
+            // The file is read to its end.
             return;
         }
     }
--- a/lab/src/main/java/asterpulley/lab/fleet/LinearFit.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/LinearFit.java
@@ -1,13 +1,13 @@
 package asterpulley.lab.fleet;
 
 /**
- * A straight line through measured points by least squares, with the standard error of its slope.
- * Without input or output.
+ * A least-squares line through measured points, with the standard error of its slope. Does no input
+ * or output.
  */
 record LinearFit(double slope, double standardError, double intercept) {
     /**
-     * The error is NaN where two points leave nothing to err by; all is NaN where the points don't
-     * differ.
+     * Fits a line. The error is NaN for fewer than three points; everything is NaN if all {@code x}
+     * are equal.
      */
     static LinearFit fit(double[] x, double[] y) {
         int n = x.length;
--- a/lab/src/main/java/asterpulley/lab/fleet/LongPollService.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/LongPollService.java
@@ -12,12 +12,11 @@
 import java.util.Set;
 
 /**
- * The service of the server list, or of the settings, towards one process of relays, at an address
- * of its own: many callers, each with a call that waits. It must count whatever it hears and says,
- * and tell only what its source knows.
+ * Publishes the server list, or the settings, to one process of relays on an address of its own. It
+ * serves many callers with one waiting request each and counts all traffic.
  */
 final class LongPollService implements LongPollResponder.Service {
-    /** So many are answered before sockets and timers have their turn. */
+    /** Number of callers that are answered before sockets and timers are served again. */
     private static final int ANSWERS_PER_BATCH = 64;
 
     private static final Runnable NO_CALLBACK = () -> {};
@@ -29,7 +28,7 @@
     private final InetSocketAddress address;
     private boolean down;
 
-    /** What is told: bodies, the same for all who are at one version. */
+    /** The contents to publish; callers at the same version get the same body. */
     interface Source {
         long version();
 
@@ -38,7 +37,7 @@
         byte[] changesSince(long version);
     }
 
-    /** {@code watched}: what is called for, as in {@link ListStandIn}. */
+    /** Listens for callers; {@code resource} as in {@link LongPollResponder}. */
     LongPollService(
             SelectorLoop loop,
             Source source,
@@ -104,7 +103,7 @@
         callers.remove(caller);
     }
 
-    /** Tells all whose call waits, one after the other. */
+    /** Answers all waiting requests, one after the other. */
     void answerWaiting() {
         answerBatch(new ArrayDeque<>(callers));
     }
@@ -118,7 +117,10 @@
         }
     }
 
-    /** Breaks off every call that waits, and refuses all others until it is back. */
+    /**
+     * Sets whether the service is down: waiting requests are broken off then, and further ones
+     * refused until it is up again.
+     */
     void setDown(boolean cut) {
         down = cut;
         if (cut) {
--- a/lab/src/main/java/asterpulley/lab/fleet/ProcessPlan.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ProcessPlan.java
@@ -1,25 +1,30 @@
 package asterpulley.lab.fleet;
 
 /**
- * How many processes a size needs within the machine's own limits, and why it does not fit where it
- * doesn't. Without input or output; it must never go beyond half of the memory.
+ * The number of processes that a size needs within the limits of this machine, or the reason why it
+ * does not fit. Does no input or output. At most half of the memory is used.
  */
 record ProcessPlan(int relayProcesses, int serverProcesses, int heapMb, String doesNotFitReason) {
-    /** The part of a process's descriptors that is planned for. */
+    /** The share of a process's file descriptors that may be used. */
     private static final double USABLE_DESCRIPTOR_SHARE = 0.8;
 
-    /** A hollow relay holds its list connection and its selector's two. */
+    /** Descriptors of a simulated relay: its list connection and the two of its selector. */
     private static final int OWN_DESCRIPTORS = 3;
 
     private static final int MAX_PROCESSES = 40;
 
-    /** In a process: what the JVM itself takes, and beside its heap. */
+    /**
+     * Memory per process: a JVM without its heap, a process of stub servers, the driver, and a real
+     * relay.
+     */
     private static final double JVM_OVERHEAD_MB = 120,
             SERVER_PROCESS_MB = 220,
             DRIVER_MB = 600,
             REAL_RELAY_MB = 120;
 
-    /** A relay's own, and what it keeps of each server; with room for what is not yet collected. */
+    /**
+     * Heap of a relay, and of each server it knows, including room for garbage not yet collected.
+     */
     private static final double RELAY_HEAP_MB = 0.45, SERVER_ENTRY_HEAP_MB = 0.003;
 
     static ProcessPlan of(FleetPlan plan, FleetPlan.Size size, long descriptors, double memoryMb) {
@@ -36,8 +41,8 @@
                                         800,
                                         usableDescriptors / (OWN_DESCRIPTORS + probedServers)));
         int relayProcesses = (int) Math.ceil((double) size.relays() / relaysPerProcess);
-        // Each process of relays reaches all servers at addresses of its own; real relays have a
-        // process of servers for themselves.
+        // Each process of relays connects to all servers at separate addresses; the real relays
+        // have a server process of their own.
         double descriptorsPerProcess =
                 Math.ceil((double) size.relays() / relayProcesses) * probedServers + size.servers();
         int serverProcesses =
--- a/lab/src/main/java/asterpulley/lab/fleet/PropagationTracker.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/PropagationTracker.java
@@ -8,9 +8,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Works out when changes of the list, or of the settings, were in force at relays, from when each
- * was made and when each relay came to a version. All moments are of the machine's one steady
- * clock, in nanoseconds. Without input or output.
+ * Computes how long changes of the server list, or of the settings, took to become active at the
+ * relays, from the time of each change and the times at which each relay reached a version. All
+ * times are in nanoseconds of this machine's monotonic clock. Does no input or output.
  */
 final class PropagationTracker {
     enum EventType {
@@ -20,9 +20,12 @@
         SETTINGS_CAME_TO
     }
 
-    /** A relay started or stopped, or came to this version. */
+    /** A relay started, stopped or reached a version. */
     record RelayEvent(int relay, EventType type, long version, long at) {
-        /** The same of the settings, of which a relay that starts has none that were told. */
+        /**
+         * Returns the same event for the settings; a starting relay has received no settings
+         * version yet.
+         */
         RelayEvent toSettingsEvent() {
             return new RelayEvent(
                     relay,
@@ -39,17 +42,19 @@
     private final TreeMap<Long, Change> changes = new TreeMap<>();
     final Histogram delayMicros = new Histogram(MAX_DELAY_MICROS, 3);
 
-    /** Changes that a relay which stood long enough never came to. */
+    /** Number of changes that a relay never reached although it ran long enough. */
     long missing;
 
     private final Map<Integer, List<RelayEvent>> eventsByRelay = new HashMap<>();
 
-    /** {@code counts}: false for what was made while nobody could be told. */
+    /**
+     * Records a change. {@code counted} is false for a change made while the service was cut off.
+     */
     void recordChange(long version, long at, boolean counted) {
         changes.put(version, new Change(at, counted));
     }
 
-    /** The version that the list's changes made up to then come to. */
+    /** Returns the latest version among the changes made up to this time. */
     long versionAt(long at) {
         return changes.entrySet().stream()
                 .filter(e -> e.getValue().madeAt <= at)
@@ -62,7 +67,7 @@
         eventsByRelay.computeIfAbsent(event.relay, r -> new ArrayList<>()).add(event);
     }
 
-    /** {@code end}: what was made up to then should be in force by now. */
+    /** Computes all delays. Changes made up to {@code end} should be active everywhere by now. */
     void computeDelays(long end) {
         eventsByRelay
                 .values()
@@ -110,8 +115,8 @@
     }
 
     /**
-     * Seconds from this moment until the last relay that stood until then came to this version; NaN
-     * where one never did.
+     * Returns the seconds from {@code from} until the last relay that was running reached the
+     * version; NaN if one never did.
      */
     double secondsUntilKnown(long version, long from) {
         double maxDelay = 0;
@@ -121,7 +126,7 @@
             double delay = Double.NaN;
             for (RelayEvent event : events) {
                 if (event.type == EventType.STOPPED && event.at >= from) {
-                    // What it had come to by then counts; what it might have, nobody knows.
+                    // A relay that stopped counts only if it had reached the version before.
                     running &= !Double.isNaN(delay);
                     break;
                 }
--- a/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
@@ -5,8 +5,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * The clients of one real relay beside the hollow ones: openings at the same rate as theirs, which
- * stand as long. It must never retry.
+ * The clients of one real relay: they open tunnels at the same rate and with the same lifetimes as
+ * a simulated relay's, and never retry.
  */
 final class RealClients {
     private final SelectorLoop loop;
@@ -22,7 +22,7 @@
                 new TunnelArrivals(plan.seed, number, plan.tunnelsPerSecond, plan.tunnelLifetime);
     }
 
-    /** Asks until the relay answers, as a front does. */
+    /** Probes the relay until it answers, like a frontend does. */
     void probeUntilReady() {
         loop.connect(
                 relay,
@@ -82,7 +82,7 @@
 
                     @Override
                     public void disconnected(LineConnection conn, boolean broken) {
-                        // It stood where a server or the relay went.
+                        // The server or the relay was stopped.
                     }
                 });
     }
--- a/lab/src/main/java/asterpulley/lab/fleet/Schedule.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Schedule.java
@@ -6,8 +6,9 @@
 import java.util.Random;
 
 /**
- * The timetable of a fleet run, worked out before it: what is done when, with whom, and over which
- * time what follows is looked at. Without input or output; the seed draws, never the run.
+ * The schedule of a fleet run, computed before the run: what happens when and to which servers or
+ * relays, and the periods in which the consequences are observed. Does no input or output; random
+ * choices depend only on the seed.
  */
 final class Schedule {
     enum Action {
@@ -22,24 +23,20 @@
         LATE
     }
 
-    /**
-     * One thing that is done; {@code who}: servers or relays by number, {@code by}: seconds of
-     * delay.
-     */
+    /** One action; {@code numbers} are servers or relays, {@code delay} is in seconds. */
     record Step(double at, Action action, List<Integer> numbers, double delay) {}
 
-    /** The time in which what follows an entry is looked at. */
+    /** The period in which the consequences of an entry are observed. */
     record ObservationPeriod(FleetPlan.Kind kind, double from, double until) {}
 
-    /** What follows is looked at so long at most, and not beyond the next entry that disturbs. */
+    /** Longest observation period; it also ends at the next disruptive entry. */
     private static final double MAX_OBSERVATION_SECONDS = 10;
 
     final List<Step> steps = new ArrayList<>();
     final List<ObservationPeriod> observationPeriods = new ArrayList<>();
 
     /**
-     * Until here nothing but ordinary changes happens: the figures a relay and second are of this
-     * time.
+     * Only ordinary changes happen before this time; the per-relay figures are measured up to here.
      */
     final double calmUntil;
 
@@ -140,7 +137,7 @@
         }
     }
 
-    /** Servers and relays stand in zones by turns. */
+    /** Servers and relays are distributed over the zones round-robin. */
     private static List<Integer> inZone(FleetPlan plan, int of, int zone) {
         List<Integer> in = new ArrayList<>();
         for (int i = zone; i < of; i += plan.zones) {
--- a/lab/src/main/java/asterpulley/lab/fleet/ServerCatalog.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ServerCatalog.java
@@ -11,9 +11,9 @@
 import java.util.function.IntFunction;
 
 /**
- * The list of servers as its service has it: versions, and every entry with the version that it
- * comes from. Callers that are at one version are told the same bytes, which are written once.
- * Without input or output.
+ * The server list as its service holds it: a version number, and for each entry the version that
+ * last changed it. Callers at the same version get the same bytes, which are encoded once. Does no
+ * input or output.
  */
 final class ServerCatalog {
     enum Health {
@@ -24,7 +24,7 @@
 
     private static final ObjectMapper JSON_MAPPER = new ObjectMapper();
 
-    /** Stands for no version: the whole list. */
+    /** Stands for the full list instead of the changes since a version. */
     private static final long NO_VERSION = -1;
 
     private final FleetPlan plan;
@@ -56,8 +56,8 @@
     }
 
     /**
-     * A change is a version of its own; {@code bornMs}: when it started, 0 where that did not
-     * change.
+     * Changes one server, as a new version. {@code newStartMs} is the time of its restart, or 0 if
+     * it did not restart.
      */
     long change(int server, Health newHealth, long newStartMs) {
         health[server] = newHealth;
@@ -67,7 +67,8 @@
     }
 
     /**
-     * As those are told it that reach servers so; it keeps what it wrote until the list changes.
+     * The list with the addresses at which one group of callers reaches the servers; encoded
+     * answers are cached until the list changes.
      */
     final class View implements LongPollService.Source {
         private final IntFunction<String> dialAddress;
@@ -136,7 +137,7 @@
         }
     }
 
-    /** What a relay starts with that knows no list: it asks for the whole one. */
+    /** The initial list of a relay that knows no servers and therefore requests the full list. */
     static Map<String, Object> unknownList() {
         return RelaySettings.mapOf("seq", NO_VERSION, "whole", true, "hosts", List.of());
     }
--- a/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
@@ -24,11 +24,11 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * A process of stand-in servers: each listens at one address for every process of relays, so that
- * it is known who asks, reports a load that never changes and opens whatever it is sent after the
- * same time. Told {@code gone} and {@code back} with servers by number, {@code begin}, {@code
- * count} and {@code end}. It ends with who started it. It must count all that it is asked and
- * decide nothing.
+ * A process of stub servers. Each server listens on one address per process of relays, so that
+ * traffic is counted separately; it reports a constant load and opens every tunnel after a fixed
+ * time. It reads commands line by line: {@code gone} and {@code back} with server numbers, {@code
+ * begin}, {@code count} and {@code end}. It also ends when its parent's pipe closes. It only counts
+ * and makes no decisions.
  */
 final class ServersMain {
     private static final int LINE_END_BYTES = 2;
@@ -55,7 +55,7 @@
         }
     }
 
-    /** One process of relays, and where it reaches the servers. */
+    /** One process of relays, with the addresses at which it reaches the servers. */
     private final class Caller {
         private final String name;
         private final TrafficCounters counters;
@@ -153,7 +153,7 @@
                                     commands.add(line);
                                 }
                             } catch (IOException e) {
-                                // As an end.
+                                // Treated as the end command.
                                 commands.add("end");
                             }
                             commands.add("end");
--- a/lab/src/main/java/asterpulley/lab/fleet/SettingsHistory.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/SettingsHistory.java
@@ -7,9 +7,8 @@
 import java.util.Map;
 
 /**
- * The settings as their service has them: a document and every change of it, each a version.
- * Callers that are at one version are told the same bytes, which are written once. Without input or
- * output.
+ * The settings as their service holds them: a document and its changes, one version each. Callers
+ * at the same version get the same bytes, which are encoded once. Does no input or output.
  */
 final class SettingsHistory implements LongPollService.Source {
     private static final long EPOCH = 1;
@@ -18,13 +17,13 @@
     private final Map<Long, byte[]> encodedByVersion = new HashMap<>();
     private Map<String, Object> document = Map.of();
 
-    /** Before the first change there is one version, of nothing told. */
+    /** Before the first change there is one version, with an empty document. */
     @Override
     public long version() {
         return 1 + patches.size();
     }
 
-    /** Another limit; the version that has it. */
+    /** Changes a limit and returns the new version. */
     long addChange() {
         document =
                 RelaySettings.mapOf(
--- a/lab/src/main/java/asterpulley/lab/fleet/SimulatedRelay.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/SimulatedRelay.java
@@ -15,13 +15,13 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * A relay without clients: its control part is the relay's own (the watch on the list, the probes,
- * the module behind its route, its room), on real sockets and a thread of its own. Tunnels are put
- * straight to the module at a given rate, and open and end by themselves. It must replace nothing
- * of what it measures.
+ * A relay without client connections. Its control plane is the relay's own (server list watch,
+ * probes, the load balancer module with its decisions, admission), on real sockets and a thread of
+ * its own. Tunnels are passed directly to the module at a given rate, and open and end by
+ * themselves. Nothing that is measured is replaced here.
  */
 final class SimulatedRelay implements TunnelProtocol {
-    /** What all hollow relays of a process share. */
+    /** What all simulated relays of a process share. */
     record Shared(
             MemoryManager<?> memory,
             double setupSeconds,
@@ -33,12 +33,12 @@
             LongAdder declined,
             LongAdder errors) {}
 
-    /** Hears when relays start, stop and come to a version. */
+    /** Records when relays start, stop and reach a version. */
     interface EventRecorder {
         void record(int relay, PropagationTracker.EventType type, long version);
     }
 
-    /** A tunnel as a client would ask for it. */
+    /** A tunnel request as a client would send it. */
     private record Tunnel(String id, String key, String group, double clientTimeout)
             implements TunnelRequest {
         @Override
@@ -105,12 +105,12 @@
                 });
     }
 
-    /** Its one thread, for its processor time. */
+    /** Returns the id of the relay's only thread, for its CPU time. */
     long threadId() {
         return threadId;
     }
 
-    /** Ends it as a kill would. */
+    /** Ends the relay like a kill would. */
     void stop() throws IOException {
         stopped = true;
         shared.eventRecorder.record(number, PropagationTracker.EventType.STOPPED, 0);
@@ -128,7 +128,7 @@
                         null, new Tunnel(id, id, "c" + id, shared.clientTimeout), this, loop.now());
         shared.taken.increment();
         control.registry.registerId(id);
-        // What a client's connection would take of the relay's room.
+        // Counts the socket that a client connection would take.
         control.registry.sockets++;
         if (control.admission.admit(tunnel)) {
             long decisionStart = System.nanoTime();
@@ -140,7 +140,7 @@
         }
     }
 
-    // ---- As a front
+    // ---- TunnelProtocol
 
     @Override
     public void startSetup(TunnelContext tunnel, String serverName, double timeout) {
@@ -212,7 +212,7 @@
         }
     }
 
-    /** Its client would come again, to whichever relay: here it is gone. */
+    /** The client would reconnect to any relay; here it just leaves. */
     @Override
     public void move(TunnelContext tunnel) {
         tunnel.moving = true;
--- a/lab/src/main/java/asterpulley/lab/fleet/SimulatedRelaysMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/SimulatedRelaysMain.java
@@ -31,12 +31,13 @@
 import org.glassfish.grizzly.memory.PooledMemoryManager;
 
 /**
- * A process of many hollow relays, told line by line what to do: {@code start} and {@code stop}
- * relays by number, {@code begin} the run, {@code count} what was used so far, {@code end}. It ends
- * with who started it. It must not measure what it does for itself as the relays' own.
+ * A process of many simulated relays. It reads commands line by line: {@code start} and {@code
+ * stop} with relay numbers, {@code begin} at the beginning of the run, {@code count} for the
+ * counters so far, and {@code end}. It also ends when its parent's pipe closes. Its own work must
+ * not be measured as that of the relays.
  */
 final class SimulatedRelaysMain implements SimulatedRelay.EventRecorder {
-    /** The longest decision that is told apart, in microseconds. */
+    /** The longest decision time that is told apart. */
     private static final long MAX_DECISION_MICROS = 10_000_000;
 
     private static final double PACE_CHECK_SECONDS = 0.1;
@@ -48,7 +49,10 @@
     private final Histogram decisionMicros = new ConcurrentHistogram(MAX_DECISION_MICROS, 3);
     private final SelectorLoop paceLoop = new SelectorLoop();
 
-    /** The run begins, so that the pace counts; and how late that was. */
+    /**
+     * Set when the run begins, so that lateness counts from then; and the share of time in which
+     * this process was late.
+     */
     private volatile boolean runStarted;
 
     private volatile double lateShare;
@@ -143,7 +147,7 @@
         writeAnswer(finalAnswer);
     }
 
-    /** {@code who[0]}: milliseconds over which they start. */
+    /** Starts relays, spread over {@code arguments[0]} milliseconds. */
     private void start(int[] arguments) throws IOException, InterruptedException {
         long startNanos = System.nanoTime();
         for (int i = 1; i < arguments.length; i++) {
@@ -182,7 +186,7 @@
         }
     }
 
-    /** Bytes in use after a collection. */
+    /** Returns the heap bytes in use after a collection. */
     private static double usedHeapBytes() {
         System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
--- a/lab/src/main/java/asterpulley/lab/fleet/TrafficCounters.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/TrafficCounters.java
@@ -6,13 +6,12 @@
 import java.util.Map;
 
 /**
- * Counts by the second of one kind of caller, on one thread. Without input or output; it must never
- * judge.
+ * Per-second traffic counters of one kind of caller, used by one thread. Does no input or output.
  */
 final class TrafficCounters {
     /**
-     * What is counted: calls or questions, connections, bytes from relays and to them, messages to
-     * them, whole lists, openings.
+     * What is counted: requests or probes, connections, bytes from relays, bytes to relays, answers
+     * to relays, full lists, and tunnel openings.
      */
     enum Counter {
         CALLS,
@@ -24,7 +23,7 @@
         OPENINGS
     }
 
-    /** The steady clock at second 0. */
+    /** The monotonic clock at second 0. */
     private final long startNanos;
 
     private final List<long[]> perSecond = new ArrayList<>();
@@ -47,7 +46,7 @@
         return totals[counter.ordinal()];
     }
 
-    /** By what is counted: the seconds' counts from 0 on. */
+    /** Returns the counts of each second from 0 on, by counter name. */
     Map<String, List<Long>> countsPerSecond() {
         Map<String, List<Long>> counts = new LinkedHashMap<>();
         for (Counter counter : Counter.values()) {
--- a/lab/src/main/java/asterpulley/lab/fleet/TunnelArrivals.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/TunnelArrivals.java
@@ -3,9 +3,9 @@
 import java.util.Random;
 
 /**
- * When one relay's tunnels come and how long they stand, hollow or real: drawn, since evenly spaced
- * ones that all stand as long end in step with those that come, and which server then looks
- * emptiest is that accident's. Without input or output.
+ * Draws the arrival times and lifetimes of one relay's tunnels, simulated or real. They are random
+ * because evenly spaced tunnels with equal lifetimes would end in step with new arrivals, so that
+ * the server that looks emptiest would depend on that coincidence. Does no input or output.
  */
 final class TunnelArrivals {
     private final Random random;
@@ -14,8 +14,8 @@
     private long lastNumber;
 
     /**
-     * {@code rate}: a second; {@code lifetime}: the mean, of an exponential distribution as the
-     * times between arrivals.
+     * {@code rate} is per second; {@code lifetime} is the mean. Lifetimes and the times between
+     * arrivals are exponentially distributed.
      */
     TunnelArrivals(long seed, int relay, double rate, double lifetime) {
         random = new Random(seed * 1_000_003 + relay);
@@ -28,7 +28,7 @@
         return rate > 0;
     }
 
-    /** Seconds until the next. */
+    /** Returns the seconds until the next arrival. */
     double nextGap() {
         return drawExponential() / rate;
     }
@@ -41,7 +41,7 @@
         return -Math.log(1 - random.nextDouble());
     }
 
-    /** The next tunnel's id: without pattern, as clients draw theirs. */
+    /** Returns the next tunnel's id, without a pattern, like the random ids of clients. */
     String nextId() {
         long z = ((long) relay << 32) + ++lastNumber;
         z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
--- a/lab/src/main/java/asterpulley/lab/sock/CostBenchmark.java
+++ b/lab/src/main/java/asterpulley/lab/sock/CostBenchmark.java
@@ -16,16 +16,17 @@
 import java.util.Map;
 
 /**
- * Measures what a relay costs: the same load against stand-in servers directly and through one
- * relay, in turn, in one run; processor time a setup; memory a standing tunnel. Ratios are what it
- * is for: machines are noisy. It must end what it starts.
+ * Measures the overhead of a relay: runs the same load directly against stub servers and through
+ * one relay, alternating within a single run, and reports latency ratios, CPU time per setup and
+ * memory per open tunnel. Ratios are reported because absolute times vary from machine to machine.
+ * Every process started here is ended here.
  */
 public final class CostBenchmark {
     private static final int STUB_SERVERS = 5;
 
     /**
-     * For the memory, so many names stand for the same stand-ins: a relay must not decline for want
-     * of room.
+     * Minimum number of listed servers during the memory measurement. They all share the few stub
+     * servers; with fewer names the relay would decline tunnels for lack of capacity.
      */
     private static final int MIN_LISTED_SERVERS = 600;
 
@@ -39,8 +40,8 @@
     }
 
     /**
-     * A server that opens all at once and reports what it holds, far from full: what is measured is
-     * not its own.
+     * A server that opens every tunnel at once and reports a load far from full, so that its own
+     * behavior does not affect the measurement.
      */
     private static final class InstantServer {
         private static final double CAPACITY = 20_000;
@@ -76,7 +77,10 @@
         }
     }
 
-    /** {@code names}: servers in the relay's list, for which the same few stand-ins answer. */
+    /**
+     * Runs the benchmark. {@code listedServers} is the number of servers in the relay's list; the
+     * same few stub servers answer for all of them.
+     */
     public static Map<String, Object> measure(
             double rate,
             double seconds,
@@ -106,8 +110,8 @@
                             try {
                                 serverLoop.run(Double.MAX_VALUE);
                             } catch (IOException | RuntimeException e) {
-                                // The stage ends with the run; what it owed is seen by the tool as
-                                // broken.
+                                // The server thread ends with the run. Tunnels it did not answer
+                                // are counted as broken by the load tool.
                                 return;
                             }
                         });
@@ -222,7 +226,7 @@
             int rounds,
             Map<String, Object> figures)
             throws IOException {
-        // One round of each warms up and counts for nothing.
+        // One warm-up round of each kind is not counted.
         drive(servers.get(0), rate, seconds / 2, 0.2);
         drive(relayAddress, rate, seconds / 2, 0.2);
         double[] p50 = new double[rounds];
@@ -263,7 +267,7 @@
         figures.put("setups_per_core_s", 1e6 / median(cpu));
     }
 
-    /** What is in use on the heap, after a collection, with nothing standing and with many. */
+    /** Measures the heap in use after a collection, with no open tunnel and with many. */
     private void measureMemory(
             InetSocketAddress relayAddress,
             RelayProcess relay,
@@ -283,7 +287,7 @@
                                 whileOpen[0] = relay.heapAfterGc();
                                 whileOpen[1] = relay.residentBytes();
                             } catch (InterruptedException | IOException e) {
-                                // The figure stays unknown.
+                                // The figures stay NaN.
                                 return;
                             }
                         });
--- a/lab/src/main/java/asterpulley/lab/sock/DeliveryBenchmark.java
+++ b/lab/src/main/java/asterpulley/lab/sock/DeliveryBenchmark.java
@@ -19,34 +19,35 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures what a relay pays for deliveries, the lines that servers send to standing clients:
- * processor time a line by the size of a line, their rate and the number of connections; processor
- * time, probes and heap of a relay on which nothing but control passes, by servers and connections;
- * and a topic's burst, one line to each of the relay's clients at once, through the relay and
- * without it. Servers and clients have a thread each, the relay is a process of its own. It must
- * end what it starts, and say so where it could not keep its own pace or a line was lost.
+ * Measures what deliveries cost a relay. Deliveries are the lines that servers send to connected
+ * clients. Three things are measured: CPU time per line by line size, rate and number of
+ * connections; CPU time, probes and heap of a relay that carries only control traffic, by number of
+ * servers and connections; and a burst of one line to every client at once, with and without the
+ * relay. Servers and clients run in one thread each, the relay in a process of its own. Every
+ * process started here is ended here. The result reports whether the tool kept its own pace and
+ * whether lines were lost.
  */
 public final class DeliveryBenchmark {
-    /** What to measure. */
+    /** Parameters of a measurement. */
     public static final class Options {
         public List<Integer> connectionCounts = List.of(100, 1000),
                 lineSizes = List.of(64, 256, 1024, 4096);
 
-        /** Names in the relay's list; a few stand-ins answer for all of them. */
+        /** Numbers of servers in the relay's list; a few stub servers answer for all of them. */
         public List<Integer> serverCounts = List.of(5);
 
         public List<Double> linesPerSecond = List.of(5000.0);
 
         /**
-         * So long nothing is sent, to see what a relay costs that only stands: its timers and its
-         * probes.
+         * Time without deliveries, in which the cost of an idle relay (its timers and probes) is
+         * measured.
          */
         public double idleSeconds = 10;
 
         public double seconds = 1.5;
         public int rounds = 3, bursts = 5;
 
-        /** How long the measured parts take at the least, which is what bounds a run. */
+        /** Lower bound of the duration of the measured parts, used to limit a run. */
         public double minSeconds() {
             return serverCounts.size()
                     * connectionCounts.size()
@@ -57,7 +58,7 @@
         }
     }
 
-    /** The smallest line: its word, its time, its end. */
+    /** The smallest line: the command, a timestamp and the line end. */
     public static final int MIN_LINE_BYTES = 32, MAX_LINE_BYTES = 4096;
 
     static final int RELAY_PORT = 9_100;
@@ -65,15 +66,17 @@
     private static final int RELAY_MEMORY_MB = 512;
     private static final double TICK_SECONDS = 0.001;
 
-    /** So many connections are opened at once, and so much time lies between two bursts. */
+    /** Number of connections opened concurrently, and the time between two bursts. */
     private static final int CONCURRENT_CONNECTS = 50;
 
     private static final double BURST_INTERVAL_SECONDS = 0.5;
 
-    /** Servers that are used anew are sought sooner than they will be. */
+    /**
+     * Time before measuring: servers that have just come into use are probed more often at first.
+     */
     private static final double SETTLE_SECONDS = 2;
 
-    /** After this, what has not come is lost. */
+    /** Lines that have not arrived after this time count as lost. */
     private static final double LOSS_TIMEOUT_SECONDS = 5;
 
     private static final long MAX_DELAY_MICROS = 60_000_000L;
@@ -99,7 +102,10 @@
         return new DeliveryBenchmark(options, out).run();
     }
 
-    /** A line of this many bytes with its end, which tells when it was written. */
+    /**
+     * Returns a line of {@code size} bytes, including its end, that carries the time it was
+     * written.
+     */
     static byte[] deliveryLine(long nanos, int size) {
         byte[] line = new byte[Math.max(MIN_LINE_BYTES, size)];
         Arrays.fill(line, (byte) 'x');
@@ -110,15 +116,15 @@
         return line;
     }
 
-    /** When a line was written; -1 where it is no delivery. */
+    /** Returns the time at which a line was written, or -1 if the line is not a delivery. */
     static long writtenAt(String line) {
         int end = line.startsWith("D ") ? line.indexOf(' ', 2) : -1;
         return end < 0 ? -1 : Long.parseLong(line.substring(2, end));
     }
 
     /**
-     * All servers' sides, on the stage's thread: writes at the rate that is asked for, or to all at
-     * once.
+     * The server side of all connections, on the server thread. Writes lines at the requested rate,
+     * or one line to every connection at once.
      */
     private final class LineSender {
         private final List<LineConnection> connections = new ArrayList<>();
@@ -166,8 +172,8 @@
 
         private void tick() {
             double now = serverLoop.now();
-            // What fell due while this thread stood still is sent late, but not all at once in one
-            // burst.
+            // After a stall of this thread, overdue lines are sent late, but limited so that they
+            // do not form a burst.
             dueLines =
                     Math.min(
                             dueLines + linesPerSecond * (now - lastTickAt),
@@ -204,7 +210,10 @@
         private int startedCount, openCount, brokenCount;
         private long received, lastReceivedNanos;
 
-        /** {@code named}: they tell a relay which server they stand at. */
+        /**
+         * {@code sendsServerName}: the clients name to the relay the server they were connected to
+         * before.
+         */
         private ClientGroup(int size, boolean sendsServerName, InetSocketAddress... targets) {
             this.size = size;
             this.sendsServerName = sendsServerName;
@@ -327,8 +336,8 @@
                             try {
                                 serverLoop.run(Double.MAX_VALUE);
                             } catch (IOException | RuntimeException e) {
-                                // The stage ends with the run; lines that it owed are counted as
-                                // lost.
+                                // The server thread ends with the run. Lines that it did not send
+                                // count as lost.
                                 return;
                             }
                         });
@@ -433,7 +442,7 @@
                 (heap - heapBefore) / connections);
         for (double rate : options.rounds > 0 ? options.linesPerSecond : List.<Double>of()) {
             for (int size : options.lineSizes) {
-                // Half a round warms up and counts for nothing.
+                // A warm-up of half a round is not counted.
                 measurePaced(
                         clients,
                         relay,
@@ -499,8 +508,8 @@
     }
 
     /**
-     * A collection leaves some of the dead in place but for every fourth time, and what was
-     * allocated since is in it: the least of four.
+     * Returns the smallest of four heap measurements: a collection may leave garbage in place, up
+     * to every fourth one, and objects allocated since are included.
      */
     private static double minHeap(RelayProcess relay) throws IOException {
         double min = relay.heapAfterGc();
@@ -567,10 +576,10 @@
         return row;
     }
 
-    /** Until all that was sent has come. */
+    /** Waits until every line that was sent has arrived, and counts the rest as lost. */
     private void awaitDelivery(ClientGroup clients, long sentBefore, long receivedBefore)
             throws IOException {
-        // The stage may be in the middle of a tick.
+        // The server thread may be in the middle of a tick.
         runFor(5 * TICK_SECONDS);
         runUntil(
                 () -> clients.received - receivedBefore >= sender.sentLines - sentBefore,
@@ -685,7 +694,9 @@
         figures.put(name + "_most", sorted[sorted.length - 1]);
     }
 
-    /** The list of whole numbers or numbers that an option holds is not empty and within bounds. */
+    /**
+     * Returns whether a list of option values is non-empty and all values lie within the bounds.
+     */
     public static boolean allWithin(List<? extends Number> values, double min, double max) {
         return !values.isEmpty()
                 && Collections.min(values.stream().map(Number::doubleValue).toList()) >= min
--- a/lab/src/main/java/asterpulley/lab/sock/LineConnection.java
+++ b/lab/src/main/java/asterpulley/lab/sock/LineConnection.java
@@ -9,19 +9,20 @@
 import java.util.ArrayDeque;
 
 /**
- * One connection of a stand-in, in lines. What is to be written waits here, unbounded: a run is
- * bounded by its plan.
+ * A line-based connection of a simulated client or server. Pending writes are queued without a
+ * limit, since the plan of a run already bounds them.
  */
 public final class LineConnection {
-    /** Who hears what comes. */
+    /** Receives the events of a connection. */
     public interface Handler {
         default void connected(LineConnection connection) {}
 
         void lineReceived(LineConnection connection, String line);
 
         /**
-         * It ended: by a reset, or before it came up, or in order. Told once, and not for what this
-         * side ended.
+         * Called once when the connection ended without being closed by this side: after a reset, a
+         * failed connect or an orderly close by the peer. {@code broken} is false only for the
+         * orderly close.
          */
         void disconnected(LineConnection connection, boolean broken);
     }
@@ -45,7 +46,7 @@
         return closed;
     }
 
-    /** Who hears what comes from now on. */
+    /** Replaces the handler for all further events. */
     public void setHandler(Handler newHandler) {
         handler = newHandler;
     }
@@ -107,7 +108,7 @@
         }
     }
 
-    /** Says a line. */
+    /** Sends a line. */
     public void sendLine(String line) {
         send((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
@@ -140,7 +141,7 @@
         }
     }
 
-    /** Ends it once all is written. */
+    /** Closes the connection once all pending writes are sent. */
     public void closeAfterWrites() {
         closeRequested = true;
         if (pendingWrites.isEmpty()) {
@@ -158,12 +159,12 @@
                 channel.close();
             }
         } catch (IOException e) {
-            // It is not to be used again in any case.
+            // The channel is not used again in any case.
             return;
         }
     }
 
-    /** Ends it so that the other side sees it broken. */
+    /** Closes the connection with a TCP reset. */
     public void reset() {
         if (closed) {
             return;
@@ -171,7 +172,7 @@
         try {
             channel.setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException e) {
-            // Already broken.
+            // The connection is already broken.
             close();
             return;
         }
--- a/lab/src/main/java/asterpulley/lab/sock/LoadTool.java
+++ b/lab/src/main/java/asterpulley/lab/sock/LoadTool.java
@@ -11,12 +11,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Drives any address that speaks the line protocol, a relay or a server, at a stated rate: openings
- * are due at times drawn before, and the time of each counts from then, so that a slow answer can't
- * hide those behind it. It must stop by itself, and say so where it could not keep its rate.
+ * Generates load at a given rate against any address that speaks the line protocol, a relay or a
+ * server. Opening times are drawn in advance and each latency counts from the scheduled time, so
+ * that a slow answer cannot hide the delay of later requests (coordinated omission). The tool stops
+ * by itself and reports when it could not keep its rate.
  */
 public final class LoadTool {
-    /** What to drive, and how. */
+    /** The target and the parameters of the load. */
     public static final class Options {
         public InetSocketAddress target;
         public double rate = 100, seconds = 10, lifetime = 1, clientTimeout = 3;
@@ -36,8 +37,8 @@
     private int openCount;
 
     /**
-     * Openings that are due but have to wait for another to end: each still counts from when it was
-     * due.
+     * Scheduled times of openings that wait for a free slot; their latency still counts from the
+     * scheduled time.
      */
     private final ArrayDeque<Double> waitingDueTimes = new ArrayDeque<>();
 
@@ -47,7 +48,7 @@
         random = LoadGenerator.newRandom(options.seed);
     }
 
-    /** Drives it to the end. */
+    /** Runs the load to its end. */
     public static LoadTool drive(Options options) throws IOException {
         LoadTool tool = new LoadTool(options);
         try (SelectorLoop pump = tool.loop) {
@@ -58,7 +59,7 @@
         return tool;
     }
 
-    /** The part of the time in which this tool was behind its own clock. */
+    /** Returns the share of time in which this tool lagged behind its own clock. */
     public double lateShare() {
         return loop.lateShare();
     }
@@ -174,7 +175,7 @@
         }
     }
 
-    /** All figures, for scripts. */
+    /** Returns all figures, for scripts. */
     public Map<String, Object> figures() {
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("meant", scheduled);
--- a/lab/src/main/java/asterpulley/lab/sock/LongPollResponder.java
+++ b/lab/src/main/java/asterpulley/lab/sock/LongPollResponder.java
@@ -8,31 +8,30 @@
 import java.util.regex.Pattern;
 
 /**
- * The words of the service of the server list, or of another thing that relays watch, towards one
- * caller: reads its calls, lets one wait for news and answers. It must tell only what its service
- * knows.
+ * Serves long-poll requests for the server list, or for another watched resource, to one caller:
+ * reads requests, holds one until there is news, and answers from its {@link Service}.
  */
 public final class LongPollResponder implements LineConnection.Handler {
-    /** What is told, and who hears of it that it was. */
+    /** Provides the versions and contents to publish, and is notified of traffic. */
     public interface Service {
         boolean isDown();
 
         long version();
 
-        /** The whole list. */
+        /** Returns the full contents. */
         Answer fullAnswer();
 
-        /** What changed after that version; nothing, where that is the version now. */
+        /** Returns the changes after {@code version}; empty if that is the current version. */
         Answer answerSince(long version);
 
-        /** So many bytes came with a call, or went out with an answer. */
+        /** Reports the bytes received with a request or sent with an answer. */
         default void recordTraffic(int in, int out) {}
 
-        /** Its connection ended. */
+        /** Called when the caller's connection ended. */
         default void callerLeft(LongPollResponder caller) {}
     }
 
-    /** An answer's body, and what is to be done once it is on its way. */
+    /** The body of an answer, and an action to run once it was sent. */
     public record Answer(byte[] body, Runnable onSent) {}
 
     private static final String SERVER_LIST = "instances";
@@ -51,7 +50,7 @@
         this(loop, service, SERVER_LIST);
     }
 
-    /** {@code watched}: what is called for, behind {@code /registry/}. */
+    /** Creates a responder for the resource {@code /registry/<resource>}. */
     public LongPollResponder(SelectorLoop loop, Service service, String resource) {
         this.loop = loop;
         this.service = service;
@@ -62,7 +61,7 @@
                                 + "(?:\\?index=([0-9]+)&wait=([0-9]+)(?:&epoch=[0-9]+)?)? HTTP/1.1");
     }
 
-    /** For a service that has an address for each caller. */
+    /** Listens on an address that serves only this caller. */
     InetSocketAddress listen(InetSocketAddress address) throws IOException {
         return loop.listen(address, conn -> this).address;
     }
@@ -111,7 +110,7 @@
         service.callerLeft(this);
     }
 
-    /** Answers the call that waits, with what is new since its version. */
+    /** Answers the waiting request, if there is one, with the changes since its version. */
     public void answerWaiting() {
         if (waitingConnection != null && !service.isDown()) {
             LineConnection conn = waitingConnection;
@@ -120,7 +119,7 @@
         }
     }
 
-    /** Breaks off the call that waits. */
+    /** Resets the connection of the waiting request. */
     public void dropWaiting() {
         if (waitingConnection != null) {
             waitingConnection.reset();
--- a/lab/src/main/java/asterpulley/lab/sock/RelayConfig.java
+++ b/lab/src/main/java/asterpulley/lab/sock/RelayConfig.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Writes what a relay process is told, under the platform's names. It must say nothing that the
- * plan does not say.
+ * Builds the configuration of a relay process from a plan, under the configuration's external
+ * names. It contains only what the plan states.
  */
 public final class RelayConfig {
     private RelayConfig() {}
--- a/lab/src/main/java/asterpulley/lab/sock/RelayProcess.java
+++ b/lab/src/main/java/asterpulley/lab/sock/RelayProcess.java
@@ -17,8 +17,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A real relay as a process of its own, started by this run and ended by it, also when the run is
- * broken off. It must never end a process that it did not start.
+ * A real relay in a process of its own. The process is ended with this JVM, also when a run is
+ * aborted. Processes that were not started here are never touched.
  */
 public final class RelayProcess {
     private static final Set<Process> STARTED = ConcurrentHashMap.newKeySet();
@@ -39,7 +39,7 @@
         this.address = address;
     }
 
-    /** Starts one with this configuration; it listens at that address once it is ready. */
+    /** Starts a relay with this configuration; once ready it listens on {@code address}. */
     public static RelayProcess start(
             Path folder,
             String name,
@@ -88,7 +88,7 @@
         return process.exitValue();
     }
 
-    /** Gives it another configuration, and tells it to read that. */
+    /** Replaces the configuration file and signals the relay to reload it. */
     void reload(Map<String, Object> config) throws IOException {
         Path newFile = configFile.resolveSibling(configFile.getFileName() + ".new");
         Files.writeString(newFile, SimulationServerList.toJson(config));
@@ -100,7 +100,7 @@
         runCommand("kill", "-HUP", Long.toString(process.pid()));
     }
 
-    /** Tells it to leave in order. */
+    /** Requests a graceful shutdown. */
     public void terminate() {
         process.destroy();
     }
@@ -115,7 +115,7 @@
         STARTED.remove(process);
     }
 
-    /** Resident memory in bytes, where the system tells it; else NaN. */
+    /** Returns the resident memory in bytes, or NaN if the system does not report it. */
     public double residentBytes() {
         try {
             for (String line :
@@ -125,13 +125,15 @@
                 }
             }
         } catch (IOException e) {
-            // Not told on this system, or just ended.
+            // Not available on this system, or the process has just ended.
             return Double.NaN;
         }
         return Double.NaN;
     }
 
-    /** Bytes in use on its heap after a collection, as the JDK's own tool tells. */
+    /**
+     * Returns the bytes in use on the relay's heap after a collection, as reported by {@code jcmd}.
+     */
     public double heapAfterGc() throws IOException {
         String jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd").toString();
         String pid = Long.toString(process.pid());
@@ -151,7 +153,8 @@
         String output =
                 new String(commandProcess.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         try {
-            // It has said all, and is gone in a moment: it must not be left behind either.
+            // The output is complete, so the process ends in a moment; wait for it so that no
+            // child process is left over.
             commandProcess.waitFor(5, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -159,7 +162,7 @@
         return output;
     }
 
-    /** Seconds of processor time so far. */
+    /** Returns the CPU time used so far, in seconds. */
     public double cpuSeconds() {
         return process.info().totalCpuDuration().map(d -> d.toNanos() / 1e9).orElse(Double.NaN);
     }
--- a/lab/src/main/java/asterpulley/lab/sock/SelectorLoop.java
+++ b/lab/src/main/java/asterpulley/lab/sock/SelectorLoop.java
@@ -14,9 +14,10 @@
 import java.util.function.Function;
 
 /**
- * One thread that carries the sockets and timers of a laboratory run. It shares no code with the
- * relay, so that a defect there can't hide one here. It keeps count of how late it is itself: a run
- * whose own clients and servers are late measures nothing. It must never block.
+ * A single-threaded event loop for the sockets and timers of an experiment. It shares no code with
+ * the relay, so that a defect in the relay cannot hide the same defect here. It measures its own
+ * lateness, because a run whose simulated clients and servers are late gives no valid figures. Its
+ * callbacks must never block.
  */
 public final class SelectorLoop implements Clock, Closeable {
     /** A listening socket. */
@@ -33,7 +34,7 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                // It is not to be used again in any case.
+                // The channel is not used again in any case.
                 return;
             }
         }
@@ -41,12 +42,12 @@
 
     private static final double TICK_SECONDS = 0.01;
 
-    /** So late, a beat counts as missed. */
+    /** A tick that is late by more than this counts as missed. */
     private static final double LATE_TICK_SECONDS = 0.03;
 
     private static final int ACCEPT_BACKLOG = 4096;
 
-    /** So many connections are served before timers have their turn. */
+    /** Number of selected keys that are handled before due timers run. */
     private static final int KEYS_PER_TIMER_CHECK = 64;
 
     private final Selector selector;
@@ -67,7 +68,10 @@
         return (System.nanoTime() - startNanos) / 1e9;
     }
 
-    /** Makes the time now this one; only before anything is due but the beat. */
+    /**
+     * Resets the clock to reach 0 after {@code secondsUntilZero} and drops all timers. Call this
+     * only while nothing but the tick is scheduled.
+     */
     public void resetClock(double secondsUntilZero) {
         startNanos = System.nanoTime() + (long) (secondsUntilZero * 1e9);
         timers.clear();
@@ -90,12 +94,15 @@
         timers.add(next, () -> tick(next));
     }
 
-    /** The part of the time in which this thread was behind its own clock. */
+    /** Returns the share of time in which this thread lagged behind its own clock. */
     public double lateShare() {
         return tickCount == 0 ? 0 : (double) lateTickCount / tickCount;
     }
 
-    /** Lateness counts from now on: what a start costs is not what the run does. */
+    /**
+     * Resets the lateness counters, so that the cost of starting up is not counted as lateness of
+     * the run.
+     */
     public void resetLateness() {
         tickCount = 0;
         lateTickCount = 0;
@@ -106,7 +113,7 @@
         return maxLateness;
     }
 
-    /** Runs until this time, or until it is told to stop. */
+    /** Runs until the loop's time reaches {@code end} or {@link #stop} is called. */
     public void run(double end) throws IOException {
         stopped = false;
         while (!stopped && now() < end) {
@@ -175,13 +182,12 @@
                                 .apply(connection);
             }
         } catch (IOException e) {
-            // The listening socket was closed, or no descriptor is left: whoever connected sees a
-            // reset.
+            // The listening socket was closed or file descriptors ran out; the peer sees a reset.
             return;
         }
     }
 
-    /** Listens here; port 0 for any that is free. */
+    /** Listens on {@code address}; port 0 selects any free port. */
     public ListeningSocket listen(
             InetSocketAddress address, Function<LineConnection, LineConnection.Handler> handlers)
             throws IOException {
@@ -193,7 +199,7 @@
         return new ListeningSocket(channel, (InetSocketAddress) channel.getLocalAddress());
     }
 
-    /** Connects; the ear hears whether it came up. */
+    /** Connects to {@code address}; the handler is told whether that succeeded. */
     public LineConnection connect(InetSocketAddress address, LineConnection.Handler handler) {
         SocketChannel channel = null;
         try {
--- a/lab/src/main/java/asterpulley/lab/sock/SimulatedClient.java
+++ b/lab/src/main/java/asterpulley/lab/sock/SimulatedClient.java
@@ -6,8 +6,9 @@
 import asterpulley.lab.world.Simulation;
 
 /**
- * A client on a socket, for one try: says its opening, then its messages, and counts as served only
- * the seconds whose message came back in time. It must tell the world what it saw and nothing else.
+ * A client on a socket, for a single request: sends the request and then its messages, and counts
+ * as served only those seconds whose message was answered in time. It reports to the simulation
+ * only what it observed itself.
  */
 final class SimulatedClient implements LineConnection.Handler {
     private final SocketTestbed testbed;
@@ -82,11 +83,11 @@
                 }
             }
             case "UP", "BUSY", "ERR" -> {
-                // A second answer: told as one, so that it is judged.
+                // A second answer is reported like the first, so that the rule checker sees it.
                 handleAnswer(command, line);
             }
             default -> {
-                // What a server tells of itself.
+                // Lines that a server sends about itself, such as its load.
             }
         }
     }
@@ -134,7 +135,7 @@
         }
     }
 
-    /** Ends it from this side; how many of its seconds were served. */
+    /** Closes the connection from this side and returns the number of served seconds. */
     double close(boolean broken) {
         if (!finished) {
             finished = true;
--- a/lab/src/main/java/asterpulley/lab/sock/SimulationServerList.java
+++ b/lab/src/main/java/asterpulley/lab/sock/SimulationServerList.java
@@ -14,8 +14,9 @@
 import java.util.function.Function;
 
 /**
- * The list of a world's servers as one relay is told it, at an address of its own, so that it is
- * known who was told what and when. It must tell only what the world's registry knows.
+ * The server list of a simulation as published to one relay. Each relay has an address of its own,
+ * so that the simulation knows which relay was told what and when. Only entries known to the
+ * simulation's registry are published.
  */
 final class SimulationServerList implements LongPollResponder.Service {
     private static final ObjectMapper JSON_MAPPER = new ObjectMapper();
--- a/lab/src/main/java/asterpulley/lab/sock/SocketTestbed.java
+++ b/lab/src/main/java/asterpulley/lab/sock/SocketTestbed.java
@@ -17,20 +17,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Carries a world on loopback sockets in real time: stand-in servers, server lists and clients,
- * between which stand real relay processes. Each run has an address and ports of its own. It must
- * end whatever it started, and never call a run good in which it was late itself.
+ * Runs a simulation on loopback sockets in real time: stub servers, server lists and simulated
+ * clients, with real relay processes between them. Each run has an address and ports of its own.
+ * Every process started here is ended here, and a run that was late itself is never reported as
+ * good.
  */
 public final class SocketTestbed implements Testbed {
-    /** Relays get so long to become ready. */
+    /** Time for all relays to become ready. */
     private static final double READY_TIMEOUT_SECONDS = 30;
 
     private static final double PROCESS_CHECK_SECONDS = 0.05;
 
-    /** So much slack the judge gives to clients that share a thread with all servers. */
+    /** Tolerance of the rule checker, since clients share one thread with all servers. */
     private static final double CLOCK_TOLERANCE_SECONDS = 0.1;
 
-    /** Behind its own clock for more than this part of the time, a run measured itself. */
+    /** A run that lags behind its own clock for a larger share of the time has measured itself. */
     public static final double MAX_LATE_SHARE = 0.02;
 
     private static final AtomicInteger RUN_COUNTER = new AtomicInteger();
@@ -51,7 +52,10 @@
     private final Map<String, ClientRequest> requestsById = new HashMap<>();
     private double maxResidentBytes;
 
-    /** Unix seconds at the pump's zero, and the pump's time at the world's. */
+    /**
+     * Unix time at which the loop's clock is 0, and the loop's time at which the simulation's clock
+     * is 0.
+     */
     private double loopStartUnixSeconds, simulationStart;
 
     private boolean started;
@@ -71,7 +75,10 @@
         awaitingReady = new boolean[relays.length];
     }
 
-    /** A loopback address that is this process's own: two runs side by side share none. */
+    /**
+     * Returns a loopback address derived from this process's id, so that concurrent runs do not
+     * share addresses.
+     */
     public static InetAddress ownAddress() throws IOException {
         long pid = ProcessHandle.current().pid();
         return InetAddress.getByAddress(
@@ -84,8 +91,8 @@
     }
 
     /**
-     * Plays the whole plan; the world then has the figures. Null where it could not be played; ask
-     * for the trouble.
+     * Runs the whole plan and returns the simulation with its figures, or null if the plan could
+     * not be run; see {@link #failureReason}.
      */
     public Simulation run() throws IOException {
         try {
@@ -136,8 +143,8 @@
     }
 
     /**
-     * From here on the world's time is real time from when all were ready; what was listed before
-     * was no start.
+     * Runs the simulation in real time from the moment when all relays were ready. Server states
+     * published before that moment do not count as restarts.
      */
     private void runSimulation() throws IOException {
         double startedAt = loop.now();
@@ -201,7 +208,7 @@
                 serverLists.get(r).toDocument(true, simulation.registry.currentEntries()));
     }
 
-    /** As the front does: a relay is there once it has answered. */
+    /** Probes a relay like the frontend does: it is ready once it has answered. */
     private void probeUntilReady(int r) {
         RelayProcess process = relays[r];
         loop.connect(
@@ -217,7 +224,7 @@
                         conn.close();
                         if (relays[r] == process && awaitingReady[r]) {
                             awaitingReady[r] = false;
-                            // What a start costs is not what serving costs.
+                            // The CPU time of the startup does not count as serving cost.
                             cpuSeconds[r] -= process.cpuSeconds();
                             onRelayReady(r);
                         }
@@ -242,12 +249,12 @@
                 return;
             }
         }
-        // A little later, as from a front that has just taken them in.
+        // One second of delay, like a frontend that has just noticed the relays.
         started = true;
         loop.schedule(1, loop::stop);
     }
 
-    /** Sees processes end. */
+    /** Detects relay processes that have ended. */
     private void checkProcesses() {
         for (int r = 0; r < relays.length; r++) {
             if (relays[r] != null && !relays[r].isAlive()) {
@@ -336,7 +343,7 @@
         }
     }
 
-    /** A moment of the world as all machines' clocks have it. */
+    /** Converts simulation time to Unix time, which all processes share. */
     double toUnixSeconds(double at) {
         return loopStartUnixSeconds + simulationStart + at;
     }
@@ -372,8 +379,8 @@
     }
 
     void forgetRequest(ClientRequest request) {
-        // Setups of it may still be on their way to servers; they are told apart by it for a little
-        // longer.
+        // Setups of this request may still be on their way to servers, which look the request up
+        // by its id.
         loop.schedule(10, () -> requestsById.remove(request.id()));
     }
 
--- a/lab/src/main/java/asterpulley/lab/sock/StartupBenchmark.java
+++ b/lab/src/main/java/asterpulley/lab/sock/StartupBenchmark.java
@@ -17,20 +17,20 @@
 import java.util.Map;
 
 /**
- * Measures what a whole list of servers costs a relay: how long its start takes where the list is
- * handed to it, how long it is busy with one that discovery sends, and the memory that it keeps.
- * Each start is a process of its own. It must end what it starts, and say so where a relay did not
- * become ready.
+ * Measures what a full server list costs a relay: the startup time with the list in its
+ * configuration, the time to apply a list sent by discovery, and the memory in use afterwards. Each
+ * start is a process of its own and is ended here. The result reports whether every relay became
+ * ready.
  */
 public final class StartupBenchmark implements LineConnection.Handler {
-    /** What to measure. */
+    /** Parameters of a measurement. */
     public static final class Options {
         public List<Integer> entries = List.of(100, 1000, 10_000);
         public int rounds = 3, memoryMb = 128;
         public boolean fromDiscovery = true;
     }
 
-    /** A relay that is not ready by now is taken for one that never will be. */
+    /** A relay that is not ready after this time counts as failed. */
     private static final double READY_TIMEOUT_SECONDS = 30;
 
     private static final double POLL_SECONDS = 0.005;
@@ -56,7 +56,8 @@
     }
 
     /**
-     * A list of so many servers as discovery writes it; nobody listens where they are said to be.
+     * Returns a list of {@code entries} servers as discovery writes it; nothing listens on their
+     * addresses.
      */
     static Map<String, Object> serverList(int entries, long version) {
         List<Object> hosts = new ArrayList<>();
@@ -88,7 +89,10 @@
         return RelaySettings.mapOf("seq", version, "whole", true, "hosts", hosts);
     }
 
-    /** The first call hears the whole list; that the next one comes says that it was taken. */
+    /**
+     * Answers the first request with the full list. The relay sends its next request once it has
+     * applied the list.
+     */
     @Override
     public void lineReceived(LineConnection conn, String line) {
         if (line.startsWith("GET ")) {
@@ -237,7 +241,7 @@
         return condition.holds();
     }
 
-    /** Asks until it answers. */
+    /** Probes the relay until it answers. */
     private boolean awaitReady(InetSocketAddress relayAddress) throws IOException {
         boolean[] answered = {false};
         double end = loop.now() + READY_TIMEOUT_SECONDS;
--- a/lab/src/main/java/asterpulley/lab/sock/StubServer.java
+++ b/lab/src/main/java/asterpulley/lab/sock/StubServer.java
@@ -11,8 +11,8 @@
 import java.util.Optional;
 
 /**
- * A server on a socket: reads openings, questions for load and clients' messages, and answers as
- * the world's server does. It must add nothing of its own but the words of the line protocol.
+ * A server on a socket: reads openings, load probes and client messages, and answers as the
+ * simulated server does. It adds nothing to that but the line protocol.
  */
 final class StubServer {
     private final SocketTestbed testbed;
@@ -22,14 +22,14 @@
     private final Map<String, ClientRequest> requestsById;
 
     /**
-     * One address a relay, so that it is known who asks; nothing else tells that of a question for
-     * load.
+     * One listening socket per relay, since the address is the only way to tell which relay sent a
+     * probe.
      */
     private final SelectorLoop.ListeningSocket[] sockets;
 
     private final InetSocketAddress[] addresses;
 
-    /** {@code tries}: all openings by their id. */
+    /** Listens on one address per relay. {@code requestsById} holds all requests by their id. */
     StubServer(
             SocketTestbed testbed,
             SelectorLoop loop,
@@ -70,7 +70,7 @@
         }
     }
 
-    /** A connection whose first word is still to come, or that asks for load. */
+    /** A connection that has sent no opening yet, or that only sends probes. */
     private final class NewConnection implements LineConnection.Handler {
         private final int relay;
 
@@ -112,11 +112,11 @@
 
         @Override
         public void disconnected(LineConnection conn, boolean broken) {
-            // It asked and left, or never said a word.
+            // A probe connection was closed, or nothing was sent on it.
         }
     }
 
-    /** A setup, and what stands once it opened. */
+    /** A setup, and the tunnel once it is open. */
     private final class Tunnel implements LineConnection.Handler, Setup.Reply {
         private final LineConnection connection;
         private final int relay;
--- a/lab/src/test/java/asterpulley/lab/fleet/FleetCalculationTest.java
+++ b/lab/src/test/java/asterpulley/lab/fleet/FleetCalculationTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a fleet run works out without sockets: its timetable, when changes were in force, lines
- * through figures, its room.
+ * Tests the parts of a fleet run that need no sockets: schedule, propagation times, linear fits and
+ * process planning.
  */
 class FleetCalculationTest {
     private static final FleetPlan.Size SIZE = new FleetPlan.Size(20, 12);
@@ -36,8 +36,8 @@
         assertEquals(2, exact.slope(), 1e-12);
         assertEquals(0, exact.standardError(), 1e-12);
         assertEquals(3, exact.intercept(), 1e-12);
-        // By hand: 2.9 / 5; what is left is 0.12, -0.26, 0.16 and -0.02, their squares 0.108
-        // together.
+        // Computed by hand: 2.9 / 5; the residuals are 0.12, -0.26, 0.16 and -0.02, the sum of
+        // their squares 0.108.
         LinearFit rough =
                 LinearFit.fit(new double[] {1, 2, 3, 4}, new double[] {1.2, 1.4, 2.4, 2.8});
         assertEquals(0.58, rough.slope(), 1e-9);
@@ -65,8 +65,8 @@
         f.recordEvent(
                 new PropagationTracker.RelayEvent(
                         1, PropagationTracker.EventType.CAME_TO, 4, 350 * ms));
-        // The second stops, is back with its old list, and comes to what was made while it was
-        // gone: that does not count.
+        // The second relay stops, starts again with its old list and reaches changes made while it
+        // was stopped: those do not count.
         f.recordEvent(
                 new PropagationTracker.RelayEvent(
                         2, PropagationTracker.EventType.STOPPED, 0, 150 * ms));
@@ -104,7 +104,8 @@
                 new PropagationTracker.RelayEvent(
                         2, PropagationTracker.EventType.CAME_TO, 9, 2_250_000_000L));
         assertEquals(1.25, f.secondsUntilKnown(9, 1_000_000_000L), 1e-9);
-        // One that came to it and then stopped counts; one that stopped before it could does not.
+        // A relay that reached the version before it stopped counts; one that stopped earlier does
+        // not.
         f.recordEvent(
                 new PropagationTracker.RelayEvent(5, PropagationTracker.EventType.STARTED, 1, 0));
         f.recordEvent(
@@ -258,8 +259,8 @@
                 ProcessPlan.of(plan, new FleetPlan.Size(6_400, 400), 20_000, 8_000)
                         .doesNotFitReason()
                         .contains("MB"));
-        // Real relays' connections count as well, and are not the same process's as those of hollow
-        // ones.
+        // Connections of real relays count as well, and belong to another process than those of
+        // simulated ones.
         plan.realRelays = 8;
         plan.probeConnections = 0;
         assertNull(
--- a/lab/src/test/java/asterpulley/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/asterpulley/lab/fleet/FleetTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A small fleet of hollow relays on sockets: it is measured, and its judge can fail. */
+/**
+ * Runs a small fleet of simulated relays on sockets: figures are measured, and expectations can
+ * fail.
+ */
 @Timeout(120)
 class FleetTest {
     private static final String SMALL =
@@ -62,12 +65,12 @@
         FleetLab lab = run(SMALL.formatted(6, 1));
         boolean good = lab.printVerdict();
         FleetResult o = lab.results().get(0);
-        // A busy machine may leave no verdict; what was measured then still has to hold.
+        // A busy machine may leave no verdict; what was measured still has to hold.
         assertEquals(o.noVerdictReason == null, good, printed.toString());
         assertTrue(
                 o.figure("inforce.last_ms") < 3000 && o.figure("inforce.missing") == 0,
                 printed.toString());
-        // 20 changes, each told to 20 relays; the last two may be made too close to the end.
+        // 20 changes, each published to 20 relays; the last two may come too close to the end.
         assertTrue(o.figure("inforce.count") >= 18 * 20, o.figures.toString());
         assertEquals(
                 o.figure("real.list_calls_per_s"),
@@ -117,7 +120,8 @@
                 """);
         lab.printVerdict();
         FleetResult o = lab.results().get(0);
-        // Twenty calls at least in the seconds after it, and as many new connections over the run.
+        // At least twenty requests in the seconds after the cut, and as many new connections over
+        // the run.
         assertTrue(o.figure("after.list-cut.calls_worst") >= 10, o.figures.toString());
         assertTrue(o.figure("worst.connects_per_s") >= 10, o.figures.toString());
         assertTrue(
@@ -144,7 +148,7 @@
         assertTrue(
                 o.figure("settings.last_ms") > 0 && o.figure("settings.last_ms") < 5000,
                 o.figures.toString());
-        // 16 changes; a quarter of 20 relays is away for some of them.
+        // 16 changes; a quarter of the 20 relays is stopped for some of them.
         assertTrue(o.figure("settings.count") >= 12 * 15, o.figures.toString());
         assertEquals(
                 25,
--- a/lab/src/test/java/asterpulley/lab/sock/DeliveryBenchmarkTest.java
+++ b/lab/src/test/java/asterpulley/lab/sock/DeliveryBenchmarkTest.java
@@ -14,9 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * The tools that measure deliveries and whole lists, against real relay processes, at a small size.
- */
+/** Runs the delivery and startup benchmarks against real relay processes, at a small size. */
 @Timeout(60)
 class DeliveryBenchmarkTest {
     private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
@@ -65,15 +63,15 @@
         assertEquals(2, rows(figures, "paced").size());
         for (Map<String, Object> row : rows(figures, "paced")) {
             assertEquals(row.get("lines"), row.get("measured"), printed.toString());
-            // Two rounds of half a second; a busy machine may keep less of the rate, never more
-            // than it makes up for.
+            // Two rounds of half a second. A busy machine may send fewer lines, but never more
+            // than it catches up.
             assertTrue(figure(row, "lines") > 100 && figure(row, "lines") < 500, row.toString());
             assertTrue(
                     figure(row, "p99_ms") >= figure(row, "p50_ms") && figure(row, "p50_ms") > 0,
                     row.toString());
         }
         Map<String, Object> standing = rows(figures, "standing").get(0);
-        // Twenty servers that are used are each sought every 0.4 s and a little.
+        // Each of the twenty servers in use is probed slightly less often than every 0.4 s.
         assertTrue(
                 figure(standing, "probes_per_s") > 20 && figure(standing, "probes_per_s") < 60,
                 standing.toString());
--- a/lab/src/test/java/asterpulley/lab/sock/SocketTestbedTest.java
+++ b/lab/src/test/java/asterpulley/lab/sock/SocketTestbedTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The world on sockets, against real relay processes, for a few seconds each. */
+/** Runs simulations on sockets against real relay processes, for a few seconds each. */
 @Timeout(90)
 class SocketTestbedTest {
     private static final String SHORT =
@@ -102,7 +102,7 @@
     void aRelayThatEndsByItselfIsToldAndGivesNoFigures() throws IOException {
         Plan plan = plan(SHORT);
         SocketTestbed sockets = new SocketTestbed(plan, folder);
-        // Its relays are told of no profile, which no relay takes.
+        // The relays are configured without a profile, which every relay rejects.
         plan.profiles.clear();
         assertEquals(null, sockets.run());
         assertTrue(
@@ -133,7 +133,8 @@
     @Test
     void theLoadToolCountsFromWhenAnOpeningWasDue() throws Exception {
         try (SelectorLoop pump = new SelectorLoop()) {
-            // One at a time, and each answer takes 50 ms: the tenth waits for the nine before it.
+            // One opening at a time, and each answer takes 50 ms: the tenth waits for the nine
+            // before it.
             SelectorLoop.ListeningSocket server =
                     pump.listen(
                             new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
@@ -147,7 +148,7 @@
                                         @Override
                                         public void disconnected(
                                                 LineConnection on, boolean broken) {
-                                            // Counted by the tool.
+                                            // Counted by the load tool.
                                         }
                                     });
             Thread serverThread =
