--- a/lab/src/main/java/asterpulley/lab/fleet/ChildProcess.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ChildProcess.java
@@ -100,14 +100,13 @@
      * Returns the answer with index {@code n}, or null if it has not arrived yet. Throws if the
      * process has ended without giving it.
      */
-    JsonNode answer(int n) throws IOException {
+    JsonNode answer(int index) throws IOException {
         synchronized (answers) {
-            if (answers.size() > n) {
-                return answers.get(n);
+            if (answers.size() > index) {
+                return answers.get(index);
             }
             if (ended) {
-                throw new IOException(
-                        "a process of the laboratory ended by itself; its log is " + log);
+                throw new IOException("a process of the lab ended by itself; its log is " + log);
             }
             return null;
         }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetLab.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetLab.java
@@ -188,6 +188,7 @@
         return FleetReports.toJson(plan, this, fitVariable());
     }
 
+    /** Writes the results as an HTML page. */
     public void writeHtml(Path to) throws IOException {
         FleetReports.writeHtml(plan, this, fitVariable(), to);
     }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetPlan.java
@@ -29,11 +29,13 @@
         LIST_LATE,
         ROLL;
 
+        /** Returns the name of this kind in experiment files and figures. */
         public String configName() {
             return name().toLowerCase().replace('_', '-');
         }
     }
 
+    /** One entry of the schedule; which fields apply depends on its kind. */
     public static final class Entry {
         public Kind kind = Kind.CHANGE;
         public double at, duration = 5, interval = 3, stepInterval = 1, downTime = 1, delay = 1;
@@ -83,6 +85,7 @@
         return entries.stream().anyMatch(e -> e.kind == Kind.SETTINGS);
     }
 
+    /** Returns the zone of the server or relay with this number. */
     public String zoneName(int number) {
         return "z" + (number % zones + 1);
     }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetRun.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetRun.java
@@ -34,6 +34,7 @@
 final class FleetRun {
     private static final double READY_TIMEOUT_SECONDS = 60, POLL_SECONDS = 0.01;
     private static final double BYTES_PER_MB = 1 << 20;
+    private static final int FIRST_REAL_RELAY_PORT = 9_400;
 
     /** Changes made longer than this before the end should be active by then. */
     private static final double ACTIVATION_SECONDS = 1;
@@ -110,10 +111,10 @@
             int firstSimulated = plan.realRelays > 0 ? 1 : 0;
             List<String> callers =
                     new ArrayList<>(process < firstSimulated ? List.of(REAL_RELAYS) : List.of());
-            for (int h = process - firstSimulated;
-                    process >= firstSimulated && h < processPlan.relayProcesses();
-                    h += processPlan.serverProcesses() - firstSimulated) {
-                callers.add(Integer.toString(h));
+            for (int relayProcess = process - firstSimulated;
+                    process >= firstSimulated && relayProcess < processPlan.relayProcesses();
+                    relayProcess += processPlan.serverProcesses() - firstSimulated) {
+                callers.add(Integer.toString(relayProcess));
             }
             serverProcesses.add(
                     new ChildProcess(
@@ -140,11 +141,11 @@
                     .fields()
                     .forEachRemaining(
                             e -> {
-                                String[] to = new String[result.size.servers()];
-                                for (int s = 0; s < to.length; s++) {
-                                    to[s] = e.getValue().get(s).asText();
+                                String[] addresses = new String[result.size.servers()];
+                                for (int s = 0; s < addresses.length; s++) {
+                                    addresses[s] = e.getValue().get(s).asText();
                                 }
-                                dialAddresses.put(e.getKey(), to);
+                                dialAddresses.put(e.getKey(), addresses);
                             });
         }
     }
@@ -154,29 +155,29 @@
     }
 
     private void startSimulatedRelays() throws IOException {
-        for (int h = 0; h < processPlan.relayProcesses(); h++) {
-            ServerCatalog.View page = viewFor(Integer.toString(h));
-            LongPollService list =
-                    new LongPollService(loop, page, SERVER_LIST, simulatedListTraffic, hostAddress);
-            listServices.add(list);
+        for (int process = 0; process < processPlan.relayProcesses(); process++) {
+            ServerCatalog.View view = viewFor(Integer.toString(process));
+            LongPollService listService =
+                    new LongPollService(loop, view, SERVER_LIST, simulatedListTraffic, hostAddress);
+            listServices.add(listService);
             Map<String, Object> config =
                     plan.relayConfig(
                             "h",
                             0,
                             result.size,
                             "127.0.0.1:1",
-                            list.address(),
-                            plan.startsWithList ? page.toDocument() : ServerCatalog.unknownList());
+                            listService.address(),
+                            plan.startsWithList ? view.toDocument() : ServerCatalog.unknownList());
             if (plan.watchesSettings && plan.changesSettings()) {
                 settingsServices.add(
                         new LongPollService(
                                 loop, settingsHistory, "settings", settingsTraffic, hostAddress));
-                config.put("settings_service", settingsServices.get(h).address());
+                config.put("settings_service", settingsServices.get(process).address());
             }
             relayProcesses.add(
                     new ChildProcess(
                             folder,
-                            "hollow" + h,
+                            "hollow" + process,
                             SimulatedRelaysMain.class,
                             RelaySettings.mapOf(
                                     "config",
@@ -194,7 +195,7 @@
                                     "timeout",
                                     2,
                                     "sights",
-                                    folder.resolve("sights" + h).toString()),
+                                    folder.resolve("sights" + process).toString()),
                             processPlan.heapMb()));
         }
         for (ChildProcess c : relayProcesses) {
@@ -210,30 +211,31 @@
         if (plan.realRelays == 0) {
             return;
         }
-        ServerCatalog.View page = viewFor(REAL_RELAYS);
-        LongPollService list =
-                new LongPollService(loop, page, SERVER_LIST, realListTraffic, hostAddress);
-        listServices.add(list);
-        for (int r = 0; r < plan.realRelays; r++) {
-            InetSocketAddress at = new InetSocketAddress(hostAddress, 9_400 + r);
-            String name = "real" + (r + 1);
+        ServerCatalog.View view = viewFor(REAL_RELAYS);
+        LongPollService listService =
+                new LongPollService(loop, view, SERVER_LIST, realListTraffic, hostAddress);
+        listServices.add(listService);
+        for (int relay = 0; relay < plan.realRelays; relay++) {
+            InetSocketAddress relayAddress =
+                    new InetSocketAddress(hostAddress, FIRST_REAL_RELAY_PORT + relay);
+            String name = "real" + (relay + 1);
             realRelays.add(
                     RelayProcess.start(
                             folder,
                             name,
                             plan.relayConfig(
                                     name,
-                                    result.size.relays() + r,
+                                    result.size.relays() + relay,
                                     result.size,
-                                    at.getHostString() + ":" + at.getPort(),
-                                    list.address(),
+                                    relayAddress.getHostString() + ":" + relayAddress.getPort(),
+                                    listService.address(),
                                     plan.startsWithList
-                                            ? page.toDocument()
+                                            ? view.toDocument()
                                             : ServerCatalog.unknownList()),
                             plan.memoryMb,
-                            at));
-            clients.add(new RealClients(plan, loop, at, result.size.relays() + r));
-            clients.get(r).probeUntilReady();
+                            relayAddress));
+            clients.add(new RealClients(plan, loop, relayAddress, result.size.relays() + relay));
+            clients.get(relay).probeUntilReady();
         }
         double end = loop.now() + READY_TIMEOUT_SECONDS;
         while (!clients.stream().allMatch(c -> c.ready)) {
@@ -260,7 +262,7 @@
             loop.run(loop.now() + POLL_SECONDS);
             if (loop.now() > end) {
                 throw new IOException(
-                        "a process of the laboratory did not answer in "
+                        "a process of the lab did not answer in "
                                 + READY_TIMEOUT_SECONDS
                                 + " s; its log is in "
                                 + folder);
@@ -327,14 +329,14 @@
                 case RELAYS_BACK -> commandRelays("start", step.numbers(), "0");
                 case LIST_DOWN -> {
                     listCutOff = true;
-                    listServices.forEach(l -> l.setDown(true));
+                    listServices.forEach(service -> service.setDown(true));
                 }
                 case LIST_UP -> {
                     listCutOff = false;
-                    listServices.forEach(l -> l.setDown(false));
+                    listServices.forEach(service -> service.setDown(false));
                 }
                 case LATE -> listDelay = step.delay();
-                default -> throw new IllegalStateException("nobody does " + step.action());
+                default -> throw new IllegalStateException("unknown action: " + step.action());
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -396,9 +398,9 @@
         }
     }
 
-    private static List<Integer> range(int n) {
+    private static List<Integer> range(int count) {
         List<Integer> all = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             all.add(i);
         }
         return all;
@@ -422,20 +424,25 @@
         for (ChildProcess c : relayProcesses) {
             c.send("count");
         }
-        Map<TrafficCounters.Counter, Long> ofHollow = totals(simulatedListTraffic);
-        Map<TrafficCounters.Counter, Long> ofReal = totals(realListTraffic);
+        Map<TrafficCounters.Counter, Long> simulatedTraffic = totals(simulatedListTraffic);
+        Map<TrafficCounters.Counter, Long> realTraffic = totals(realListTraffic);
         double cpu = realRelays.stream().mapToDouble(RelayProcess::cpuSeconds).sum();
         double at = System.nanoTime() / 1e9;
         return new Sample(
-                at, ofHollow, ofReal, answers(serverProcesses), answers(relayProcesses), cpu);
+                at,
+                simulatedTraffic,
+                realTraffic,
+                answers(serverProcesses),
+                answers(relayProcesses),
+                cpu);
     }
 
-    private static Map<TrafficCounters.Counter, Long> totals(TrafficCounters tally) {
-        Map<TrafficCounters.Counter, Long> all = new HashMap<>();
-        for (TrafficCounters.Counter what : TrafficCounters.Counter.values()) {
-            all.put(what, tally.total(what));
+    private static Map<TrafficCounters.Counter, Long> totals(TrafficCounters counters) {
+        Map<TrafficCounters.Counter, Long> totals = new HashMap<>();
+        for (TrafficCounters.Counter counter : TrafficCounters.Counter.values()) {
+            totals.put(counter, counters.total(counter));
         }
-        return all;
+        return totals;
     }
 
     private List<JsonNode> answers(List<ChildProcess> processes) throws IOException {
@@ -451,8 +458,8 @@
         double ownLateShare = loop.lateShare();
         Map<String, Double> figures = result.figures;
         double realHeap = 0;
-        for (RelayProcess r : realRelays) {
-            realHeap += r.heapAfterGc() / BYTES_PER_MB / realRelays.size();
+        for (RelayProcess relay : realRelays) {
+            realHeap += relay.heapAfterGc() / BYTES_PER_MB / realRelays.size();
         }
         for (ChildProcess c : relayProcesses) {
             c.send("end");
@@ -502,11 +509,11 @@
         putSettingsFigures(end);
         putObservationFigures();
         double maxLateShare = ownLateShare;
-        for (JsonNode n : serverAnswers) {
-            maxLateShare = Math.max(maxLateShare, n.get("late_share").asDouble());
+        for (JsonNode answer : serverAnswers) {
+            maxLateShare = Math.max(maxLateShare, answer.get("late_share").asDouble());
         }
-        for (JsonNode n : relayAnswers) {
-            maxLateShare = Math.max(maxLateShare, n.get("late_share").asDouble());
+        for (JsonNode answer : relayAnswers) {
+            maxLateShare = Math.max(maxLateShare, answer.get("late_share").asDouble());
         }
         figures.put("run.late_share", maxLateShare);
         double connectionsPerRelay = figures.get("hollow.probe_connections");
@@ -656,13 +663,14 @@
     }
 
     private static double serverTotal(
-            List<JsonNode> servers, TrafficCounters.Counter counter, boolean ofRealRelays) {
+            List<JsonNode> serverAnswers, TrafficCounters.Counter counter, boolean ofRealRelays) {
         double total = 0;
-        for (JsonNode node : servers) {
-            for (var fields = node.fields(); fields.hasNext(); ) {
-                var e = fields.next();
-                if (e.getValue().isObject() && e.getKey().equals(REAL_RELAYS) == ofRealRelays) {
-                    total += e.getValue().get(counter.name().toLowerCase()).asDouble();
+        for (JsonNode answer : serverAnswers) {
+            for (var fields = answer.fields(); fields.hasNext(); ) {
+                var field = fields.next();
+                if (field.getValue().isObject()
+                        && field.getKey().equals(REAL_RELAYS) == ofRealRelays) {
+                    total += field.getValue().get(counter.name().toLowerCase()).asDouble();
                 }
             }
         }
@@ -685,15 +693,15 @@
 
     /** Reports the per-second series from the start of the schedule. */
     private void putPerSecondFigures(List<JsonNode> serverAnswers) {
-        int skip = (int) ((runStartNanos - startNanos) / 1_000_000_000L);
-        Map<String, List<Long>> list = simulatedListTraffic.countsPerSecond();
-        putSeries("list_calls", list.get("calls"), skip, "worst.calls_per_s");
-        putSeries("list_connects", list.get("connects"), skip, "worst.connects_per_s");
-        putSeries("list_bytes", list.get("bytes_to"), skip, "worst.bytes_per_s");
-        putSeries("whole_lists", list.get("whole"), skip, null);
+        int firstSecond = (int) ((runStartNanos - startNanos) / 1_000_000_000L);
+        Map<String, List<Long>> listSeries = simulatedListTraffic.countsPerSecond();
+        putSeries("list_calls", listSeries.get("calls"), firstSecond, "worst.calls_per_s");
+        putSeries("list_connects", listSeries.get("connects"), firstSecond, "worst.connects_per_s");
+        putSeries("list_bytes", listSeries.get("bytes_to"), firstSecond, "worst.bytes_per_s");
+        putSeries("whole_lists", listSeries.get("whole"), firstSecond, null);
         List<Long> probes = new ArrayList<>();
-        for (JsonNode node : serverAnswers) {
-            node.get("seconds")
+        for (JsonNode answer : serverAnswers) {
+            answer.get("seconds")
                     .fields()
                     .forEachRemaining(
                             e -> {
@@ -708,14 +716,14 @@
                                 }
                             });
         }
-        putSeries("probes", probes, skip, "worst.probes_per_s");
+        putSeries("probes", probes, firstSecond, "worst.probes_per_s");
         result.figures.put(
                 "whole_asked", (double) simulatedListTraffic.total(TrafficCounters.Counter.WHOLE));
     }
 
-    private void putSeries(String name, List<Long> counts, int skip, String maxFigure) {
+    private void putSeries(String name, List<Long> counts, int firstSecond, String maxFigure) {
         List<Long> scheduled = new ArrayList<>();
-        for (int s = skip; s < skip + (int) Math.ceil(plan.duration); s++) {
+        for (int s = firstSecond; s < firstSecond + (int) Math.ceil(plan.duration); s++) {
             scheduled.add(s < counts.size() ? counts.get(s) : 0L);
         }
         result.perSecond.put(name, scheduled);
--- a/lab/src/main/java/asterpulley/lab/fleet/LongPollService.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/LongPollService.java
@@ -51,7 +51,7 @@
         address =
                 loop.listen(
                                 new InetSocketAddress(hostAddress, 0),
-                                conn -> {
+                                connection -> {
                                     counters.add(TrafficCounters.Counter.CONNECTS, 1);
                                     LongPollResponder caller =
                                             new LongPollResponder(loop, this, resource);
--- a/lab/src/main/java/asterpulley/lab/fleet/PropagationTracker.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/PropagationTracker.java
@@ -13,6 +13,7 @@
  * times are in nanoseconds of this machine's monotonic clock. Does no input or output.
  */
 final class PropagationTracker {
+    /** The kinds of event; written to a file by ordinal, so the order must not change. */
     enum EventType {
         STARTED,
         STOPPED,
@@ -35,6 +36,7 @@
         }
     }
 
+    /** A change, and whether it counts in the figures. */
     private record Change(long madeAt, boolean counted) {}
 
     private static final long MAX_DELAY_MICROS = 3_600_000_000L;
--- a/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
@@ -28,18 +28,18 @@
                 relay,
                 new LineConnection.Handler() {
                     @Override
-                    public void connected(LineConnection conn) {
-                        conn.sendLine("PING");
+                    public void connected(LineConnection connection) {
+                        connection.sendLine("PING");
                     }
 
                     @Override
-                    public void lineReceived(LineConnection conn, String line) {
-                        conn.close();
+                    public void lineReceived(LineConnection connection, String line) {
+                        connection.close();
                         ready = true;
                     }
 
                     @Override
-                    public void disconnected(LineConnection conn, boolean broken) {
+                    public void disconnected(LineConnection connection, boolean broken) {
                         if (!stopped) {
                             loop.schedule(0.05, RealClients.this::probeUntilReady);
                         }
@@ -63,25 +63,26 @@
                 relay,
                 new LineConnection.Handler() {
                     @Override
-                    public void connected(LineConnection conn) {
-                        conn.sendLine("OPEN " + id + " " + id + " c=live,t=all,d=2000,g=c" + id);
+                    public void connected(LineConnection connection) {
+                        connection.sendLine(
+                                "OPEN " + id + " " + id + " c=live,t=all,d=2000,g=c" + id);
                     }
 
                     @Override
-                    public void lineReceived(LineConnection conn, String line) {
+                    public void lineReceived(LineConnection connection, String line) {
                         if (line.startsWith("UP")) {
                             opened++;
-                            loop.schedule(arrivals.nextLifetime(), conn::close);
+                            loop.schedule(arrivals.nextLifetime(), connection::close);
                         } else if (line.startsWith("BUSY") || line.startsWith("ERR")) {
                             failed++;
-                            conn.close();
+                            connection.close();
                         } else {
-                            conn.close();
+                            connection.close();
                         }
                     }
 
                     @Override
-                    public void disconnected(LineConnection conn, boolean broken) {
+                    public void disconnected(LineConnection connection, boolean broken) {
                         // The server or the relay was stopped.
                     }
                 });
--- a/lab/src/main/java/asterpulley/lab/fleet/Schedule.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/Schedule.java
@@ -11,6 +11,7 @@
  * choices depend only on the seed.
  */
 final class Schedule {
+    /** What a step does. */
     enum Action {
         CHANGE,
         SETTINGS,
@@ -110,7 +111,7 @@
                 }
                 addObservationPeriod(plan, entry.kind, entry.at, at + entry.downTime);
             }
-            default -> throw new IllegalStateException("no such entry: " + entry.kind);
+            default -> throw new IllegalStateException("unknown kind of entry: " + entry.kind);
         }
     }
 
@@ -138,19 +139,19 @@
     }
 
     /** Servers and relays are distributed over the zones round-robin. */
-    private static List<Integer> inZone(FleetPlan plan, int of, int zone) {
-        List<Integer> in = new ArrayList<>();
-        for (int i = zone; i < of; i += plan.zones) {
-            in.add(i);
+    private static List<Integer> inZone(FleetPlan plan, int total, int zone) {
+        List<Integer> numbers = new ArrayList<>();
+        for (int i = zone; i < total; i += plan.zones) {
+            numbers.add(i);
         }
-        return in;
+        return numbers;
     }
 
     private static List<Integer> range(int from, int to) {
-        List<Integer> in = new ArrayList<>();
+        List<Integer> numbers = new ArrayList<>();
         for (int i = from; i < to; i++) {
-            in.add(i);
+            numbers.add(i);
         }
-        return in;
+        return numbers;
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/ServerCatalog.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ServerCatalog.java
@@ -16,6 +16,7 @@
  * input or output.
  */
 final class ServerCatalog {
+    /** The health of a server as the list states it. */
     enum Health {
         UP,
         DRAINING,
--- a/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
@@ -63,9 +63,9 @@
         private final InetSocketAddress[] addresses;
         private final List<Set<LineConnection>> connections = new ArrayList<>();
 
-        private Caller(String name, int servers, long zero) throws IOException {
+        private Caller(String name, int servers, long startNanos) throws IOException {
             this.name = name;
-            counters = new TrafficCounters(zero);
+            counters = new TrafficCounters(startNanos);
             sockets = new SelectorLoop.ListeningSocket[servers];
             addresses = new InetSocketAddress[servers];
             for (int s = 0; s < servers; s++) {
@@ -79,9 +79,9 @@
             sockets[server] =
                     loop.listen(
                             addresses[server],
-                            conn -> {
+                            connection -> {
                                 counters.add(TrafficCounters.Counter.CONNECTS, 1);
-                                connections.get(server).add(conn);
+                                connections.get(server).add(connection);
                                 return new ServerConnection(this, server);
                             });
             addresses[server] = sockets[server].address;
@@ -100,6 +100,7 @@
         }
     }
 
+    /** A connection from one process of relays to one server. */
     private final class ServerConnection implements LineConnection.Handler {
         private final Caller caller;
         private final int server;
@@ -110,7 +111,7 @@
         }
 
         @Override
-        public void lineReceived(LineConnection conn, String line) {
+        public void lineReceived(LineConnection connection, String line) {
             if (line.equals("STATS")) {
                 caller.counters.add(TrafficCounters.Counter.CALLS, 1);
                 caller.counters.add(
@@ -118,18 +119,18 @@
                 caller.counters.add(
                         TrafficCounters.Counter.BYTES_TO, loadReport.length() + LINE_END_BYTES);
                 caller.counters.add(TrafficCounters.Counter.ANSWERS, 1);
-                conn.sendLine(loadReport);
+                connection.sendLine(loadReport);
             } else if (line.startsWith("OPEN ")) {
                 caller.counters.add(TrafficCounters.Counter.OPENINGS, 1);
-                loop.schedule(setupSeconds, () -> conn.sendLine("UP s" + server));
+                loop.schedule(setupSeconds, () -> connection.sendLine("UP s" + server));
             } else {
-                conn.sendLine("ok " + line);
+                connection.sendLine("ok " + line);
             }
         }
 
         @Override
-        public void disconnected(LineConnection conn, boolean broken) {
-            caller.connections.get(server).remove(conn);
+        public void disconnected(LineConnection connection, boolean broken) {
+            caller.connections.get(server).remove(connection);
         }
     }
 
@@ -199,7 +200,7 @@
                 }
             }
         } catch (IOException e) {
-            throw new IllegalStateException("a server can't come back to its address", e);
+            throw new IllegalStateException("a server cannot listen on its address again", e);
         }
     }
 
--- a/lab/src/main/java/asterpulley/lab/fleet/SimulatedRelay.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/SimulatedRelay.java
@@ -197,7 +197,7 @@
 
     @Override
     public void reopen(TunnelContext tunnel) {
-        throw new IllegalStateException("nothing stood before a hollow relay started");
+        throw new IllegalStateException("a simulated relay has no tunnels to reopen");
     }
 
     @Override
--- a/lab/src/main/java/asterpulley/lab/fleet/SimulatedRelaysMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/SimulatedRelaysMain.java
@@ -128,7 +128,7 @@
                 case "stop" -> stop(arguments);
                 case "begin" -> runStarted = true;
                 case "count" -> writeAnswer(counts());
-                default -> throw new IOException("not understood: " + line);
+                default -> throw new IOException("unknown command: " + line);
             }
         }
         double finalLateShare = lateShare;
@@ -193,9 +193,9 @@
     }
 
     private Map<String, Object> counts() {
-        long cpu = 0;
-        for (SimulatedRelay h : relays.values()) {
-            cpu += Math.max(0, threads.getThreadCpuTime(h.threadId()));
+        long threadCpuNanos = 0;
+        for (SimulatedRelay relay : relays.values()) {
+            threadCpuNanos += Math.max(0, threads.getThreadCpuTime(relay.threadId()));
         }
         return RelaySettings.mapOf(
                 "at",
@@ -205,7 +205,7 @@
                 "process_cpu",
                 system.getProcessCpuTime() / 1e9,
                 "thread_cpu",
-                cpu / 1e9,
+                threadCpuNanos / 1e9,
                 "taken",
                 shared.taken().sum(),
                 "opened",
--- a/lab/src/main/java/asterpulley/lab/sock/CostBenchmark.java
+++ b/lab/src/main/java/asterpulley/lab/sock/CostBenchmark.java
@@ -22,6 +22,8 @@
  * Every process started here is ended here.
  */
 public final class CostBenchmark {
+    private static final int RELAY_PORT = 9_000;
+    private static final int RELAY_MEMORY_MB = 512;
     private static final int STUB_SERVERS = 5;
 
     /**
@@ -52,25 +54,25 @@
                 private boolean opened;
 
                 @Override
-                public void lineReceived(LineConnection conn, String line) {
+                public void lineReceived(LineConnection connection, String line) {
                     if (line.startsWith("OPEN ")) {
                         opened = true;
                         openTunnels++;
-                        conn.sendLine("UP r");
+                        connection.sendLine("UP r");
                     } else if (line.equals("STATS")) {
-                        conn.sendLine(
+                        connection.sendLine(
                                 String.format(
                                         Locale.ROOT,
                                         "PONG x0=%.5f,rif=%d",
                                         (openTunnels + 1) / CAPACITY,
                                         openTunnels + 1));
                     } else {
-                        conn.sendLine("ok " + line);
+                        connection.sendLine("ok " + line);
                     }
                 }
 
                 @Override
-                public void disconnected(LineConnection conn, boolean broken) {
+                public void disconnected(LineConnection connection, boolean broken) {
                     openTunnels -= opened ? 1 : 0;
                 }
             };
@@ -117,14 +119,14 @@
                         });
         thread.setDaemon(true);
         thread.start();
-        InetSocketAddress relayAddress = new InetSocketAddress(hostAddress, 9_000);
+        InetSocketAddress relayAddress = new InetSocketAddress(hostAddress, RELAY_PORT);
         Map<String, Object> figures = new LinkedHashMap<>();
         RelayProcess relay =
                 RelayProcess.start(
                         folder,
                         "cost",
                         relayConfig(relayAddress, listedServers),
-                        512,
+                        RELAY_MEMORY_MB,
                         relayAddress);
         try {
             awaitReady(relayAddress);
@@ -135,7 +137,7 @@
                             folder,
                             "memory",
                             relayConfig(relayAddress, Math.max(MIN_LISTED_SERVERS, listedServers)),
-                            512,
+                            RELAY_MEMORY_MB,
                             relayAddress);
             awaitReady(relayAddress);
             measureMemory(relayAddress, relay, openTunnels, figures);
@@ -186,7 +188,7 @@
                         "seed",
                         "1",
                         "limits",
-                        RelaySettings.mapOf("memory_mb", 512, "sockets", 60_000),
+                        RelaySettings.mapOf("memory_mb", RELAY_MEMORY_MB, "sockets", 60_000),
                         "known",
                         RelaySettings.mapOf("seq", 1, "whole", true, "hosts", hosts));
         config.put("settings", RelaySettings.settingsFor(plan, 0));
--- a/lab/src/main/java/asterpulley/lab/sock/DeliveryBenchmark.java
+++ b/lab/src/main/java/asterpulley/lab/sock/DeliveryBenchmark.java
@@ -98,6 +98,7 @@
         hostAddress = SocketTestbed.ownAddress();
     }
 
+    /** Runs the measurement, prints its rows and returns all figures. */
     public static Map<String, Object> measure(Options options, PrintStream out) throws IOException {
         return new DeliveryBenchmark(options, out).run();
     }
@@ -109,8 +110,8 @@
     static byte[] deliveryLine(long nanos, int size) {
         byte[] line = new byte[Math.max(MIN_LINE_BYTES, size)];
         Arrays.fill(line, (byte) 'x');
-        byte[] words = ("D " + nanos + " ").getBytes(StandardCharsets.ISO_8859_1);
-        System.arraycopy(words, 0, line, 0, words.length);
+        byte[] prefix = ("D " + nanos + " ").getBytes(StandardCharsets.ISO_8859_1);
+        System.arraycopy(prefix, 0, line, 0, prefix.length);
         line[line.length - 2] = '\r';
         line[line.length - 1] = '\n';
         return line;
@@ -141,12 +142,12 @@
                 private boolean opened;
 
                 @Override
-                public void lineReceived(LineConnection conn, String line) {
+                public void lineReceived(LineConnection connection, String line) {
                     if (line.startsWith("OPEN ")) {
                         opened = true;
-                        connections.add(conn);
+                        connections.add(connection);
                         openTunnels = connections.size();
-                        conn.sendLine("UP s");
+                        connection.sendLine("UP s");
                     } else if (line.equals("STATS")) {
                         String report =
                                 String.format(
@@ -154,16 +155,16 @@
                                         "PONG x0=%.6f,rif=%d",
                                         connections.size() / 1e6,
                                         connections.size());
-                        conn.sendLine(report);
+                        connection.sendLine(report);
                         probeBytes += "STATS".length() + report.length() + 4;
                         probes++;
                     }
                 }
 
                 @Override
-                public void disconnected(LineConnection conn, boolean broken) {
+                public void disconnected(LineConnection connection, boolean broken) {
                     if (opened) {
-                        connections.remove(conn);
+                        connections.remove(connection);
                         openTunnels = connections.size();
                     }
                 }
@@ -187,8 +188,8 @@
             }
             if (burstRequested) {
                 long burstStart = System.nanoTime();
-                for (LineConnection conn : connections) {
-                    conn.send(deliveryLine(burstStart, lineBytes));
+                for (LineConnection connection : connections) {
+                    connection.send(deliveryLine(burstStart, lineBytes));
                     sentCount++;
                 }
                 burstNanos = System.nanoTime() - burstStart;
@@ -233,7 +234,7 @@
                                 + openCount
                                 + " of "
                                 + size
-                                + " connections stand, "
+                                + " connections opened, "
                                 + brokenCount
                                 + " broke");
             }
@@ -248,11 +249,11 @@
                                 private boolean open;
 
                                 @Override
-                                public void connected(LineConnection conn) {
+                                public void connected(LineConnection connection) {
                                     String id =
                                             Long.toHexString(System.nanoTime() & 0xffffffffL)
                                                     + Integer.toHexString(number);
-                                    conn.sendLine(
+                                    connection.sendLine(
                                             "OPEN "
                                                     + id
                                                     + " "
@@ -264,7 +265,7 @@
                                 }
 
                                 @Override
-                                public void lineReceived(LineConnection conn, String line) {
+                                public void lineReceived(LineConnection connection, String line) {
                                     long at = writtenAt(line);
                                     if (at >= 0) {
                                         lastReceivedNanos = System.nanoTime();
@@ -280,13 +281,14 @@
                                         openCount++;
                                         openNext();
                                     } else {
-                                        disconnected(conn, true);
-                                        conn.close();
+                                        disconnected(connection, true);
+                                        connection.close();
                                     }
                                 }
 
                                 @Override
-                                public void disconnected(LineConnection conn, boolean wasBroken) {
+                                public void disconnected(
+                                        LineConnection connection, boolean wasBroken) {
                                     brokenCount++;
                                     openNext();
                                 }
@@ -305,6 +307,7 @@
         }
     }
 
+    /** A condition that {@link #runUntil} waits for. */
     private interface Condition {
         boolean holds();
     }
@@ -359,15 +362,15 @@
                                 relayAddress);
                 try {
                     awaitReady(relayAddress, relay);
-                    double before = minHeap(relay);
-                    double resident = relay.residentBytes();
+                    double heapBefore = minHeap(relay);
+                    double residentBefore = relay.residentBytes();
                     for (int connections : options.connectionCounts) {
                         measureConnections(
                                 relayAddress,
                                 relay,
                                 connections,
-                                before,
-                                resident,
+                                heapBefore,
+                                residentBefore,
                                 idleRows,
                                 pacedRows,
                                 burstRows);
@@ -508,8 +511,8 @@
     }
 
     /**
-     * Returns the smallest of four heap measurements: a collection may leave garbage in place, up
-     * to every fourth one, and objects allocated since are included.
+     * Returns the smallest of four heap measurements: only every fourth collection removes all
+     * garbage, and objects allocated meanwhile are included.
      */
     private static double minHeap(RelayProcess relay) throws IOException {
         double min = relay.heapAfterGc();
@@ -543,14 +546,14 @@
             sender.linesPerSecond = rate;
             runFor(seconds);
             sender.linesPerSecond = 0;
-            double took = clientLoop.now() - startedAt;
+            double elapsed = clientLoop.now() - startedAt;
             awaitDelivery(clients, sentBefore, receivedBefore);
             double cpuUsed = relay.cpuSeconds() - cpuBefore;
             long lines = Math.max(1, sender.sentLines - sentBefore);
-            cpu[i] = (cpuUsed - idleCoreShare * took) / lines * 1e6;
+            cpu[i] = (cpuUsed - idleCoreShare * elapsed) / lines * 1e6;
             totalLines += lines;
-            keptRate[i] = lines / took;
-            coreShare[i] = cpuUsed / took;
+            keptRate[i] = lines / elapsed;
+            coreShare[i] = cpuUsed / elapsed;
         }
         Map<String, Object> row =
                 RelaySettings.mapOf(
--- a/lab/src/main/java/asterpulley/lab/sock/LineConnection.java
+++ b/lab/src/main/java/asterpulley/lab/sock/LineConnection.java
@@ -27,6 +27,7 @@
         void disconnected(LineConnection connection, boolean broken);
     }
 
+    /** Bytes beyond this length are dropped from a line. */
     private static final int MAX_LINE_BYTES = 1 << 20;
 
     private final SocketChannel channel;
@@ -113,6 +114,7 @@
         send((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
+    /** Sends the bytes as they are; does nothing on a closed connection. */
     public void send(byte[] bytes) {
         if (closed) {
             return;
@@ -149,6 +151,7 @@
         }
     }
 
+    /** Closes the connection at once; pending writes are dropped and the handler is not called. */
     public void close() {
         if (closed) {
             return;
--- a/lab/src/main/java/asterpulley/lab/sock/LoadTool.java
+++ b/lab/src/main/java/asterpulley/lab/sock/LoadTool.java
@@ -51,10 +51,10 @@
     /** Runs the load to its end. */
     public static LoadTool drive(Options options) throws IOException {
         LoadTool tool = new LoadTool(options);
-        try (SelectorLoop pump = tool.loop) {
-            pump.resetClock(0.05);
-            pump.schedule(-pump.now(), () -> tool.scheduleNext(0));
-            pump.run(options.seconds + options.clientTimeout + Math.min(options.lifetime, 2));
+        try (SelectorLoop loop = tool.loop) {
+            loop.resetClock(0.05);
+            loop.schedule(-loop.now(), () -> tool.scheduleNext(0));
+            loop.run(options.seconds + options.clientTimeout + Math.min(options.lifetime, 2));
         }
         return tool;
     }
@@ -64,6 +64,7 @@
         return loop.lateShare();
     }
 
+    /** Returns whether this tool was on time often enough for its figures to be valid. */
     public boolean keptPace() {
         return lateShare() <= SocketTestbed.MAX_LATE_SHARE;
     }
@@ -95,6 +96,7 @@
         }
     }
 
+    /** One request for a tunnel, from its scheduled time until the tunnel is closed. */
     private final class Opening implements LineConnection.Handler {
         private final double dueAt;
         private final String id;
--- a/lab/src/main/java/asterpulley/lab/sock/LongPollResponder.java
+++ b/lab/src/main/java/asterpulley/lab/sock/LongPollResponder.java
@@ -46,6 +46,7 @@
     private long waitingVersion;
     private int requestCount, receivedBytes;
 
+    /** Creates a responder for the server list. */
     public LongPollResponder(SelectorLoop loop, Service service) {
         this(loop, service, SERVER_LIST);
     }
@@ -63,11 +64,11 @@
 
     /** Listens on an address that serves only this caller. */
     InetSocketAddress listen(InetSocketAddress address) throws IOException {
-        return loop.listen(address, conn -> this).address;
+        return loop.listen(address, connection -> this).address;
     }
 
     @Override
-    public void lineReceived(LineConnection conn, String line) {
+    public void lineReceived(LineConnection connection, String line) {
         receivedBytes += line.length() + LINE_END_BYTES;
         if (line.startsWith("GET ")) {
             requestLine = line;
@@ -78,14 +79,14 @@
             service.recordTraffic(receivedBytes, 0);
             receivedBytes = 0;
             if (!request.matches()) {
-                sendResponse(conn, "400 Bad Request", EMPTY_OBJECT);
+                sendResponse(connection, "400 Bad Request", EMPTY_OBJECT);
             } else if (service.isDown()) {
-                sendResponse(conn, "503 Service Unavailable", EMPTY_OBJECT);
+                sendResponse(connection, "503 Service Unavailable", EMPTY_OBJECT);
             } else if (request.group(1) == null) {
-                sendAnswer(conn, service.fullAnswer());
+                sendAnswer(connection, service.fullAnswer());
             } else {
                 waitingVersion = Long.parseLong(request.group(1));
-                waitingConnection = conn;
+                waitingConnection = connection;
                 int requestNumber = requestCount;
                 if (service.version() > waitingVersion) {
                     answerWaiting();
@@ -103,8 +104,8 @@
     }
 
     @Override
-    public void disconnected(LineConnection conn, boolean broken) {
-        if (waitingConnection == conn) {
+    public void disconnected(LineConnection connection, boolean broken) {
+        if (waitingConnection == connection) {
             waitingConnection = null;
         }
         service.callerLeft(this);
@@ -113,9 +114,9 @@
     /** Answers the waiting request, if there is one, with the changes since its version. */
     public void answerWaiting() {
         if (waitingConnection != null && !service.isDown()) {
-            LineConnection conn = waitingConnection;
+            LineConnection connection = waitingConnection;
             waitingConnection = null;
-            sendAnswer(conn, service.answerSince(waitingVersion));
+            sendAnswer(connection, service.answerSince(waitingVersion));
         }
     }
 
@@ -128,12 +129,12 @@
         }
     }
 
-    private void sendAnswer(LineConnection conn, Answer answer) {
-        sendResponse(conn, "200 OK", answer.body);
+    private void sendAnswer(LineConnection connection, Answer answer) {
+        sendResponse(connection, "200 OK", answer.body);
         answer.onSent.run();
     }
 
-    private void sendResponse(LineConnection conn, String status, byte[] body) {
+    private void sendResponse(LineConnection connection, String status, byte[] body) {
         byte[] head =
                 ("HTTP/1.1 "
                                 + status
@@ -141,9 +142,9 @@
                                 + body.length
                                 + "\r\n\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1);
-        byte[] all = Arrays.copyOf(head, head.length + body.length);
-        System.arraycopy(body, 0, all, head.length, body.length);
-        service.recordTraffic(0, all.length);
-        conn.send(all);
+        byte[] response = Arrays.copyOf(head, head.length + body.length);
+        System.arraycopy(body, 0, response, head.length, body.length);
+        service.recordTraffic(0, response.length);
+        connection.send(response);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/sock/RelayProcess.java
+++ b/lab/src/main/java/asterpulley/lab/sock/RelayProcess.java
@@ -105,6 +105,7 @@
         process.destroy();
     }
 
+    /** Kills the process and waits until it is gone. */
     public void kill() {
         process.destroyForcibly();
         try {
--- a/lab/src/main/java/asterpulley/lab/sock/SelectorLoop.java
+++ b/lab/src/main/java/asterpulley/lab/sock/SelectorLoop.java
@@ -79,8 +79,8 @@
     }
 
     @Override
-    public void schedule(double seconds, Runnable what) {
-        timers.add(now() + Math.max(0, seconds), what);
+    public void schedule(double seconds, Runnable task) {
+        timers.add(now() + Math.max(0, seconds), task);
     }
 
     private void tick(double dueAt) {
@@ -109,6 +109,7 @@
         maxLateness = 0;
     }
 
+    /** Returns the largest lateness of a tick, in seconds. */
     public double maxLateness() {
         return maxLateness;
     }
@@ -144,6 +145,7 @@
         }
     }
 
+    /** Makes {@link #run} return; to be called from the thread of the loop. */
     public void stop() {
         stopped = true;
     }
--- a/lab/src/main/java/asterpulley/lab/sock/SimulationServerList.java
+++ b/lab/src/main/java/asterpulley/lab/sock/SimulationServerList.java
@@ -66,24 +66,24 @@
     Map<String, Object> toDocument(boolean whole, List<ServerRegistry.Entry> entries) {
         Plan plan = simulation.plan;
         List<Object> hosts = new ArrayList<>();
-        for (ServerRegistry.Entry e : entries) {
+        for (ServerRegistry.Entry entry : entries) {
             Map<String, Object> host = new LinkedHashMap<>();
-            host.put("host", e.server().name);
-            host.put("dial", dialAddress.apply(e.server().index));
-            host.put("site", plan.rooms.get(e.server().room));
-            host.put("class", e.server().plan.model);
-            host.put("block", e.server().room);
+            host.put("host", entry.server().name);
+            host.put("dial", dialAddress.apply(entry.server().index));
+            host.put("site", plan.rooms.get(entry.server().room));
+            host.put("class", entry.server().plan.model);
+            host.put("block", entry.server().room);
             host.put(
                     "health",
-                    e.state() == ServerEntry.State.RUNNING
+                    entry.state() == ServerEntry.State.RUNNING
                             ? "up"
-                            : e.state() == ServerEntry.State.DRAINING ? "draining" : "removed");
+                            : entry.state() == ServerEntry.State.DRAINING ? "draining" : "removed");
             host.put("share", 1.0);
             host.put(
                     "born_ms",
-                    Double.isInfinite(e.startedAt())
+                    Double.isInfinite(entry.startedAt())
                             ? 0
-                            : Math.round(testbed.toUnixSeconds(e.startedAt()) * 1000));
+                            : Math.round(testbed.toUnixSeconds(entry.startedAt()) * 1000));
             hosts.add(host);
         }
         Map<String, Object> list = new LinkedHashMap<>();
--- a/lab/src/main/java/asterpulley/lab/sock/SocketTestbed.java
+++ b/lab/src/main/java/asterpulley/lab/sock/SocketTestbed.java
@@ -34,6 +34,12 @@
     /** A run that lags behind its own clock for a larger share of the time has measured itself. */
     public static final double MAX_LATE_SHARE = 0.02;
 
+    /** How long a finished request can still be looked up by setups on their way. */
+    private static final double REQUEST_RETENTION_SECONDS = 10;
+
+    /** Each run of a process takes the next block of relay ports. */
+    private static final int FIRST_PORT = 10_000, PORT_BLOCKS = 80, PORTS_PER_RUN = 500;
+
     private static final AtomicInteger RUN_COUNTER = new AtomicInteger();
 
     private final Plan plan;
@@ -68,7 +74,7 @@
         simulation.setTestbed(this);
         loop = new SelectorLoop();
         hostAddress = ownAddress();
-        firstPort = 10_000 + RUN_COUNTER.getAndIncrement() % 80 * 500;
+        firstPort = FIRST_PORT + RUN_COUNTER.getAndIncrement() % PORT_BLOCKS * PORTS_PER_RUN;
         relays = new RelayProcess[simulation.relayCount()];
         cpuSeconds = new double[relays.length];
         shuttingDown = new boolean[relays.length];
@@ -97,13 +103,13 @@
     public Simulation run() throws IOException {
         try {
             loopStartUnixSeconds = System.currentTimeMillis() / 1e3 - loop.now();
-            for (Server s : simulation.servers) {
+            for (Server server : simulation.servers) {
                 servers.add(
                         new StubServer(
                                 this,
                                 loop,
                                 simulation,
-                                s,
+                                server,
                                 requestsById,
                                 new InetSocketAddress(hostAddress, 0)));
             }
@@ -122,8 +128,8 @@
             }
             checkProcesses();
             loop.run(READY_TIMEOUT_SECONDS);
-            for (boolean waits : awaitingReady) {
-                if (waits && failureReason == null) {
+            for (boolean waiting : awaitingReady) {
+                if (waiting && failureReason == null) {
                     failureReason = "no relay became ready in " + READY_TIMEOUT_SECONDS + " s";
                 }
             }
@@ -169,83 +175,89 @@
                 "relays.cpu_us_per_setup", setups > 0 ? totalCpuSeconds * 1e6 / setups : 0);
     }
 
+    /** Returns why the plan could not be run, or null. */
     public String failureReason() {
         return failureReason;
     }
 
+    /** Returns how late the run was at worst against its own clock, in seconds. */
     public double maxLateness() {
         return loop.maxLateness();
     }
 
-    private void recordUsage(int r) {
-        maxResidentBytes = Math.max(maxResidentBytes, relays[r].residentBytes());
-        cpuSeconds[r] += relays[r].cpuSeconds();
+    private void recordUsage(int relay) {
+        maxResidentBytes = Math.max(maxResidentBytes, relays[relay].residentBytes());
+        cpuSeconds[relay] += relays[relay].cpuSeconds();
     }
 
     // ---- Relays
 
-    private InetSocketAddress relayAddress(int r) {
-        return new InetSocketAddress(hostAddress, firstPort + r);
+    private InetSocketAddress relayAddress(int relay) {
+        return new InetSocketAddress(hostAddress, firstPort + relay);
     }
 
-    private void launchRelay(int r) throws IOException {
-        shuttingDown[r] = false;
-        awaitingReady[r] = true;
-        relays[r] =
+    private void launchRelay(int relay) throws IOException {
+        shuttingDown[relay] = false;
+        awaitingReady[relay] = true;
+        relays[relay] =
                 RelayProcess.start(
-                        folder, "r" + (r + 1), relayConfig(r), plan.memoryMb, relayAddress(r));
-        simulation.entriesDelivered(r, simulation.registry.currentEntries());
-        probeUntilReady(r);
+                        folder,
+                        "r" + (relay + 1),
+                        relayConfig(relay),
+                        plan.memoryMb,
+                        relayAddress(relay));
+        simulation.entriesDelivered(relay, simulation.registry.currentEntries());
+        probeUntilReady(relay);
     }
 
-    private Map<String, Object> relayConfig(int r) {
+    private Map<String, Object> relayConfig(int relay) {
         return RelayConfig.of(
                 plan,
                 simulation,
-                r,
-                formatAddress(relayAddress(r)),
-                formatAddress(listAddresses.get(r)),
-                serverLists.get(r).toDocument(true, simulation.registry.currentEntries()));
+                relay,
+                formatAddress(relayAddress(relay)),
+                formatAddress(listAddresses.get(relay)),
+                serverLists.get(relay).toDocument(true, simulation.registry.currentEntries()));
     }
 
     /** Probes a relay like the frontend does: it is ready once it has answered. */
-    private void probeUntilReady(int r) {
-        RelayProcess process = relays[r];
+    private void probeUntilReady(int relay) {
+        RelayProcess process = relays[relay];
         loop.connect(
-                relayAddress(r),
+                relayAddress(relay),
                 new LineConnection.Handler() {
                     @Override
-                    public void connected(LineConnection conn) {
-                        conn.sendLine("PING");
+                    public void connected(LineConnection connection) {
+                        connection.sendLine("PING");
                     }
 
                     @Override
-                    public void lineReceived(LineConnection conn, String line) {
-                        conn.close();
-                        if (relays[r] == process && awaitingReady[r]) {
-                            awaitingReady[r] = false;
+                    public void lineReceived(LineConnection connection, String line) {
+                        connection.close();
+                        if (relays[relay] == process && awaitingReady[relay]) {
+                            awaitingReady[relay] = false;
                             // The CPU time of the startup does not count as serving cost.
-                            cpuSeconds[r] -= process.cpuSeconds();
-                            onRelayReady(r);
+                            cpuSeconds[relay] -= process.cpuSeconds();
+                            onRelayReady(relay);
                         }
                     }
 
                     @Override
-                    public void disconnected(LineConnection conn, boolean broken) {
-                        if (relays[r] == process && awaitingReady[r]) {
-                            loop.schedule(PROCESS_CHECK_SECONDS, () -> probeUntilReady(r));
+                    public void disconnected(LineConnection connection, boolean broken) {
+                        if (relays[relay] == process && awaitingReady[relay]) {
+                            loop.schedule(PROCESS_CHECK_SECONDS, () -> probeUntilReady(relay));
                         }
                     }
                 });
     }
 
-    private void onRelayReady(int r) {
+    private void onRelayReady(int relay) {
         if (started) {
-            simulation.relayReady(r);
+            simulation.relayReady(relay);
             return;
         }
-        for (boolean waits : awaitingReady) {
-            if (waits) {
+        for (boolean waiting : awaitingReady) {
+            if (waiting) {
                 return;
             }
         }
@@ -356,32 +368,32 @@
     }
 
     @Override
-    public void schedule(double seconds, Runnable what) {
-        loop.schedule(seconds, what);
+    public void schedule(double seconds, Runnable task) {
+        loop.schedule(seconds, task);
     }
 
     @Override
-    public void openTunnel(ClientRequest t) {
-        requestsById.put(t.id(), t);
-        SimulatedClient line = new SimulatedClient(this, simulation, plan, t);
-        t.testbedState = line;
-        line.connection = loop.connect(relayAddress(t.relay), line);
+    public void openTunnel(ClientRequest request) {
+        requestsById.put(request.id(), request);
+        SimulatedClient client = new SimulatedClient(this, simulation, plan, request);
+        request.testbedState = client;
+        client.connection = loop.connect(relayAddress(request.relay), client);
     }
 
     @Override
-    public double closeTunnel(ClientRequest t) {
-        return t.testbedState instanceof SimulatedClient line ? line.close(false) : 0;
+    public double closeTunnel(ClientRequest request) {
+        return request.testbedState instanceof SimulatedClient client ? client.close(false) : 0;
     }
 
     @Override
-    public double breakConnection(ClientRequest t) {
-        return t.testbedState instanceof SimulatedClient line ? line.close(true) : 0;
+    public double breakConnection(ClientRequest request) {
+        return request.testbedState instanceof SimulatedClient client ? client.close(true) : 0;
     }
 
     void forgetRequest(ClientRequest request) {
         // Setups of this request may still be on their way to servers, which look the request up
         // by its id.
-        loop.schedule(10, () -> requestsById.remove(request.id()));
+        loop.schedule(REQUEST_RETENTION_SECONDS, () -> requestsById.remove(request.id()));
     }
 
     static String formatAddress(InetSocketAddress address) {
--- a/lab/src/main/java/asterpulley/lab/sock/StartupBenchmark.java
+++ b/lab/src/main/java/asterpulley/lab/sock/StartupBenchmark.java
@@ -33,6 +33,7 @@
     /** A relay that is not ready after this time counts as failed. */
     private static final double READY_TIMEOUT_SECONDS = 30;
 
+    private static final int FIRST_RELAY_PORT = 9_200;
     private static final double POLL_SECONDS = 0.005;
 
     private final Options options;
@@ -51,6 +52,7 @@
         hostAddress = SocketTestbed.ownAddress();
     }
 
+    /** Runs the measurement, prints a line per list size and returns all figures. */
     public static Map<String, Object> measure(Options options, PrintStream out) throws IOException {
         return new StartupBenchmark(options, out).run();
     }
@@ -94,16 +96,16 @@
      * applied the list.
      */
     @Override
-    public void lineReceived(LineConnection conn, String line) {
+    public void lineReceived(LineConnection connection, String line) {
         if (line.startsWith("GET ")) {
             requestLine = line;
         } else if (line.isEmpty() && requestLine != null) {
             requestLine = null;
-            relayConnection = conn;
+            relayConnection = connection;
             if (!listSent) {
                 listSent = true;
                 listSentAt = loop.now();
-                conn.send(listResponse);
+                connection.send(listResponse);
             } else if (nextCallAt == 0) {
                 nextCallAt = loop.now();
             }
@@ -111,8 +113,8 @@
     }
 
     @Override
-    public void disconnected(LineConnection conn, boolean broken) {
-        relayConnection = relayConnection == conn ? null : relayConnection;
+    public void disconnected(LineConnection connection, boolean broken) {
+        relayConnection = relayConnection == connection ? null : relayConnection;
     }
 
     private Map<String, Object> run() throws IOException {
@@ -151,16 +153,17 @@
             Map<String, Object> row)
             throws IOException {
         String mode = fromDiscovery ? "asked" : "handed";
-        int n = options.rounds;
-        double[] readyMs = new double[n];
-        double[] appliedMs = new double[n];
-        double[] cpuMs = new double[n];
-        double[] heapMb = new double[n];
-        double[] residentMb = new double[n];
+        int rounds = options.rounds;
+        double[] readyMs = new double[rounds];
+        double[] appliedMs = new double[rounds];
+        double[] cpuMs = new double[rounds];
+        double[] heapMb = new double[rounds];
+        double[] residentMb = new double[rounds];
         boolean allReady = true;
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < rounds; i++) {
             String name = mode + entries + "-" + i;
-            InetSocketAddress relayAddress = new InetSocketAddress(hostAddress, 9_200 + i);
+            InetSocketAddress relayAddress =
+                    new InetSocketAddress(hostAddress, FIRST_RELAY_PORT + i);
             listSent = false;
             listSentAt = nextCallAt = 0;
             listResponse = httpResponse(serverList(entries, 5));
@@ -176,19 +179,20 @@
                             options.memoryMb,
                             relayAddress);
             try {
-                boolean up =
+                boolean ready =
                         awaitReady(relayAddress)
                                 && (!fromDiscovery
                                         || runUntil(() -> nextCallAt > 0, READY_TIMEOUT_SECONDS));
-                allReady &= up && relay.isAlive();
-                readyMs[i] = up ? (loop.now() - startedAt) * 1e3 : Double.NaN;
-                appliedMs[i] = fromDiscovery && up ? (nextCallAt - listSentAt) * 1e3 : Double.NaN;
-                cpuMs[i] = up ? relay.cpuSeconds() * 1e3 : Double.NaN;
+                allReady &= ready && relay.isAlive();
+                readyMs[i] = ready ? (loop.now() - startedAt) * 1e3 : Double.NaN;
+                appliedMs[i] =
+                        fromDiscovery && ready ? (nextCallAt - listSentAt) * 1e3 : Double.NaN;
+                cpuMs[i] = ready ? relay.cpuSeconds() * 1e3 : Double.NaN;
                 heapMb[i] =
-                        up
+                        ready
                                 ? Math.min(relay.heapAfterGc(), relay.heapAfterGc()) / (1 << 20)
                                 : Double.NaN;
-                residentMb[i] = up ? relay.residentBytes() / (1 << 20) : Double.NaN;
+                residentMb[i] = ready ? relay.residentBytes() / (1 << 20) : Double.NaN;
             } finally {
                 relay.kill();
             }
@@ -229,6 +233,7 @@
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 
+    /** A condition that {@link #runUntil} waits for. */
     private interface Condition {
         boolean holds();
     }
@@ -247,28 +252,29 @@
         double end = loop.now() + READY_TIMEOUT_SECONDS;
         while (!answered[0] && loop.now() < end) {
             boolean[] finished = {false};
-            LineConnection connection =
+            LineConnection probe =
                     loop.connect(
                             relayAddress,
                             new LineConnection.Handler() {
                                 @Override
-                                public void connected(LineConnection conn) {
-                                    conn.sendLine("PING");
+                                public void connected(LineConnection connection) {
+                                    connection.sendLine("PING");
                                 }
 
                                 @Override
-                                public void lineReceived(LineConnection conn, String line) {
+                                public void lineReceived(LineConnection connection, String line) {
                                     answered[0] |= line.equals("PONG");
                                     finished[0] = true;
                                 }
 
                                 @Override
-                                public void disconnected(LineConnection conn, boolean broken) {
+                                public void disconnected(
+                                        LineConnection connection, boolean broken) {
                                     finished[0] = true;
                                 }
                             });
             runUntil(() -> finished[0], 1);
-            connection.close();
+            probe.close();
             if (!answered[0]) {
                 loop.run(loop.now() + POLL_SECONDS);
             }
--- a/lab/src/main/java/asterpulley/lab/sock/StubServer.java
+++ b/lab/src/main/java/asterpulley/lab/sock/StubServer.java
@@ -52,7 +52,7 @@
     }
 
     private void listen(int relay) throws IOException {
-        sockets[relay] = loop.listen(addresses[relay], conn -> new NewConnection(relay));
+        sockets[relay] = loop.listen(addresses[relay], connection -> new NewConnection(relay));
         addresses[relay] = sockets[relay].address;
     }
 
@@ -79,13 +79,13 @@
         }
 
         @Override
-        public void lineReceived(LineConnection conn, String line) {
+        public void lineReceived(LineConnection connection, String line) {
             if (line.equals("STATS") || line.equals("PING")) {
                 simulation.figures.increment("probes");
                 Optional<LoadReport> report = simulation.probe(relay, server);
                 report.ifPresent(
                         r ->
-                                conn.sendLine(
+                                connection.sendLine(
                                         line.equals("PING")
                                                 ? "PONG"
                                                 : "PONG x0="
@@ -101,17 +101,17 @@
                             ? requestsById.get(words[1])
                             : null;
             if (request == null) {
-                conn.sendLine("SYNTAX");
-                conn.closeAfterWrites();
+                connection.sendLine("SYNTAX");
+                connection.closeAfterWrites();
                 return;
             }
-            Tunnel tunnel = new Tunnel(conn, request.relay);
-            conn.setHandler(tunnel);
+            Tunnel tunnel = new Tunnel(connection, request.relay);
+            connection.setHandler(tunnel);
             tunnel.setup = simulation.setupArrived(request, server, testbed.now(), tunnel);
         }
 
         @Override
-        public void disconnected(LineConnection conn, boolean broken) {
+        public void disconnected(LineConnection connection, boolean broken) {
             // A probe connection was closed, or nothing was sent on it.
         }
     }
--- a/lab/src/test/java/asterpulley/lab/fleet/FleetCalculationTest.java
+++ b/lab/src/test/java/asterpulley/lab/fleet/FleetCalculationTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aLineIsFittedWithTheErrorOfItsSlope() {
+    void lineIsFittedWithStandardErrorOfSlope() {
         LinearFit exact = LinearFit.fit(new double[] {1, 2, 3}, new double[] {5, 7, 9});
         assertEquals(2, exact.slope(), 1e-12);
         assertEquals(0, exact.standardError(), 1e-12);
@@ -49,85 +49,85 @@
     }
 
     @Test
-    void aChangeCountsFromWhenItWasMadeForWhoeverStood() {
-        PropagationTracker f = new PropagationTracker();
+    void delayCountsFromChangeForRunningRelays() {
+        PropagationTracker tracker = new PropagationTracker();
         long ms = 1_000_000;
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(1, PropagationTracker.EventType.STARTED, 1, 0));
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(2, PropagationTracker.EventType.STARTED, 1, 0));
-        f.recordChange(2, 100 * ms, true);
-        f.recordChange(3, 200 * ms, false);
-        f.recordChange(4, 300 * ms, true);
-        f.recordEvent(
+        tracker.recordChange(2, 100 * ms, true);
+        tracker.recordChange(3, 200 * ms, false);
+        tracker.recordChange(4, 300 * ms, true);
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(
                         1, PropagationTracker.EventType.CAME_TO, 2, 110 * ms));
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(
                         1, PropagationTracker.EventType.CAME_TO, 4, 350 * ms));
         // The second relay stops, starts again with its old list and reaches changes made while it
         // was stopped: those do not count.
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(
                         2, PropagationTracker.EventType.STOPPED, 0, 150 * ms));
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(
                         2, PropagationTracker.EventType.STARTED, 1, 400 * ms));
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(
                         2, PropagationTracker.EventType.CAME_TO, 4, 410 * ms));
-        f.recordChange(5, 500 * ms, true);
-        f.recordEvent(
+        tracker.recordChange(5, 500 * ms, true);
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(
                         2, PropagationTracker.EventType.CAME_TO, 5, 530 * ms));
-        f.computeDelays(600 * ms);
-        assertEquals(3, f.delayMicros.getTotalCount());
-        assertEquals(50_000, f.delayMicros.getMaxValue(), 50);
-        assertEquals(1, f.missing);
-        assertEquals(4, f.versionAt(300 * ms));
+        tracker.computeDelays(600 * ms);
+        assertEquals(3, tracker.delayMicros.getTotalCount());
+        assertEquals(50_000, tracker.delayMicros.getMaxValue(), 50);
+        assertEquals(1, tracker.missing);
+        assertEquals(4, tracker.versionAt(300 * ms));
     }
 
     @Test
-    void toldIsTheLastOfThoseThatStoodAllTheWhile() {
-        PropagationTracker f = new PropagationTracker();
-        f.recordEvent(
+    void propagationEndsWithLastContinuouslyRunningRelay() {
+        PropagationTracker tracker = new PropagationTracker();
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(1, PropagationTracker.EventType.STARTED, 1, 0));
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(2, PropagationTracker.EventType.STARTED, 1, 0));
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(
                         3, PropagationTracker.EventType.STARTED, 1, 2_000_000_000L));
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(
                         1, PropagationTracker.EventType.CAME_TO, 9, 1_500_000_000L));
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(
                         2, PropagationTracker.EventType.CAME_TO, 9, 2_250_000_000L));
-        assertEquals(1.25, f.secondsUntilKnown(9, 1_000_000_000L), 1e-9);
+        assertEquals(1.25, tracker.secondsUntilKnown(9, 1_000_000_000L), 1e-9);
         // A relay that reached the version before it stopped counts; one that stopped earlier does
         // not.
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(5, PropagationTracker.EventType.STARTED, 1, 0));
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(
                         5, PropagationTracker.EventType.CAME_TO, 9, 2_500_000_000L));
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(
                         5, PropagationTracker.EventType.STOPPED, 0, 3_000_000_000L));
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(6, PropagationTracker.EventType.STARTED, 1, 0));
-        f.recordEvent(
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(
                         6, PropagationTracker.EventType.STOPPED, 0, 3_000_000_000L));
-        assertEquals(1.5, f.secondsUntilKnown(9, 1_000_000_000L), 1e-9);
-        f.recordEvent(
+        assertEquals(1.5, tracker.secondsUntilKnown(9, 1_000_000_000L), 1e-9);
+        tracker.recordEvent(
                 new PropagationTracker.RelayEvent(4, PropagationTracker.EventType.STARTED, 1, 0));
-        assertTrue(Double.isNaN(f.secondsUntilKnown(9, 1_000_000_000L)));
+        assertTrue(Double.isNaN(tracker.secondsUntilKnown(9, 1_000_000_000L)));
     }
 
     @Test
-    void theTimetableIsWorkedOutBeforeTheRun() {
-        Schedule s =
+    void scheduleIsComputedBeforeTheRun() {
+        Schedule schedule =
                 new Schedule(
                         plan(
                                 """
@@ -149,19 +149,20 @@
                 down_s = 0.5
                 """),
                         SIZE);
-        assertEquals(12, s.calmUntil);
+        assertEquals(12, schedule.calmUntil);
         assertEquals(
-                10, s.steps.stream().filter(t -> t.action() == Schedule.Action.CHANGE).count());
+                10,
+                schedule.steps.stream().filter(t -> t.action() == Schedule.Action.CHANGE).count());
         assertEquals(
                 List.of(1, 5, 9, 13, 17),
-                s.steps.stream()
+                schedule.steps.stream()
                         .filter(t -> t.action() == Schedule.Action.RELAYS_BACK)
                         .findFirst()
                         .orElseThrow()
                         .numbers());
         assertEquals(
                 20,
-                s.steps.stream()
+                schedule.steps.stream()
                         .filter(t -> t.at() >= 20 && t.action() == Schedule.Action.RELAYS_GONE)
                         .mapToInt(t -> t.numbers().size())
                         .sum());
@@ -169,9 +170,9 @@
                 List.of(
                         new Schedule.ObservationPeriod(FleetPlan.Kind.ZONE_RELAYS, 16, 20),
                         new Schedule.ObservationPeriod(FleetPlan.Kind.ROLL, 20, 30)),
-                s.observationPeriods);
+                schedule.observationPeriods);
         assertEquals(
-                s.steps,
+                schedule.steps,
                 new Schedule(
                                 plan(
                                         """
@@ -197,19 +198,19 @@
     }
 
     @Test
-    void tunnelsAreDrawnByTheSeedAboutTheirMeans() {
-        TunnelArrivals a = new TunnelArrivals(3, 5, 2, 15);
+    void arrivalsFollowSeedAndMeans() {
+        TunnelArrivals arrivals = new TunnelArrivals(3, 5, 2, 15);
         TunnelArrivals same = new TunnelArrivals(3, 5, 2, 15);
         double gaps = 0;
         double lives = 0;
         Set<String> ids = new TreeSet<>();
         for (int i = 0; i < 20_000; i++) {
-            double gap = a.nextGap();
+            double gap = arrivals.nextGap();
             assertEquals(gap, same.nextGap());
             gaps += gap;
-            lives += a.nextLifetime();
+            lives += arrivals.nextLifetime();
             same.nextLifetime();
-            ids.add(a.nextId());
+            ids.add(arrivals.nextId());
         }
         assertEquals(0.5, gaps / 20_000, 0.02);
         assertEquals(15, lives / 20_000, 0.6);
@@ -219,13 +220,13 @@
     }
 
     @Test
-    void callersAtOneVersionAreToldTheSameBytes() {
-        ServerCatalog c = new ServerCatalog(plan(""), 12);
-        ServerCatalog.View page = c.new View(s -> "127.0.0.1:" + s);
-        assertSame(page.fullDocument(), page.fullDocument());
-        c.change(3, ServerCatalog.Health.REMOVED, 0);
-        c.change(4, ServerCatalog.Health.DRAINING, 0);
-        String since = new String(page.changesSince(1), StandardCharsets.ISO_8859_1);
+    void callersAtSameVersionGetSameBytes() {
+        ServerCatalog catalog = new ServerCatalog(plan(""), 12);
+        ServerCatalog.View view = catalog.new View(s -> "127.0.0.1:" + s);
+        assertSame(view.fullDocument(), view.fullDocument());
+        catalog.change(3, ServerCatalog.Health.REMOVED, 0);
+        catalog.change(4, ServerCatalog.Health.DRAINING, 0);
+        String since = new String(view.changesSince(1), StandardCharsets.ISO_8859_1);
         assertTrue(
                 since.contains("\"s4\"")
                         && since.contains("removed")
@@ -233,16 +234,16 @@
                         && since.contains("\"seq\":3"),
                 since);
         assertTrue(
-                !new String(page.changesSince(2), StandardCharsets.ISO_8859_1).contains("\"s4\""));
+                !new String(view.changesSince(2), StandardCharsets.ISO_8859_1).contains("\"s4\""));
         assertTrue(
-                !new String(page.fullDocument(), StandardCharsets.ISO_8859_1).contains("\"s4\""));
+                !new String(view.fullDocument(), StandardCharsets.ISO_8859_1).contains("\"s4\""));
         assertTrue(
-                new String(page.changesSince(3), StandardCharsets.ISO_8859_1)
+                new String(view.changesSince(3), StandardCharsets.ISO_8859_1)
                         .contains("\"hosts\":[]"));
     }
 
     @Test
-    void whatDoesNotFitIsToldWhy() {
+    void sizeThatDoesNotFitHasReason() {
         FleetPlan plan = plan("");
         plan.probeConnections = 10;
         assertNull(
--- a/lab/src/test/java/asterpulley/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/asterpulley/lab/fleet/FleetTest.java
@@ -50,9 +50,9 @@
     private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
 
     private FleetPlan plan(String text) {
-        TomlDocument sheet = TomlDocument.parse("small.toml", text);
-        FleetPlan plan = FleetReader.read(sheet, "small");
-        assertEquals(List.of(), sheet.problems());
+        TomlDocument document = TomlDocument.parse("small.toml", text);
+        FleetPlan plan = FleetReader.read(document, "small");
+        assertEquals(List.of(), document.problems());
         return plan;
     }
 
@@ -61,29 +61,29 @@
     }
 
     @Test
-    void hollowRelaysAreMeasuredBesideARealOne() throws IOException {
+    void simulatedRelaysAreComparedWithRealOne() throws IOException {
         FleetLab lab = run(SMALL.formatted(6, 1));
-        boolean good = lab.printVerdict();
-        FleetResult o = lab.results().get(0);
+        boolean passed = lab.printVerdict();
+        FleetResult result = lab.results().get(0);
         // A busy machine may leave no verdict; what was measured still has to hold.
-        assertEquals(o.noVerdictReason == null, good, printed.toString());
+        assertEquals(result.noVerdictReason == null, passed, printed.toString());
         assertTrue(
-                o.figure("inforce.last_ms") < 3000 && o.figure("inforce.missing") == 0,
+                result.figure("inforce.last_ms") < 3000 && result.figure("inforce.missing") == 0,
                 printed.toString());
         // 20 changes, each published to 20 relays; the last two may come too close to the end.
-        assertTrue(o.figure("inforce.count") >= 18 * 20, o.figures.toString());
+        assertTrue(result.figure("inforce.count") >= 18 * 20, result.figures.toString());
         assertEquals(
-                o.figure("real.list_calls_per_s"),
-                o.figure("hollow.list_calls_per_s"),
+                result.figure("real.list_calls_per_s"),
+                result.figure("hollow.list_calls_per_s"),
                 0.34,
-                o.figures.toString());
+                result.figures.toString());
         assertTrue(
-                o.figure("hollow.probes_per_s") > 1 && o.figure("real.probes_per_s") > 1,
-                o.figures.toString());
-        assertTrue(o.figure("tunnels.opened_share") > 0.9, o.figures.toString());
+                result.figure("hollow.probes_per_s") > 1 && result.figure("real.probes_per_s") > 1,
+                result.figures.toString());
+        assertTrue(result.figure("tunnels.opened_share") > 0.9, result.figures.toString());
         assertTrue(
-                o.figure("hollow.cpu_percent") > 0 && o.figure("hollow.heap_mb") > 0,
-                o.figures.toString());
+                result.figure("hollow.cpu_percent") > 0 && result.figure("hollow.heap_mb") > 0,
+                result.figures.toString());
         assertTrue(
                 printed.toString().contains("hollow and real relays differ by"),
                 printed.toString());
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aListThatIsToldLateMakesAnExpectationFall() throws IOException {
+    void lateListFailsExpectation() throws IOException {
         FleetLab lab =
                 run(
                         SMALL.formatted(6, 0)
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void afterACutAllComeBackAndLearnWhatTheyMissed() throws IOException {
+    void relaysCatchUpAfterListOutage() throws IOException {
         FleetLab lab =
                 run(
                         SMALL.formatted(8, 0)
@@ -119,15 +119,16 @@
                 zone = 2
                 """);
         lab.printVerdict();
-        FleetResult o = lab.results().get(0);
+        FleetResult result = lab.results().get(0);
         // At least twenty requests in the seconds after the cut, and as many new connections over
         // the run.
-        assertTrue(o.figure("after.list-cut.calls_worst") >= 10, o.figures.toString());
-        assertTrue(o.figure("worst.connects_per_s") >= 10, o.figures.toString());
+        assertTrue(result.figure("after.list-cut.calls_worst") >= 10, result.figures.toString());
+        assertTrue(result.figure("worst.connects_per_s") >= 10, result.figures.toString());
         assertTrue(
-                o.figure("after.list-cut.told_s") > 0 && o.figure("after.list-cut.told_s") < 7,
-                o.figures.toString());
-        assertEquals(0, o.figure("inforce.missing"), o.figures.toString());
+                result.figure("after.list-cut.told_s") > 0
+                        && result.figure("after.list-cut.told_s") < 7,
+                result.figures.toString());
+        assertEquals(0, result.figure("inforce.missing"), result.figures.toString());
     }
 
     private static final String SETTINGS =
@@ -140,24 +141,24 @@
                     + "[[entry]]\nkind = \"zone-relays\"\nat_s = 1\nfor_s = 1\nzone = 2\n";
 
     @Test
-    void changedSettingsAreInForceAtEveryRelayThatStands() throws IOException {
+    void changedSettingsReachEveryRunningRelay() throws IOException {
         FleetLab lab = run(SETTINGS);
         lab.printVerdict();
-        FleetResult o = lab.results().get(0);
-        assertEquals(0, o.figure("settings.missing"), o.figures.toString());
+        FleetResult result = lab.results().get(0);
+        assertEquals(0, result.figure("settings.missing"), result.figures.toString());
         assertTrue(
-                o.figure("settings.last_ms") > 0 && o.figure("settings.last_ms") < 5000,
-                o.figures.toString());
+                result.figure("settings.last_ms") > 0 && result.figure("settings.last_ms") < 5000,
+                result.figures.toString());
         // 16 changes; a quarter of the 20 relays is stopped for some of them.
-        assertTrue(o.figure("settings.count") >= 12 * 15, o.figures.toString());
+        assertTrue(result.figure("settings.count") >= 12 * 15, result.figures.toString());
         assertEquals(
                 25,
-                o.figure("settings.whole_asked"),
-                "a whole copy at a start, and none besides: " + o.figures);
+                result.figure("settings.whole_asked"),
+                "a whole copy at a start, and none besides: " + result.figures);
     }
 
     @Test
-    void withoutAServiceOfSettingsNoChangeIsEverInForce() throws IOException {
+    void withoutSettingsServiceNoChangeIsApplied() throws IOException {
         FleetLab lab =
                 run(
                         SETTINGS.replace("length_s = 5", "length_s = 3")
@@ -167,30 +168,30 @@
     }
 
     @Test
-    void relaysThatKnowNoListAskForTheWholeOne() throws IOException {
+    void relaysWithoutListRequestFullList() throws IOException {
         FleetLab lab = run(SMALL.formatted(2, 0).replace("[relays]", "[relays]\nknown = false"));
         lab.printVerdict();
         assertEquals(20, lab.results().get(0).figure("whole_asked"), printed.toString());
     }
 
     @Test
-    void aSizeThatDoesNotFitIsToldAndGivesNoVerdict() throws IOException {
+    void sizeThatDoesNotFitGivesNoVerdict() throws IOException {
         FleetLab lab = run(SMALL.formatted(4, 0).replace("relays = 20", "relays = 100000"));
         assertFalse(lab.printVerdict());
         assertTrue(printed.toString().contains("not run, it does not fit"), printed.toString());
     }
 
     @Test
-    void everyFleetExperimentOfTheRepositoryReads() throws IOException {
+    void everyFleetExperimentFileIsValid() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("../experiments/fleet"))) {
             Map<String, List<String>> wrong = new TreeMap<>();
             for (Path file : files.filter(f -> f.toString().endsWith(".toml")).toList()) {
-                TomlDocument sheet = TomlDocument.read(file);
-                FleetPlan plan = FleetReader.read(sheet, file.getFileName().toString());
-                if (!sheet.problems().isEmpty()
+                TomlDocument document = TomlDocument.read(file);
+                FleetPlan plan = FleetReader.read(document, file.getFileName().toString());
+                if (!document.problems().isEmpty()
                         || plan.expectations.isEmpty()
                         || plan.sizes.isEmpty()) {
-                    wrong.put(file.toString(), sheet.problems());
+                    wrong.put(file.toString(), document.problems());
                 }
             }
             assertEquals(Map.of(), wrong);
@@ -198,14 +199,14 @@
     }
 
     @Test
-    void aWrongFileIsToldWhole() {
-        TomlDocument sheet =
+    void invalidFileReportsAllProblems() {
+        TomlDocument document =
                 TomlDocument.parse(
                         "w.toml",
                         "expect = [\"hollow.bytes < 1\", \"after.roll.told_s < 1\"]\n[[size]]\nrelays = 0\n"
                                 + "[[entry]]\nkind = \"roll-back\"\nat_s = 1\nzone = 12\n");
-        FleetReader.read(sheet, "w");
-        String told = String.join("\n", sheet.problems());
+        FleetReader.read(document, "w");
+        String problems = String.join("\n", document.problems());
         for (String part :
                 List.of(
                         "no run gives the figure hollow.bytes",
@@ -214,12 +215,12 @@
                         "size[0].relays: 0 is not between",
                         "entry[0].kind: 'roll-back' is none",
                         "entry[0].zone: 12 is not between")) {
-            assertTrue(told.contains(part), part + " in " + told);
+            assertTrue(problems.contains(part), part + " in " + problems);
         }
     }
 
     @Test
-    void aPlanWithoutRealRelaysNamesNoneOfTheirFigures() {
+    void planWithoutRealRelaysHasNoFiguresOfThem() {
         assertNull(
                 plan(SMALL.formatted(4, 0)).expectations.stream()
                         .filter(e -> e.figure().startsWith("real."))
--- a/lab/src/test/java/asterpulley/lab/sock/SocketTestbedTest.java
+++ b/lab/src/test/java/asterpulley/lab/sock/SocketTestbedTest.java
@@ -42,9 +42,9 @@
     @TempDir Path folder;
 
     private static Plan plan(String text) {
-        TomlDocument sheet = TomlDocument.parse("sockets.toml", text);
-        Plan plan = PlanReader.read(sheet, "sockets");
-        assertEquals(List.of(), sheet.problems());
+        TomlDocument document = TomlDocument.parse("sockets.toml", text);
+        Plan plan = PlanReader.read(document, "sockets");
+        assertEquals(List.of(), document.problems());
         return plan;
     }
 
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aRelayProcessServesAndItsProcessIsGoneAfterwards() throws IOException {
+    void relayProcessServesAndIsEnded() throws IOException {
         Simulation world = run(SHORT);
         assertEquals(List.of(), world.ruleChecker.notes());
         assertTrue(
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aRelayKilledWithSetupsOutCountsByWhatClientsSaw() throws IOException {
+    void killedRelayCountsByWhatClientsObserved() throws IOException {
         Simulation world =
                 run(
                         SHORT.replace("holds = 60", "holds = 60\nsetup_s = 0.3")
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void twoRunsSideBySideShareNoPort() throws Exception {
+    void concurrentRunsShareNoPort() throws Exception {
         Path other = Files.createDirectory(folder.resolve("other"));
         CompletableFuture<Simulation> second =
                 CompletableFuture.supplyAsync(
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aRelayThatEndsByItselfIsToldAndGivesNoFigures() throws IOException {
+    void relayThatExitsIsReportedAndGivesNoFigures() throws IOException {
         Plan plan = plan(SHORT);
         SocketTestbed sockets = new SocketTestbed(plan, folder);
         // The relays are configured without a profile, which every relay rejects.
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aThreadThatIsHeldUpSaysThatItCouldNotKeepItsPace() throws IOException {
+    void stalledThreadReportsItsLateness() throws IOException {
         try (SelectorLoop pump = new SelectorLoop()) {
             pump.run(0.2);
             double before = pump.lateShare();
@@ -131,14 +131,14 @@
     }
 
     @Test
-    void theLoadToolCountsFromWhenAnOpeningWasDue() throws Exception {
+    void loadToolCountsFromScheduledTime() throws Exception {
         try (SelectorLoop pump = new SelectorLoop()) {
             // One opening at a time, and each answer takes 50 ms: the tenth waits for the nine
             // before it.
             SelectorLoop.ListeningSocket server =
                     pump.listen(
                             new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
-                            conn ->
+                            connection ->
                                     new LineConnection.Handler() {
                                         @Override
                                         public void lineReceived(LineConnection on, String line) {
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void addressesAreThisProcesssOwnAndOnLoopback() throws IOException {
+    void ownAddressIsLoopbackAndPerProcess() throws IOException {
         assertTrue(SocketTestbed.ownAddress().isLoopbackAddress());
         assertNotEquals("127.0.0.1", SocketTestbed.ownAddress().getHostAddress());
         assertFalse(SocketTestbed.ownAddress().isAnyLocalAddress());
