--- a/lab/src/main/java/asterpulley/lab/fleet/FleetFigures.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetFigures.java
@@ -126,12 +126,12 @@
 
     private static void putDifference(
             Map<String, Double> figures, String name, String... summedFigures) {
-        double hollow = 0;
+        double simulated = 0;
         double real = 0;
         for (String f : summedFigures) {
-            hollow += figures.get("hollow." + f);
+            simulated += figures.get("hollow." + f);
             real += figures.get("real." + f);
         }
-        figures.put("against." + name, real > 0 ? Math.abs(hollow / real - 1) : Double.NaN);
+        figures.put("against." + name, real > 0 ? Math.abs(simulated / real - 1) : Double.NaN);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/LongPollService.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/LongPollService.java
@@ -121,9 +121,9 @@
      * Sets whether the service is down: waiting requests are broken off then, and further ones
      * refused until it is up again.
      */
-    void setDown(boolean cut) {
-        down = cut;
-        if (cut) {
+    void setDown(boolean newDown) {
+        down = newDown;
+        if (newDown) {
             List.copyOf(callers).forEach(LongPollResponder::dropWaiting);
         }
     }
--- a/lab/src/main/java/asterpulley/lab/fleet/ProcessPlan.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ProcessPlan.java
@@ -11,6 +11,8 @@
     /** Descriptors of a simulated relay: its list connection and the two of its selector. */
     private static final int OWN_DESCRIPTORS = 3;
 
+    private static final int MAX_RELAYS_PER_PROCESS = 800;
+    private static final int BASE_HEAP_MB = 128;
     private static final int MAX_PROCESSES = 40;
 
     /**
@@ -38,7 +40,7 @@
                         Math.max(
                                 1,
                                 Math.min(
-                                        800,
+                                        MAX_RELAYS_PER_PROCESS,
                                         usableDescriptors / (OWN_DESCRIPTORS + probedServers)));
         int relayProcesses = (int) Math.ceil((double) size.relays() / relaysPerProcess);
         // Each process of relays connects to all servers at separate addresses; the real relays
@@ -61,7 +63,7 @@
                                 ? (double) plan.realRelays * probedServers + size.servers()
                                 : 0);
         double heapPerProcessMb =
-                128
+                BASE_HEAP_MB
                         + (double) size.relays()
                                 / relayProcesses
                                 * (RELAY_HEAP_MB + SERVER_ENTRY_HEAP_MB * size.servers());
--- a/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
@@ -9,6 +9,8 @@
  * a simulated relay's, and never retry.
  */
 final class RealClients {
+    private static final double PROBE_INTERVAL_SECONDS = 0.05;
+
     private final SelectorLoop loop;
     private final InetSocketAddress relay;
     private final TunnelArrivals arrivals;
@@ -41,7 +43,8 @@
                     @Override
                     public void disconnected(LineConnection connection, boolean broken) {
                         if (!stopped) {
-                            loop.schedule(0.05, RealClients.this::probeUntilReady);
+                            loop.schedule(
+                                    PROBE_INTERVAL_SECONDS, RealClients.this::probeUntilReady);
                         }
                     }
                 });
--- a/lab/src/main/java/asterpulley/lab/fleet/SimulatedRelaysMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/SimulatedRelaysMain.java
@@ -37,7 +37,7 @@
  * not be measured as that of the relays.
  */
 final class SimulatedRelaysMain implements SimulatedRelay.EventRecorder {
-    /** The longest decision time that is told apart. */
+    /** Longer decisions are recorded with this time. */
     private static final long MAX_DECISION_MICROS = 10_000_000;
 
     private static final double PACE_CHECK_SECONDS = 0.1;
@@ -49,13 +49,12 @@
     private final Histogram decisionMicros = new ConcurrentHistogram(MAX_DECISION_MICROS, 3);
     private final SelectorLoop paceLoop = new SelectorLoop();
 
-    /**
-     * Set when the run begins, so that lateness counts from then; and the share of time in which
-     * this process was late.
-     */
+    /** Set when the run begins, so that lateness counts from then. */
     private volatile boolean runStarted;
 
+    /** The share of time in which this process was late. */
     private volatile double lateShare;
+
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     private final com.sun.management.OperatingSystemMXBean system =
             (com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
--- a/lab/src/main/java/asterpulley/lab/fleet/TunnelArrivals.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/TunnelArrivals.java
@@ -44,6 +44,7 @@
     /** Returns the next tunnel's id, without a pattern, like the random ids of clients. */
     String nextId() {
         long z = ((long) relay << 32) + ++lastNumber;
+        // The finalizer of SplitMix64.
         z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
         z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
         return Long.toHexString(z ^ z >>> 31);
--- a/lab/src/main/java/asterpulley/lab/sock/CostBenchmark.java
+++ b/lab/src/main/java/asterpulley/lab/sock/CostBenchmark.java
@@ -25,6 +25,8 @@
     private static final int RELAY_PORT = 9_000;
     private static final int RELAY_MEMORY_MB = 512;
     private static final int STUB_SERVERS = 5;
+    private static final double TUNNEL_LIFETIME_SECONDS = 0.2;
+    private static final int MAX_READY_PROBES = 200;
 
     /**
      * Minimum number of listed servers during the memory measurement. They all share the few stub
@@ -196,7 +198,7 @@
     }
 
     private static void awaitReady(InetSocketAddress relayAddress) throws IOException {
-        for (int i = 0; i < 200; i++) {
+        for (int i = 0; i < MAX_READY_PROBES; i++) {
             LoadTool.Options options = new LoadTool.Options();
             options.target = relayAddress;
             options.rate = 40;
@@ -229,17 +231,18 @@
             Map<String, Object> figures)
             throws IOException {
         // One warm-up round of each kind is not counted.
-        drive(servers.get(0), rate, seconds / 2, 0.2);
-        drive(relayAddress, rate, seconds / 2, 0.2);
+        drive(servers.get(0), rate, seconds / 2, TUNNEL_LIFETIME_SECONDS);
+        drive(relayAddress, rate, seconds / 2, TUNNEL_LIFETIME_SECONDS);
         double[] p50 = new double[rounds];
         double[] p99 = new double[rounds];
         double[] cpu = new double[rounds];
         long notOpened = 0;
         boolean keptPace = true;
         for (int i = 0; i < rounds; i++) {
-            LoadTool direct = drive(servers.get(i % STUB_SERVERS), rate, seconds, 0.2);
+            LoadTool direct =
+                    drive(servers.get(i % STUB_SERVERS), rate, seconds, TUNNEL_LIFETIME_SECONDS);
             double cpuBefore = relay.cpuSeconds();
-            LoadTool through = drive(relayAddress, rate, seconds, 0.2);
+            LoadTool through = drive(relayAddress, rate, seconds, TUNNEL_LIFETIME_SECONDS);
             cpu[i] = (relay.cpuSeconds() - cpuBefore) / Math.max(1, through.opened) * 1e6;
             p50[i] =
                     through.setupTimes.getValueAtPercentile(50)
@@ -276,7 +279,7 @@
             int openTunnels,
             Map<String, Object> figures)
             throws IOException {
-        drive(relayAddress, openTunnels / 10.0, 4, 0.2);
+        drive(relayAddress, openTunnels / 10.0, 4, TUNNEL_LIFETIME_SECONDS);
         double heapBefore = relay.heapAfterGc();
         double residentBefore = relay.residentBytes();
         double seconds = Math.max(4, openTunnels / 800.0);
--- a/lab/src/main/java/asterpulley/lab/sock/DeliveryBenchmark.java
+++ b/lab/src/main/java/asterpulley/lab/sock/DeliveryBenchmark.java
@@ -64,11 +64,12 @@
     static final int RELAY_PORT = 9_100;
     private static final int STUB_SERVERS = 5;
     private static final int RELAY_MEMORY_MB = 512;
-    private static final double TICK_SECONDS = 0.001;
+    private static final double TICK_SECONDS = 0.001, POLL_SECONDS = 0.002;
 
-    /** Number of connections opened concurrently, and the time between two bursts. */
+    /** Number of connections that are opened concurrently. */
     private static final int CONCURRENT_CONNECTS = 50;
 
+    /** Time between two bursts. */
     private static final double BURST_INTERVAL_SECONDS = 0.5;
 
     /**
@@ -315,7 +316,7 @@
     private boolean runUntil(Condition condition, double timeoutSeconds) throws IOException {
         double end = clientLoop.now() + timeoutSeconds;
         while (!condition.holds() && clientLoop.now() < end) {
-            clientLoop.run(Math.min(end, clientLoop.now() + 0.002));
+            clientLoop.run(Math.min(end, clientLoop.now() + POLL_SECONDS));
         }
         return condition.holds();
     }
--- a/lab/src/main/java/asterpulley/lab/sock/SelectorLoop.java
+++ b/lab/src/main/java/asterpulley/lab/sock/SelectorLoop.java
@@ -145,7 +145,7 @@
         }
     }
 
-    /** Makes {@link #run} return; to be called from the thread of the loop. */
+    /** Makes {@link #run} return after the current callback. */
     public void stop() {
         stopped = true;
     }
--- a/lab/src/main/java/asterpulley/lab/sock/StartupBenchmark.java
+++ b/lab/src/main/java/asterpulley/lab/sock/StartupBenchmark.java
@@ -25,8 +25,12 @@
 public final class StartupBenchmark implements LineConnection.Handler {
     /** Parameters of a measurement. */
     public static final class Options {
+        /** Sizes of the server list. */
         public List<Integer> entries = List.of(100, 1000, 10_000);
+
         public int rounds = 3, memoryMb = 128;
+
+        /** Whether starts that receive the list from discovery are measured as well. */
         public boolean fromDiscovery = true;
     }
 
--- a/lab/src/test/java/asterpulley/lab/sock/SocketTestbedTest.java
+++ b/lab/src/test/java/asterpulley/lab/sock/SocketTestbedTest.java
@@ -50,35 +50,35 @@
 
     private Simulation run(String text) throws IOException {
         SocketTestbed sockets = new SocketTestbed(plan(text), folder);
-        Simulation world = sockets.run();
+        Simulation simulation = sockets.run();
         assertEquals(null, sockets.failureReason());
-        return world;
+        return simulation;
     }
 
     @Test
     void relayProcessServesAndIsEnded() throws IOException {
-        Simulation world = run(SHORT);
-        assertEquals(List.of(), world.ruleChecker.notes());
+        Simulation simulation = run(SHORT);
+        assertEquals(List.of(), simulation.ruleChecker.notes());
         assertTrue(
-                world.figures.byName().get("credit.share") > 0.8,
-                world.figures.byName().toString());
-        assertTrue(world.figures.byName().get("relays.rss_mb") > 10);
+                simulation.figures.byName().get("credit.share") > 0.8,
+                simulation.figures.byName().toString());
+        assertTrue(simulation.figures.byName().get("relays.rss_mb") > 10);
         assertEquals(0, ProcessHandle.current().children().filter(ProcessHandle::isAlive).count());
     }
 
     @Test
     void killedRelayCountsByWhatClientsObserved() throws IOException {
-        Simulation world =
+        Simulation simulation =
                 run(
                         SHORT.replace("holds = 60", "holds = 60\nsetup_s = 0.3")
                                         .replace(
                                                 "lifetime_s = 3",
                                                 "lifetime_s = 3\nsetup_goal_s = 1")
                                 + "[[fault]]\nkind=\"relay-kill\"\nat_s=2\ndown_s=0.5\n");
-        assertEquals(List.of(), world.ruleChecker.notes());
-        assertTrue(world.figures.counterValue("clients.cut_by_relay") > 0);
-        assertTrue(world.figures.counterValue("tries.lost_with_relay") > 0);
-        assertTrue(world.figures.counterValue("tries.opened") > 30);
+        assertEquals(List.of(), simulation.ruleChecker.notes());
+        assertTrue(simulation.figures.counterValue("clients.cut_by_relay") > 0);
+        assertTrue(simulation.figures.counterValue("tries.lost_with_relay") > 0);
+        assertTrue(simulation.figures.counterValue("tries.opened") > 30);
     }
 
     @Test
@@ -112,10 +112,10 @@
 
     @Test
     void stalledThreadReportsItsLateness() throws IOException {
-        try (SelectorLoop pump = new SelectorLoop()) {
-            pump.run(0.2);
-            double before = pump.lateShare();
-            pump.schedule(
+        try (SelectorLoop loop = new SelectorLoop()) {
+            loop.run(0.2);
+            double before = loop.lateShare();
+            loop.schedule(
                     0,
                     () -> {
                         long end = System.nanoTime() + 300_000_000L;
@@ -123,31 +123,32 @@
                             Thread.onSpinWait();
                         }
                     });
-            pump.run(1);
+            loop.run(1);
             assertTrue(
-                    pump.lateShare() > Math.max(before, SocketTestbed.MAX_LATE_SHARE),
-                    "late share " + pump.lateShare());
+                    loop.lateShare() > Math.max(before, SocketTestbed.MAX_LATE_SHARE),
+                    "late share " + loop.lateShare());
         }
     }
 
     @Test
     void loadToolCountsFromScheduledTime() throws Exception {
-        try (SelectorLoop pump = new SelectorLoop()) {
+        try (SelectorLoop loop = new SelectorLoop()) {
             // One opening at a time, and each answer takes 50 ms: the tenth waits for the nine
             // before it.
             SelectorLoop.ListeningSocket server =
-                    pump.listen(
+                    loop.listen(
                             new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
-                            connection ->
+                            accepted ->
                                     new LineConnection.Handler() {
                                         @Override
-                                        public void lineReceived(LineConnection on, String line) {
-                                            pump.schedule(0.05, () -> on.sendLine("UP r"));
+                                        public void lineReceived(
+                                                LineConnection connection, String line) {
+                                            loop.schedule(0.05, () -> connection.sendLine("UP r"));
                                         }
 
                                         @Override
                                         public void disconnected(
-                                                LineConnection on, boolean broken) {
+                                                LineConnection connection, boolean broken) {
                                             // Counted by the load tool.
                                         }
                                     });
@@ -155,7 +156,7 @@
                     new Thread(
                             () -> {
                                 try {
-                                    pump.run(20);
+                                    loop.run(20);
                                 } catch (IOException e) {
                                     return;
                                 }
@@ -168,7 +169,7 @@
             options.lifetime = 0;
             options.concurrency = 1;
             LoadTool tool = LoadTool.drive(options);
-            pump.stop();
+            loop.stop();
             serverThread.join();
             assertTrue(
                     tool.opened > 10 && tool.opened == tool.scheduled, tool.figures().toString());
