--- a/lab/src/main/java/asterpulley/lab/fleet/Child.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ChildProcess.java
@@ -18,33 +18,33 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process of the laboratory itself: hollow relays, or stand-in servers. It is told what to do
- * line by line and answers each by a line of JSON. It is ended with the run, also when that is
- * broken off; no other process ever is.
+ * A process of the lab itself, running simulated relays or stub servers. It receives commands line
+ * by line and answers with lines of JSON. It is ended with this JVM, also when a run is aborted;
+ * other processes are never touched.
  */
-final class Child implements Closeable {
-    private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Set<Process> OURS = ConcurrentHashMap.newKeySet();
+final class ChildProcess implements Closeable {
+    private static final ObjectMapper JSON_MAPPER = new ObjectMapper();
+    private static final Set<Process> STARTED = ConcurrentHashMap.newKeySet();
 
     static {
         Runtime.getRuntime()
-                .addShutdownHook(new Thread(() -> OURS.forEach(Process::destroyForcibly)));
+                .addShutdownHook(new Thread(() -> STARTED.forEach(Process::destroyForcibly)));
     }
 
     private final Process process;
-    private final Writer to;
+    private final Writer commands;
     private final Path log;
 
-    /** What it said, in order; guarded by itself. */
-    private final List<JsonNode> said = new ArrayList<>();
+    /** The answers in order; also the lock that guards them and {@code ended}. */
+    private final List<JsonNode> answers = new ArrayList<>();
 
     private boolean ended;
 
-    /** Starts this main class with what it is told in a file, and so much heap. */
-    Child(Path folder, String name, Class<?> main, Map<String, Object> told, int heapMb)
+    /** Starts this main class with its options in a JSON file and with the given heap size. */
+    ChildProcess(Path folder, String name, Class<?> main, Map<String, Object> options, int heapMb)
             throws IOException {
-        Path file = folder.resolve(name + ".json");
-        Files.write(file, Catalog.json(told));
+        Path optionsFile = folder.resolve(name + ".json");
+        Files.write(optionsFile, ServerCatalog.toJson(options));
         log = folder.resolve(name + ".log");
         process =
                 new ProcessBuilder(
@@ -60,54 +60,53 @@
                                 "-cp",
                                 System.getProperty("java.class.path"),
                                 main.getName(),
-                                file.toString())
+                                optionsFile.toString())
                         .redirectError(log.toFile())
                         .start();
-        OURS.add(process);
-        to = process.outputWriter(StandardCharsets.US_ASCII);
-        Thread reader = new Thread(this::read, name);
+        STARTED.add(process);
+        commands = process.outputWriter(StandardCharsets.US_ASCII);
+        Thread reader = new Thread(this::readAnswers, name);
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read() {
+    private void readAnswers() {
         try (BufferedReader in =
                 new BufferedReader(
                         new InputStreamReader(
                                 process.getInputStream(), StandardCharsets.US_ASCII))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                JsonNode node = JSON.readTree(line);
-                synchronized (said) {
-                    said.add(node);
+                JsonNode node = JSON_MAPPER.readTree(line);
+                synchronized (answers) {
+                    answers.add(node);
                 }
             }
         } catch (IOException e) {
-            // Seen below as its end.
+            // The end of the process is reported by answer().
             return;
         } finally {
-            synchronized (said) {
+            synchronized (answers) {
                 ended = true;
             }
         }
     }
 
-    void tell(String line) throws IOException {
-        to.write(line + "\n");
-        to.flush();
+    void send(String line) throws IOException {
+        commands.write(line + "\n");
+        commands.flush();
     }
 
     /**
-     * Its n-th answer; null where that has not come yet. Whoever waits for one of a process that
-     * ended is told so.
+     * Returns the answer with index {@code n}, or null if it has not arrived yet. Throws if the
+     * process has ended without giving it.
      */
-    JsonNode answer(int n) throws IOException {
-        synchronized (said) {
-            if (said.size() > n) {
-                return said.get(n);
+    JsonNode answer(int index) throws IOException {
+        synchronized (answers) {
+            if (answers.size() > index) {
+                return answers.get(index);
             }
             if (ended) {
-                throw new IOException(
-                        "a process of the laboratory ended by itself; its log is " + log);
+                throw new IOException("a process of the lab ended by itself; its log is " + log);
             }
             return null;
         }
@@ -121,6 +120,6 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        OURS.remove(process);
+        STARTED.remove(process);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetFigures.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetFigures.java
@@ -5,15 +5,14 @@
 import java.util.Map;
 
 /**
- * The names of the figures that a fleet run gives, and which of them a line is fitted through. It
- * must never judge.
+ * The names of the figures that a fleet run reports, and of those that a line is fitted through.
  */
 final class FleetFigures {
     /**
-     * Of one relay and second while nothing but ordinary changes happens; {@code hollow.} and
-     * {@code real.} go before.
+     * Figures per relay, most of them also per second, measured while only ordinary changes happen;
+     * prefixed with {@code hollow.} for simulated relays or {@code real.} for real ones.
      */
-    static final List<String> A_RELAY =
+    static final List<String> PER_RELAY =
             List.of(
                     "list_calls_per_s",
                     "list_bytes_in_per_s",
@@ -29,10 +28,13 @@
                     "start_probes",
                     "tunnels_per_s");
 
-    /** What hollow relays are held against the real ones in; {@code against.} goes before. */
-    static final List<String> AGAINST = List.of("list_calls", "list_bytes", "probes", "messages");
+    /**
+     * Figures in which simulated relays are compared with real ones; prefixed with {@code
+     * against.}.
+     */
+    static final List<String> COMPARED = List.of("list_calls", "list_bytes", "probes", "messages");
 
-    private static final List<String> OTHERS =
+    private static final List<String> OTHER_FIGURES =
             List.of(
                     "hollow.thread_cpu_percent",
                     "hollow.start_list_bytes",
@@ -56,10 +58,10 @@
                     "run.late_share");
 
     /**
-     * Where settings are changed: from a change until it is in force, and the bytes of a relay and
-     * second, both ways.
+     * Figures of plans that change settings: the time from a change until it is active, and the
+     * bytes per relay and second in both directions.
      */
-    private static final List<String> SETTINGS =
+    private static final List<String> SETTINGS_FIGURES =
             List.of(
                     "settings.p50_ms",
                     "settings.p99_ms",
@@ -69,10 +71,10 @@
                     "settings.bytes_per_s",
                     "settings.whole_asked");
 
-    private static final List<String> AFTER =
+    private static final List<String> OBSERVATION_FIGURES =
             List.of("calls_worst", "connects_worst", "bytes_worst", "whole_asked", "told_s");
 
-    /** A line is fitted through these over the sizes. */
+    /** Figures that are fitted as a linear function of the size. */
     static final List<String> FITTED =
             List.of(
                     "hollow.list_calls_per_s",
@@ -93,42 +95,43 @@
 
     private FleetFigures() {}
 
-    /** True where some run of this plan gives that figure. */
-    static boolean known(String figure, FleetPlan plan) {
-        return names(plan).contains(figure);
+    /** Returns whether a run of this plan reports the figure. */
+    static boolean isKnown(String figure, FleetPlan plan) {
+        return allNames(plan).contains(figure);
     }
 
-    private static List<String> names(FleetPlan plan) {
-        List<String> names = new ArrayList<>(OTHERS);
-        A_RELAY.forEach(f -> names.add("hollow." + f));
-        if (plan.real > 0) {
-            A_RELAY.forEach(f -> names.add("real." + f));
-            AGAINST.forEach(f -> names.add("against." + f));
+    private static List<String> allNames(FleetPlan plan) {
+        List<String> names = new ArrayList<>(OTHER_FIGURES);
+        PER_RELAY.forEach(f -> names.add("hollow." + f));
+        if (plan.realRelays > 0) {
+            PER_RELAY.forEach(f -> names.add("real." + f));
+            COMPARED.forEach(f -> names.add("against." + f));
         }
         if (plan.changesSettings()) {
-            names.addAll(SETTINGS);
+            names.addAll(SETTINGS_FIGURES);
         }
         for (FleetPlan.Entry e : plan.entries) {
-            AFTER.forEach(f -> names.add("after." + e.kind.word() + "." + f));
+            OBSERVATION_FIGURES.forEach(f -> names.add("after." + e.kind.configName() + "." + f));
         }
         return names;
     }
 
-    /** How far hollow relays are from real ones, as a part of the real ones' figure. */
-    static void against(Map<String, Double> figures) {
-        part(figures, "list_calls", "list_calls_per_s");
-        part(figures, "list_bytes", "list_bytes_in_per_s", "list_bytes_out_per_s");
-        part(figures, "probes", "probes_per_s");
-        part(figures, "messages", "messages_in_per_s", "messages_out_per_s");
+    /** Computes the difference between simulated and real relays, relative to the real ones. */
+    static void putDifferences(Map<String, Double> figures) {
+        putDifference(figures, "list_calls", "list_calls_per_s");
+        putDifference(figures, "list_bytes", "list_bytes_in_per_s", "list_bytes_out_per_s");
+        putDifference(figures, "probes", "probes_per_s");
+        putDifference(figures, "messages", "messages_in_per_s", "messages_out_per_s");
     }
 
-    private static void part(Map<String, Double> figures, String to, String... of) {
-        double hollow = 0;
+    private static void putDifference(
+            Map<String, Double> figures, String name, String... summedFigures) {
+        double simulated = 0;
         double real = 0;
-        for (String f : of) {
-            hollow += figures.get("hollow." + f);
+        for (String f : summedFigures) {
+            simulated += figures.get("hollow." + f);
             real += figures.get("real." + f);
         }
-        figures.put("against." + to, real > 0 ? Math.abs(hollow / real - 1) : Double.NaN);
+        figures.put("against." + name, real > 0 ? Math.abs(simulated / real - 1) : Double.NaN);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetPlan.java
@@ -1,23 +1,23 @@
 package asterpulley.lab.fleet;
 
 import asterpulley.lab.plan.Plan;
-import asterpulley.lab.plan.Told;
+import asterpulley.lab.plan.RelaySettings;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * What a fleet experiment asks for: sizes to play one after the other, what relays are told, a
- * timetable and what is expected of every size. Plain values, read once and never changed; all
- * times are seconds.
+ * A fleet experiment: the sizes to run one after the other, the configuration of the relays, a
+ * schedule, and the expectations for every size. Plain values, read once and then unchanged; all
+ * times are in seconds.
  */
 public final class FleetPlan {
-    /** One play: so many hollow relays over so many servers. */
+    /** One run: the numbers of simulated relays and of servers. */
     public record Size(int relays, int servers) {}
 
     /**
-     * What an entry of the timetable does. Whoever adds a watched thing adds its change here and in
+     * What a schedule entry does. A new kind of watched resource needs a kind of change here and in
      * {@link Schedule}.
      */
     public enum Kind {
@@ -29,50 +29,55 @@
         LIST_LATE,
         ROLL;
 
-        public String word() {
+        /** Returns the name of this kind in experiment files and figures. */
+        public String configName() {
             return name().toLowerCase().replace('_', '-');
         }
     }
 
+    /** One entry of the schedule; which fields apply depends on its kind. */
     public static final class Entry {
         public Kind kind = Kind.CHANGE;
-        public double at, lasts = 5, every = 3, stepEvery = 1, down = 1, delay = 1;
+        public double at, duration = 5, interval = 3, stepInterval = 1, downTime = 1, delay = 1;
 
-        /** The part of all relays that one step of a roll restarts. */
-        public double step = 0.1;
+        /** The share of all relays that one step of a rolling restart covers. */
+        public double stepShare = 0.1;
 
         public int zone;
     }
 
     public String name, title;
     public long seed = 1;
-    public double length = 30, settle = 4, startWithin = 4, toldLate = 0.4;
-    public int zones = 11, real = 2, probeConnections, sockets = 8192, memory = 64;
+    public double duration = 30, settleTime = 4, startSpread = 4, listDelay = 0.4;
+    public int zones = 11, realRelays = 2, probeConnections, maxSockets = 8192, memoryMb = 64;
 
     /**
-     * Relays start with the list as of their process's start; else with none, and ask for the
-     * whole.
+     * Whether relays start with the server list as of their start; if not, they start without one
+     * and request the full list.
      */
-    public boolean known = true;
+    public boolean startsWithList = true;
 
-    /** Relays are told who tells settings; else theirs are those of their start. */
-    public boolean settingsTold = true;
+    /**
+     * Whether relays are given a settings service; if not, they keep the settings they started
+     * with.
+     */
+    public boolean watchesSettings = true;
 
-    public double tunnels = 0.5, lifetime = 20, setup = 0.02, reported = 0.4;
-    public double probeFee = 0.01, crossingFee = 0.02, deemedTold = 6;
+    public double tunnelsPerSecond = 0.5, tunnelLifetime = 20, setupTime = 0.02, reportedLoad = 0.4;
+    public double probeFee = 0.01, crossZoneFee = 0.02, assumedListDelay = 6;
     public final List<Size> sizes = new ArrayList<>();
     public final List<Entry> entries = new ArrayList<>();
-    public final List<Plan.Expect> expects = new ArrayList<>();
+    public final List<Plan.Expectation> expectations = new ArrayList<>();
 
-    /** Everything in half the time. */
+    /** Halves all times, for a quick run. */
     public void halve() {
-        length /= 2;
-        settle /= 2;
-        startWithin /= 2;
+        duration /= 2;
+        settleTime /= 2;
+        startSpread /= 2;
         for (Entry e : entries) {
             e.at /= 2;
-            e.lasts /= 2;
-            e.stepEvery /= 2;
+            e.duration /= 2;
+            e.stepInterval /= 2;
         }
     }
 
@@ -80,48 +85,58 @@
         return entries.stream().anyMatch(e -> e.kind == Kind.SETTINGS);
     }
 
-    public String zone(int number) {
+    /** Returns the zone of the server or relay with this number. */
+    public String zoneName(int number) {
         return "z" + (number % zones + 1);
     }
 
     /**
-     * The settings of a relay of this zone, under the platform's names, as every relay of the
-     * laboratory is told them.
+     * Returns the settings of a relay in this zone, under their external names and with the
+     * defaults of all lab relays.
      */
-    Map<String, Object> settings(int zone, Size size) {
+    Map<String, Object> relaySettings(int zone, Size size) {
         Plan plan = new Plan();
         for (int z = 0; z < zones; z++) {
-            plan.rooms.add(zone(z));
+            plan.rooms.add(zoneName(z));
         }
         plan.profiles.add(new Plan.ProfilePlan());
         plan.customers.add(new Plan.CustomerPlan());
         plan.servers.add(new Plan.ServerPlan());
         plan.probeFee = probeFee;
-        plan.crossingFee = crossingFee;
-        plan.deemedTold = deemedTold;
-        Map<String, Object> settings = new LinkedHashMap<>(Told.settings(plan, zone));
+        plan.crossZoneFee = crossZoneFee;
+        plan.assumedListDelay = assumedListDelay;
+        Map<String, Object> settings = new LinkedHashMap<>(RelaySettings.settingsFor(plan, zone));
         settings.put("siblings", size.relays);
         return settings;
     }
 
-    /** A relay's configuration, hollow or real; {@code known} is the list that it starts with. */
-    Map<String, Object> config(
-            String name, int number, Size size, String listen, String list, Object known) {
+    /**
+     * Returns the configuration of a relay, simulated or real; {@code initialList} is the server
+     * list it starts with.
+     */
+    Map<String, Object> relayConfig(
+            String name,
+            int number,
+            Size size,
+            String listenAddress,
+            String discoveryAddress,
+            Object initialList) {
         Map<String, Object> config =
-                Told.map(
+                RelaySettings.mapOf(
                         "name",
                         name,
                         "listen",
-                        listen,
+                        listenAddress,
                         "discovery",
-                        list,
+                        discoveryAddress,
                         "seed",
                         Long.toHexString(seed * 1_000_003 + number * 1009L),
                         "limits",
-                        Told.map("cores", 1.0, "memory_mb", memory, "sockets", sockets),
+                        RelaySettings.mapOf(
+                                "cores", 1.0, "memory_mb", memoryMb, "sockets", maxSockets),
                         "known",
-                        known);
-        config.put("settings", settings(number % zones, size));
+                        initialList);
+        config.put("settings", relaySettings(number % zones, size));
         return config;
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/FleetReports.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/FleetReports.java
@@ -1,7 +1,7 @@
 package asterpulley.lab.fleet;
 
 import asterpulley.lab.plan.Plan;
-import asterpulley.lab.plan.Told;
+import asterpulley.lab.plan.RelaySettings;
 import asterpulley.lab.report.Reports;
 import asterpulley.lab.report.Tables;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -16,51 +16,53 @@
 import java.util.Map;
 
 /**
- * Writes what a fleet experiment gave into files: JSON for scripts, and a page that needs no
+ * Writes the results of a fleet experiment as JSON for scripts and as an HTML page that needs no
  * network.
  */
 final class FleetReports {
-    private static final ObjectMapper JSON =
+    private static final ObjectMapper JSON_MAPPER =
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
     private FleetReports() {}
 
-    static byte[] json(FleetPlan plan, FleetLab lab, String by) throws IOException {
-        List<Object> plays = new ArrayList<>();
-        for (FleetOutcome o : lab.outcomes()) {
-            List<Object> expects = new ArrayList<>();
-            for (Plan.Expect e : plan.expects) {
-                expects.add(
-                        Told.map(
+    static byte[] toJson(FleetPlan plan, FleetLab lab, String by) throws IOException {
+        List<Object> results = new ArrayList<>();
+        for (FleetResult result : lab.results()) {
+            List<Object> expectations = new ArrayList<>();
+            for (Plan.Expectation expectation : plan.expectations) {
+                expectations.add(
+                        RelaySettings.mapOf(
                                 "figure",
-                                e.figure(),
+                                expectation.figure(),
                                 "expected",
-                                e.sign() + " " + Tables.plain(e.bound()),
+                                expectation.operator()
+                                        + " "
+                                        + Tables.formatNumber(expectation.bound()),
                                 "is",
-                                o.figure(e.figure()),
+                                result.figure(expectation.figure()),
                                 "holds",
-                                o.holds(e)));
+                                result.holds(expectation)));
             }
-            plays.add(
-                    Told.map(
+            results.add(
+                    RelaySettings.mapOf(
                             "on",
                             "hollow relays",
                             "policy",
-                            o.size.relays() + " relays, " + o.size.servers() + " servers",
+                            result.size.relays() + " relays, " + result.size.servers() + " servers",
                             "relays",
-                            o.size.relays(),
+                            result.size.relays(),
                             "servers",
-                            o.size.servers(),
+                            result.size.servers(),
                             "verdict",
-                            o.noVerdict != null
-                                    ? "none: " + o.noVerdict
-                                    : o.good(plan) ? "holds" : "short",
+                            result.noVerdictReason != null
+                                    ? "none: " + result.noVerdictReason
+                                    : result.meetsExpectations(plan) ? "holds" : "short",
                             "expect",
-                            expects,
+                            expectations,
                             "figures",
-                            o.figures,
+                            result.figures,
                             "by_second",
-                            o.seconds));
+                            result.perSecond));
         }
         Map<String, Object> slopes = new LinkedHashMap<>();
         lab.fits()
@@ -68,15 +70,15 @@
                         (name, fit) ->
                                 slopes.put(
                                         name,
-                                        Told.map(
+                                        RelaySettings.mapOf(
                                                 "slope",
                                                 fit.slope(),
                                                 "error",
-                                                fit.error(),
+                                                fit.standardError(),
                                                 "at_0",
-                                                fit.at0())));
-        return JSON.writeValueAsBytes(
-                Told.map(
+                                                fit.intercept())));
+        return JSON_MAPPER.writeValueAsBytes(
+                RelaySettings.mapOf(
                         "experiment",
                         plan.name,
                         "title",
@@ -84,39 +86,43 @@
                         "seed",
                         plan.seed,
                         "plays",
-                        plays,
+                        results,
                         "slopes_by",
                         by,
                         "slopes",
                         slopes));
     }
 
-    static void html(FleetPlan plan, FleetLab lab, String by, Path to) throws IOException {
-        StringBuilder page = new StringBuilder(Reports.head(plan.title, plan.name, plan.seed));
-        for (FleetOutcome o : lab.outcomes()) {
+    static void writeHtml(FleetPlan plan, FleetLab lab, String by, Path to) throws IOException {
+        StringBuilder page = new StringBuilder(Reports.pageHead(plan.title, plan.name, plan.seed));
+        for (FleetResult result : lab.results()) {
             page.append("<h2>")
-                    .append(o.size.relays())
+                    .append(result.size.relays())
                     .append(" hollow relays, ")
-                    .append(o.size.servers())
+                    .append(result.size.servers())
                     .append(" servers</h2>");
-            if (o.noVerdict != null) {
+            if (result.noVerdictReason != null) {
                 page.append("<p class=short>no verdict: ")
-                        .append(Reports.safe(o.noVerdict))
+                        .append(Reports.escapeHtml(result.noVerdictReason))
                         .append("</p>");
             }
             page.append("<table><tr><th>figure<th>is<th>expected<th>");
-            for (Plan.Expect e : plan.expects) {
-                page.append(Reports.row(e, o.figure(e.figure()), o.holds(e)));
+            for (Plan.Expectation expectation : plan.expectations) {
+                page.append(
+                        Reports.expectationRow(
+                                expectation,
+                                result.figure(expectation.figure()),
+                                result.holds(expectation)));
             }
-            o.figures.forEach(
+            result.figures.forEach(
                     (name, is) ->
                             page.append("<tr><td>")
                                     .append(name)
                                     .append("<td>")
-                                    .append(FleetLab.small(is)));
+                                    .append(FleetLab.formatNumber(is)));
             page.append("</table>");
         }
-        page.append(Reports.plots(new String(json(plan, lab, by), StandardCharsets.UTF_8)));
+        page.append(Reports.plotsHtml(new String(toJson(plan, lab, by), StandardCharsets.UTF_8)));
         Files.writeString(to, page.toString());
     }
 }
--- a/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/RealClients.java
@@ -1,87 +1,92 @@
 package asterpulley.lab.fleet;
 
-import asterpulley.lab.sock.Conn;
-import asterpulley.lab.sock.Pump;
+import asterpulley.lab.sock.LineConnection;
+import asterpulley.lab.sock.SelectorLoop;
 import java.net.InetSocketAddress;
 
 /**
- * The clients of one real relay beside the hollow ones: openings at the same rate as theirs, which
- * stand as long. It must never retry.
+ * The clients of one real relay: they open tunnels at the same rate and with the same lifetimes as
+ * a simulated relay's, and never retry.
  */
 final class RealClients {
-    private final Pump pump;
+    private static final double PROBE_INTERVAL_SECONDS = 0.05;
+
+    private final SelectorLoop loop;
     private final InetSocketAddress relay;
-    private final Arrivals arrivals;
-    boolean ready, over;
+    private final TunnelArrivals arrivals;
+    boolean ready, stopped;
     long opened, failed;
 
-    RealClients(FleetPlan plan, Pump pump, InetSocketAddress relay, int number) {
-        this.pump = pump;
+    RealClients(FleetPlan plan, SelectorLoop loop, InetSocketAddress relay, int number) {
+        this.loop = loop;
         this.relay = relay;
-        arrivals = new Arrivals(plan.seed, number, plan.tunnels, plan.lifetime);
+        arrivals =
+                new TunnelArrivals(plan.seed, number, plan.tunnelsPerSecond, plan.tunnelLifetime);
     }
 
-    /** Asks until the relay answers, as a front does. */
-    void waitFor() {
-        pump.connect(
+    /** Probes the relay until it answers, like a frontend does. */
+    void probeUntilReady() {
+        loop.connect(
                 relay,
-                new Conn.Ear() {
+                new LineConnection.Handler() {
                     @Override
-                    public void up(Conn conn) {
-                        conn.say("PING");
+                    public void connected(LineConnection connection) {
+                        connection.sendLine("PING");
                     }
 
                     @Override
-                    public void line(Conn conn, String line) {
-                        conn.close();
+                    public void lineReceived(LineConnection connection, String line) {
+                        connection.close();
                         ready = true;
                     }
 
                     @Override
-                    public void ended(Conn conn, boolean broken) {
-                        if (!over) {
-                            pump.after(0.05, RealClients.this::waitFor);
+                    public void disconnected(LineConnection connection, boolean broken) {
+                        if (!stopped) {
+                            loop.schedule(
+                                    PROBE_INTERVAL_SECONDS, RealClients.this::probeUntilReady);
                         }
                     }
                 });
     }
 
     void start() {
-        if (!over && arrivals.any()) {
-            pump.after(arrivals.gap(), this::comes);
+        if (!stopped && arrivals.hasArrivals()) {
+            loop.schedule(arrivals.nextGap(), this::openTunnel);
         }
     }
 
-    private void comes() {
+    private void openTunnel() {
         start();
-        if (over) {
+        if (stopped) {
             return;
         }
-        String id = arrivals.id();
-        pump.connect(
+        String id = arrivals.nextId();
+        loop.connect(
                 relay,
-                new Conn.Ear() {
+                new LineConnection.Handler() {
                     @Override
-                    public void up(Conn conn) {
-                        conn.say("OPEN " + id + " " + id + " c=live,t=all,d=2000,g=c" + id);
+                    public void connected(LineConnection connection) {
+                        connection.sendLine(
+                                "OPEN " + id + " " + id + " c=live,t=all,d=2000,g=c" + id);
                     }
 
                     @Override
-                    public void line(Conn conn, String line) {
+                    public void lineReceived(LineConnection connection, String line) {
                         if (line.startsWith("UP")) {
                             opened++;
-                            pump.after(arrivals.lifetime(), conn::close);
+                            loop.schedule(arrivals.nextLifetime(), connection::close);
                         } else if (line.startsWith("BUSY") || line.startsWith("ERR")) {
                             failed++;
-                            conn.close();
+                            connection.close();
                         } else {
-                            conn.close();
+                            connection.close();
                         }
                     }
 
                     @Override
-                    public void ended(Conn conn, boolean broken) {
-                        // It stood where a server or the relay went.
+                    public void disconnected(LineConnection connection, boolean broken) {
+                        // The server or the relay was stopped.
                     }
                 });
     }
--- a/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
+++ b/lab/src/main/java/asterpulley/lab/fleet/ServersMain.java
@@ -1,9 +1,9 @@
 package asterpulley.lab.fleet;
 
 import asterpulley.decode.Json;
-import asterpulley.lab.plan.Told;
-import asterpulley.lab.sock.Conn;
-import asterpulley.lab.sock.Pump;
+import asterpulley.lab.plan.RelaySettings;
+import asterpulley.lab.sock.LineConnection;
+import asterpulley.lab.sock.SelectorLoop;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -24,119 +24,123 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * A process of stand-in servers: each listens at one address for every process of relays, so that
- * it is known who asks, reports a load that never changes and opens whatever it is sent after the
- * same time. Told {@code gone} and {@code back} with servers by number, {@code begin}, {@code
- * count} and {@code end}. It ends with who started it. It must count all that it is asked and
- * decide nothing.
+ * A process of stub servers. Each server listens on one address per process of relays, so that
+ * traffic is counted separately; it reports a constant load and opens every tunnel after a fixed
+ * time. It reads commands line by line: {@code gone} and {@code back} with server numbers, {@code
+ * begin}, {@code count} and {@code end}. It also ends when its parent's pipe closes. It only counts
+ * and makes no decisions.
  */
 final class ServersMain {
-    private static final int LINE_END = 2;
-    private static final double LOOK = 0.005;
+    private static final int LINE_END_BYTES = 2;
+    private static final double COMMAND_POLL_SECONDS = 0.005;
 
-    private final Pump pump = new Pump();
-    private final InetAddress here;
-    private final String report;
-    private final double setup;
+    private final SelectorLoop loop = new SelectorLoop();
+    private final InetAddress hostAddress;
+    private final String loadReport;
+    private final double setupSeconds;
     private final List<Caller> callers = new ArrayList<>();
-    private final Queue<String> orders = new ConcurrentLinkedQueue<>();
-
-    private ServersMain(Map<String, Object> told) throws IOException {
-        here = InetAddress.getByName(Json.text(told, "here"));
-        report = String.format(Locale.ROOT, "PONG x0=%.5f", Json.number(told, "reported", 0));
-        setup = Json.number(told, "setup", 0);
-        for (Object name : Json.list(told, "callers")) {
+    private final Queue<String> commands = new ConcurrentLinkedQueue<>();
+
+    private ServersMain(Map<String, Object> options) throws IOException {
+        hostAddress = InetAddress.getByName(Json.text(options, "here"));
+        loadReport =
+                String.format(Locale.ROOT, "PONG x0=%.5f", Json.number(options, "reported", 0));
+        setupSeconds = Json.number(options, "setup", 0);
+        for (Object name : Json.list(options, "callers")) {
             callers.add(
                     new Caller(
                             (String) name,
-                            (int) Json.number(told, "servers", 0),
-                            Json.integer(told, "zero")));
+                            (int) Json.number(options, "servers", 0),
+                            Json.integer(options, "zero")));
         }
     }
 
-    /** One process of relays, and where it reaches the servers. */
+    /** One process of relays, with the addresses at which it reaches the servers. */
     private final class Caller {
         private final String name;
-        private final Tally tally;
-        private final Pump.Listening[] listening;
+        private final TrafficCounters counters;
+        private final SelectorLoop.ListeningSocket[] sockets;
         private final InetSocketAddress[] addresses;
-        private final List<Set<Conn>> conns = new ArrayList<>();
+        private final List<Set<LineConnection>> connections = new ArrayList<>();
 
-        private Caller(String name, int servers, long zero) throws IOException {
+        private Caller(String name, int servers, long startNanos) throws IOException {
             this.name = name;
-            tally = new Tally(zero);
-            listening = new Pump.Listening[servers];
+            counters = new TrafficCounters(startNanos);
+            sockets = new SelectorLoop.ListeningSocket[servers];
             addresses = new InetSocketAddress[servers];
             for (int s = 0; s < servers; s++) {
-                addresses[s] = new InetSocketAddress(here, 0);
-                conns.add(new LinkedHashSet<>());
+                addresses[s] = new InetSocketAddress(hostAddress, 0);
+                connections.add(new LinkedHashSet<>());
                 listen(s);
             }
         }
 
         private void listen(int server) throws IOException {
-            listening[server] =
-                    pump.listen(
+            sockets[server] =
+                    loop.listen(
                             addresses[server],
-                            conn -> {
-                                tally.add(Tally.What.CONNECTS, 1);
-                                conns.get(server).add(conn);
-                                return new Line(this, server);
+                            connection -> {
+                                counters.add(TrafficCounters.Counter.CONNECTS, 1);
+                                connections.get(server).add(connection);
+                                return new ServerConnection(this, server);
                             });
-            addresses[server] = listening[server].address;
+            addresses[server] = sockets[server].address;
         }
 
-        private void gone(int server) {
-            listening[server].close();
-            List.copyOf(conns.get(server)).forEach(Conn::reset);
-            conns.get(server).clear();
+        private void stop(int server) {
+            sockets[server].close();
+            List.copyOf(connections.get(server)).forEach(LineConnection::reset);
+            connections.get(server).clear();
         }
 
-        private List<String> dials() {
+        private List<String> dialAddresses() {
             return Arrays.stream(addresses)
                     .map(a -> a.getHostString() + ":" + a.getPort())
                     .toList();
         }
     }
 
-    private final class Line implements Conn.Ear {
-        private final Caller of;
+    /** A connection from one process of relays to one server. */
+    private final class ServerConnection implements LineConnection.Handler {
+        private final Caller caller;
         private final int server;
 
-        private Line(Caller of, int server) {
-            this.of = of;
+        private ServerConnection(Caller caller, int server) {
+            this.caller = caller;
             this.server = server;
         }
 
         @Override
-        public void line(Conn conn, String line) {
+        public void lineReceived(LineConnection connection, String line) {
             if (line.equals("STATS")) {
-                of.tally.add(Tally.What.CALLS, 1);
-                of.tally.add(Tally.What.BYTES_FROM, line.length() + LINE_END);
-                of.tally.add(Tally.What.BYTES_TO, report.length() + LINE_END);
-                of.tally.add(Tally.What.ANSWERS, 1);
-                conn.say(report);
+                caller.counters.add(TrafficCounters.Counter.CALLS, 1);
+                caller.counters.add(
+                        TrafficCounters.Counter.BYTES_FROM, line.length() + LINE_END_BYTES);
+                caller.counters.add(
+                        TrafficCounters.Counter.BYTES_TO, loadReport.length() + LINE_END_BYTES);
+                caller.counters.add(TrafficCounters.Counter.ANSWERS, 1);
+                connection.sendLine(loadReport);
             } else if (line.startsWith("OPEN ")) {
-                of.tally.add(Tally.What.OPENINGS, 1);
-                pump.after(setup, () -> conn.say("UP s" + server));
+                caller.counters.add(TrafficCounters.Counter.OPENINGS, 1);
+                loop.schedule(setupSeconds, () -> connection.sendLine("UP s" + server));
             } else {
-                conn.say("ok " + line);
+                connection.sendLine("ok " + line);
             }
         }
 
         @Override
-        public void ended(Conn conn, boolean broken) {
-            of.conns.get(server).remove(conn);
+        public void disconnected(LineConnection connection, boolean broken) {
+            caller.connections.get(server).remove(connection);
         }
     }
 
     @SuppressWarnings("unchecked")
     public static void main(String[] args) throws IOException {
-        new ServersMain(new ObjectMapper().readValue(Path.of(args[0]).toFile(), Map.class)).serve();
+        new ServersMain(new ObjectMapper().readValue(Path.of(args[0]).toFile(), Map.class)).run();
         System.exit(0);
     }
 
-    private void serve() throws IOException {
+    private void run() throws IOException {
         Thread reader =
                 new Thread(
                         () -> {
@@ -147,67 +151,67 @@
                                 for (String line = in.readLine();
                                         line != null;
                                         line = in.readLine()) {
-                                    orders.add(line);
+                                    commands.add(line);
                                 }
                             } catch (IOException e) {
-                                // As an end.
-                                orders.add("end");
+                                // Treated as the end command.
+                                commands.add("end");
                             }
-                            orders.add("end");
+                            commands.add("end");
                         });
         reader.setDaemon(true);
         reader.start();
         Map<String, Object> dials = new LinkedHashMap<>();
-        callers.forEach(c -> dials.put(c.name, c.dials()));
-        say(dials);
-        look();
-        pump.run(Double.MAX_VALUE);
-        Map<String, Object> last = counts();
+        callers.forEach(c -> dials.put(c.name, c.dialAddresses()));
+        writeAnswer(dials);
+        runCommands();
+        loop.run(Double.MAX_VALUE);
+        Map<String, Object> finalAnswer = counts();
         Map<String, Object> seconds = new LinkedHashMap<>();
-        callers.forEach(c -> seconds.put(c.name, c.tally.seconds()));
-        last.put("seconds", seconds);
-        last.put("late_share", pump.lateShare());
-        say(last);
+        callers.forEach(c -> seconds.put(c.name, c.counters.countsPerSecond()));
+        finalAnswer.put("seconds", seconds);
+        finalAnswer.put("late_share", loop.lateShare());
+        writeAnswer(finalAnswer);
     }
 
-    private void look() {
-        for (String line = orders.poll(); line != null; line = orders.poll()) {
-            int[] who =
+    private void runCommands() {
+        for (String line = commands.poll(); line != null; line = commands.poll()) {
+            int[] serverNumbers =
                     Arrays.stream(line.split(" ")).skip(1).mapToInt(Integer::parseInt).toArray();
             switch (line.split(" ")[0]) {
-                case "begin" -> pump.countFromNow();
-                case "count" -> say(counts());
-                case "gone" -> callers.forEach(c -> Arrays.stream(who).forEach(c::gone));
-                case "back" -> back(who);
+                case "begin" -> loop.resetLateness();
+                case "count" -> writeAnswer(counts());
+                case "gone" -> callers.forEach(c -> Arrays.stream(serverNumbers).forEach(c::stop));
+                case "back" -> restartServers(serverNumbers);
                 default -> {
-                    pump.stop();
+                    loop.stop();
                     return;
                 }
             }
         }
-        pump.after(LOOK, this::look);
+        loop.schedule(COMMAND_POLL_SECONDS, this::runCommands);
     }
 
-    private void back(int[] who) {
+    private void restartServers(int[] serverNumbers) {
         try {
             for (Caller c : callers) {
-                for (int s : who) {
+                for (int s : serverNumbers) {
                     c.listen(s);
                 }
             }
         } catch (IOException e) {
-            throw new IllegalStateException("a server can't come back to its address", e);
+            throw new IllegalStateException("a server cannot listen on its address again", e);
         }
     }
 
     private Map<String, Object> counts() {
-        Map<String, Object> counts = Told.map("at", System.nanoTime());
-        callers.forEach(c -> counts.put(c.name, c.tally.totals()));
+        Map<String, Object> counts = RelaySettings.mapOf("at", System.nanoTime());
+        callers.forEach(c -> counts.put(c.name, c.counters.totals()));
         return counts;
     }
 
-    private static void say(Map<String, Object> answer) {
-        System.out.println(new String(Catalog.json(answer), StandardCharsets.US_ASCII));
+    private static void writeAnswer(Map<String, Object> answer) {
+        System.out.println(new String(ServerCatalog.toJson(answer), StandardCharsets.US_ASCII));
         System.out.flush();
     }
 }
--- a/lab/src/main/java/asterpulley/lab/sock/RelayConfig.java
+++ b/lab/src/main/java/asterpulley/lab/sock/RelayConfig.java
@@ -1,37 +1,41 @@
 package asterpulley.lab.sock;
 
 import asterpulley.lab.plan.Plan;
-import asterpulley.lab.plan.Told;
-import asterpulley.lab.world.World;
+import asterpulley.lab.plan.RelaySettings;
+import asterpulley.lab.world.Simulation;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /**
- * Writes what a relay process is told, under the platform's names. It must say nothing that the
- * plan does not say.
+ * Builds the configuration of a relay process from a plan, under the configuration's external
+ * names. It contains only what the plan states.
  */
 public final class RelayConfig {
     private RelayConfig() {}
 
     static Map<String, Object> of(
             Plan plan,
-            World world,
+            Simulation simulation,
             int relay,
-            String listen,
-            String list,
-            Map<String, Object> known) {
+            String listenAddress,
+            String discoveryAddress,
+            Map<String, Object> initialList) {
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", "r" + (relay + 1));
-        config.put("listen", listen);
-        config.put("discovery", list);
+        config.put("listen", listenAddress);
+        config.put("discovery", discoveryAddress);
         config.put(
                 "seed",
-                Long.toHexString(plan.seed * 1_000_003 + relay * 1009L + world.relayLife(relay)));
+                Long.toHexString(
+                        plan.seed * 1_000_003
+                                + relay * 1009L
+                                + simulation.relayIncarnation(relay)));
         config.put(
                 "limits",
-                Told.map("cores", 1.0, "memory_mb", plan.memory, "sockets", plan.sockets));
-        config.put("known", known);
-        config.put("settings", Told.settings(plan, world.roomOfRelay(relay)));
+                RelaySettings.mapOf(
+                        "cores", 1.0, "memory_mb", plan.memoryMb, "sockets", plan.maxSockets));
+        config.put("known", initialList);
+        config.put("settings", RelaySettings.settingsFor(plan, simulation.roomOfRelay(relay)));
         if (plan.routes != null) {
             config.put("routes", plan.routes);
         }
--- a/lab/src/test/java/asterpulley/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/asterpulley/lab/fleet/FleetTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A small fleet of hollow relays on sockets: it is measured, and its judge can fail. */
+/**
+ * Runs a small fleet of simulated relays on sockets: figures are measured, and expectations can
+ * fail.
+ */
 @Timeout(120)
 class FleetTest {
     private static final String SMALL =
@@ -47,62 +50,62 @@
     private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
 
     private FleetPlan plan(String text) {
-        TomlDocument sheet = TomlDocument.parse("small.toml", text);
-        FleetPlan plan = FleetReader.read(sheet, "small");
-        assertEquals(List.of(), sheet.problems());
+        TomlDocument document = TomlDocument.parse("small.toml", text);
+        FleetPlan plan = FleetReader.read(document, "small");
+        assertEquals(List.of(), document.problems());
         return plan;
     }
 
-    private FleetLab play(String text) throws IOException {
-        return new FleetLab(plan(text), new PrintStream(printed)).play();
+    private FleetLab run(String text) throws IOException {
+        return new FleetLab(plan(text), new PrintStream(printed)).run();
     }
 
     @Test
-    void hollowRelaysAreMeasuredBesideARealOne() throws IOException {
-        FleetLab lab = play(SMALL.formatted(6, 1));
-        boolean good = lab.verdict();
-        FleetOutcome o = lab.outcomes().get(0);
-        // A busy machine may leave no verdict; what was measured then still has to hold.
-        assertEquals(o.noVerdict == null, good, printed.toString());
+    void simulatedRelaysAreComparedWithRealOne() throws IOException {
+        FleetLab lab = run(SMALL.formatted(6, 1));
+        boolean passed = lab.printVerdict();
+        FleetResult result = lab.results().get(0);
+        // A busy machine may leave no verdict; what was measured still has to hold.
+        assertEquals(result.noVerdictReason == null, passed, printed.toString());
         assertTrue(
-                o.figure("inforce.last_ms") < 3000 && o.figure("inforce.missing") == 0,
+                result.figure("inforce.last_ms") < 3000 && result.figure("inforce.missing") == 0,
                 printed.toString());
-        // 20 changes, each told to 20 relays; the last two may be made too close to the end.
-        assertTrue(o.figure("inforce.count") >= 18 * 20, o.figures.toString());
+        // 20 changes, each published to 20 relays; the last two may come too close to the end.
+        assertTrue(result.figure("inforce.count") >= 18 * 20, result.figures.toString());
         assertEquals(
-                o.figure("real.list_calls_per_s"),
-                o.figure("hollow.list_calls_per_s"),
+                result.figure("real.list_calls_per_s"),
+                result.figure("hollow.list_calls_per_s"),
                 0.34,
-                o.figures.toString());
+                result.figures.toString());
         assertTrue(
-                o.figure("hollow.probes_per_s") > 1 && o.figure("real.probes_per_s") > 1,
-                o.figures.toString());
-        assertTrue(o.figure("tunnels.opened_share") > 0.9, o.figures.toString());
+                result.figure("hollow.probes_per_s") > 1 && result.figure("real.probes_per_s") > 1,
+                result.figures.toString());
+        assertTrue(result.figure("tunnels.opened_share") > 0.9, result.figures.toString());
         assertTrue(
-                o.figure("hollow.cpu_percent") > 0 && o.figure("hollow.heap_mb") > 0,
-                o.figures.toString());
+                result.figure("hollow.cpu_percent") > 0 && result.figure("hollow.heap_mb") > 0,
+                result.figures.toString());
         assertTrue(
                 printed.toString().contains("hollow and real relays differ by"),
                 printed.toString());
-        JsonNode json = new ObjectMapper().readTree(lab.json());
+        JsonNode json = new ObjectMapper().readTree(lab.toJson());
         assertEquals(6, json.get("plays").get(0).get("by_second").get("list_calls").size());
     }
 
     @Test
-    void aListThatIsToldLateMakesAnExpectationFall() throws IOException {
+    void lateListFailsExpectation() throws IOException {
         FleetLab lab =
-                play(
+                run(
                         SMALL.formatted(6, 0)
                                 + "[[entry]]\nkind = \"list-late\"\nat_s = 0\nfor_s = 2\ndelay_s = 3.2\n");
-        assertFalse(lab.verdict());
-        assertTrue(lab.outcomes().get(0).figure("inforce.last_ms") >= 3200, printed.toString());
+        assertFalse(lab.printVerdict());
+        assertTrue(lab.results().get(0).figure("inforce.last_ms") >= 3200, printed.toString());
         assertTrue(printed.toString().contains("SHORT    inforce.last_ms"), printed.toString());
     }
 
     @Test
-    void afterACutAllComeBackAndLearnWhatTheyMissed() throws IOException {
+    void relaysCatchUpAfterListOutage() throws IOException {
         FleetLab lab =
-                play(
+                run(
                         SMALL.formatted(8, 0)
                                 + """
                 [[entry]]
@@ -115,15 +118,17 @@
                 for_s = 1
                 zone = 2
                 """);
-        lab.verdict();
-        FleetOutcome o = lab.outcomes().get(0);
-        // Twenty calls at least in the seconds after it, and as many new connections over the run.
-        assertTrue(o.figure("after.list-cut.calls_worst") >= 10, o.figures.toString());
-        assertTrue(o.figure("worst.connects_per_s") >= 10, o.figures.toString());
+        lab.printVerdict();
+        FleetResult result = lab.results().get(0);
+        // At least twenty requests in the seconds after the cut, and as many new connections over
+        // the run.
+        assertTrue(result.figure("after.list-cut.calls_worst") >= 10, result.figures.toString());
+        assertTrue(result.figure("worst.connects_per_s") >= 10, result.figures.toString());
         assertTrue(
-                o.figure("after.list-cut.told_s") > 0 && o.figure("after.list-cut.told_s") < 7,
-                o.figures.toString());
-        assertEquals(0, o.figure("inforce.missing"), o.figures.toString());
+                result.figure("after.list-cut.told_s") > 0
+                        && result.figure("after.list-cut.told_s") < 7,
+                result.figures.toString());
+        assertEquals(0, result.figure("inforce.missing"), result.figures.toString());
     }
 
     private static final String SETTINGS =
@@ -136,55 +141,57 @@
                     + "[[entry]]\nkind = \"zone-relays\"\nat_s = 1\nfor_s = 1\nzone = 2\n";
 
     @Test
-    void changedSettingsAreInForceAtEveryRelayThatStands() throws IOException {
-        FleetLab lab = play(SETTINGS);
-        lab.verdict();
-        FleetOutcome o = lab.outcomes().get(0);
-        assertEquals(0, o.figure("settings.missing"), o.figures.toString());
+    void changedSettingsReachEveryRunningRelay() throws IOException {
+        FleetLab lab = run(SETTINGS);
+        lab.printVerdict();
+        FleetResult result = lab.results().get(0);
+        assertEquals(0, result.figure("settings.missing"), result.figures.toString());
         assertTrue(
-                o.figure("settings.last_ms") > 0 && o.figure("settings.last_ms") < 5000,
-                o.figures.toString());
-        // 16 changes; a quarter of 20 relays is away for some of them.
-        assertTrue(o.figure("settings.count") >= 12 * 15, o.figures.toString());
+                result.figure("settings.last_ms") > 0 && result.figure("settings.last_ms") < 5000,
+                result.figures.toString());
+        // 16 changes; a quarter of the 20 relays is stopped for some of them.
+        assertTrue(result.figure("settings.count") >= 12 * 15, result.figures.toString());
         assertEquals(
                 25,
-                o.figure("settings.whole_asked"),
-                "a whole copy at a start, and none besides: " + o.figures);
+                result.figure("settings.whole_asked"),
+                "a whole copy at a start, and none besides: " + result.figures);
     }
 
     @Test
-    void withoutAServiceOfSettingsNoChangeIsEverInForce() throws IOException {
+    void withoutSettingsServiceNoChangeIsApplied() throws IOException {
         FleetLab lab =
-                play(
+                run(
                         SETTINGS.replace("length_s = 5", "length_s = 3")
                                 + "[settings]\ntold = false\n");
-        assertFalse(lab.verdict());
+        assertFalse(lab.printVerdict());
         assertTrue(printed.toString().contains("SHORT    settings.missing"), printed.toString());
     }
 
     @Test
-    void relaysThatKnowNoListAskForTheWholeOne() throws IOException {
-        FleetLab lab = play(SMALL.formatted(2, 0).replace("[relays]", "[relays]\nknown = false"));
-        lab.verdict();
-        assertEquals(20, lab.outcomes().get(0).figure("whole_asked"), printed.toString());
+    void relaysWithoutListRequestFullList() throws IOException {
+        FleetLab lab = run(SMALL.formatted(2, 0).replace("[relays]", "[relays]\nknown = false"));
+        lab.printVerdict();
+        assertEquals(20, lab.results().get(0).figure("whole_asked"), printed.toString());
     }
 
     @Test
-    void aSizeThatDoesNotFitIsToldAndGivesNoVerdict() throws IOException {
-        FleetLab lab = play(SMALL.formatted(4, 0).replace("relays = 20", "relays = 100000"));
-        assertFalse(lab.verdict());
+    void sizeThatDoesNotFitGivesNoVerdict() throws IOException {
+        FleetLab lab = run(SMALL.formatted(4, 0).replace("relays = 20", "relays = 100000"));
+        assertFalse(lab.printVerdict());
         assertTrue(printed.toString().contains("not run, it does not fit"), printed.toString());
     }
 
     @Test
-    void everyFleetExperimentOfTheRepositoryReads() throws IOException {
+    void everyFleetExperimentFileIsValid() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("../experiments/fleet"))) {
             Map<String, List<String>> wrong = new TreeMap<>();
             for (Path file : files.filter(f -> f.toString().endsWith(".toml")).toList()) {
-                TomlDocument sheet = TomlDocument.read(file);
-                FleetPlan plan = FleetReader.read(sheet, file.getFileName().toString());
-                if (!sheet.problems().isEmpty() || plan.expects.isEmpty() || plan.sizes.isEmpty()) {
-                    wrong.put(file.toString(), sheet.problems());
+                TomlDocument document = TomlDocument.read(file);
+                FleetPlan plan = FleetReader.read(document, file.getFileName().toString());
+                if (!document.problems().isEmpty()
+                        || plan.expectations.isEmpty()
+                        || plan.sizes.isEmpty()) {
+                    wrong.put(file.toString(), document.problems());
                 }
             }
             assertEquals(Map.of(), wrong);
@@ -192,14 +199,14 @@
     }
 
     @Test
-    void aWrongFileIsToldWhole() {
-        TomlDocument sheet =
+    void invalidFileReportsAllProblems() {
+        TomlDocument document =
                 TomlDocument.parse(
                         "w.toml",
                         "expect = [\"hollow.bytes < 1\", \"after.roll.told_s < 1\"]\n[[size]]\nrelays = 0\n"
                                 + "[[entry]]\nkind = \"roll-back\"\nat_s = 1\nzone = 12\n");
-        FleetReader.read(sheet, "w");
-        String told = String.join("\n", sheet.problems());
+        FleetReader.read(document, "w");
+        String problems = String.join("\n", document.problems());
         for (String part :
                 List.of(
                         "no run gives the figure hollow.bytes",
@@ -208,18 +215,18 @@
                         "size[0].relays: 0 is not between",
                         "entry[0].kind: 'roll-back' is none",
                         "entry[0].zone: 12 is not between")) {
-            assertTrue(told.contains(part), part + " in " + told);
+            assertTrue(problems.contains(part), part + " in " + problems);
         }
     }
 
     @Test
-    void aPlanWithoutRealRelaysNamesNoneOfTheirFigures() {
+    void planWithoutRealRelaysHasNoFiguresOfThem() {
         assertNull(
-                plan(SMALL.formatted(4, 0)).expects.stream()
+                plan(SMALL.formatted(4, 0)).expectations.stream()
                         .filter(e -> e.figure().startsWith("real."))
                         .findAny()
                         .orElse(null));
-        assertFalse(FleetFigures.known("real.cpu_percent", plan(SMALL.formatted(4, 0))));
-        assertTrue(FleetFigures.known("real.cpu_percent", plan(SMALL.formatted(4, 1))));
+        assertFalse(FleetFigures.isKnown("real.cpu_percent", plan(SMALL.formatted(4, 0))));
+        assertTrue(FleetFigures.isKnown("real.cpu_percent", plan(SMALL.formatted(4, 1))));
     }
 }
