--- a/lab/src/main/java/asterpulley/lab/Lab.java
+++ b/lab/src/main/java/asterpulley/lab/Lab.java
@@ -32,17 +32,17 @@
      * model.
      */
     public List<RunResult> run(Plan plan, String on) throws IOException {
-        List<RunResult> all = new ArrayList<>();
+        List<RunResult> results = new ArrayList<>();
         if (!on.equals("model")) {
-            all.add(runOnSockets(plan));
+            results.add(runOnSockets(plan));
         }
         if (!on.equals("sockets")) {
-            all.add(runInVirtualTime(plan, VirtualTestbed.MODULE_POLICY));
+            results.add(runInVirtualTime(plan, VirtualTestbed.MODULE_POLICY));
         }
         for (String baseline : plan.baselines) {
-            all.add(runInVirtualTime(plan, baseline));
+            results.add(runInVirtualTime(plan, baseline));
         }
-        return all;
+        return results;
     }
 
     /** Plays it in virtual time, with the module or a baseline in every relay. */
@@ -55,19 +55,19 @@
                 plan.serverCount(),
                 plan.relaysPerRoom * plan.rooms.size(),
                 plan.duration + plan.settleTime);
-        long from = System.nanoTime();
-        VirtualTestbed model = new VirtualTestbed(plan, policy);
-        Simulation world = model.run();
-        double took = (System.nanoTime() - from) / 1e9;
+        long startNanos = System.nanoTime();
+        VirtualTestbed testbed = new VirtualTestbed(plan, policy);
+        Simulation simulation = testbed.run();
+        double seconds = (System.nanoTime() - startNanos) / 1e9;
         // The pace is this machine's, so it is printed and stands in no file that must be the same
         // each time.
         out.printf(
                 Locale.ROOT,
                 "  %d events in %.2f s, %.1f times faster than real time%n",
-                model.eventCount(),
-                took,
-                (plan.duration + plan.settleTime) / took);
-        return new RunResult("model", policy, world, null);
+                testbed.eventCount(),
+                seconds,
+                (plan.duration + plan.settleTime) / seconds);
+        return new RunResult("model", policy, simulation, null);
     }
 
     private RunResult runOnSockets(Plan plan) throws IOException {
@@ -79,25 +79,25 @@
                 plan.relaysPerRoom * plan.rooms.size(),
                 plan.duration + plan.settleTime);
         Path folder = Files.createTempDirectory("asterpulley-lab");
-        Sockets sockets = new Sockets(plan, folder);
-        Simulation world = sockets.play();
-        if (world == null) {
-            throw new IOException(sockets.trouble());
+        Sockets testbed = new Sockets(plan, folder);
+        Simulation simulation = testbed.play();
+        if (simulation == null) {
+            throw new IOException(testbed.trouble());
         }
-        double late = world.figures.byName().getOrDefault("run.late_share", 0.0);
-        String none = sockets.trouble();
-        if (none == null && late > Sockets.LATE) {
-            none =
+        double lateShare = simulation.figures.byName().getOrDefault("run.late_share", 0.0);
+        String noVerdictReason = testbed.trouble();
+        if (noVerdictReason == null && lateShare > Sockets.LATE) {
+            noVerdictReason =
                     String.format(
                             Locale.ROOT,
                             "the run was behind its own clock for %.1f%% of the time, by %.0f ms at worst",
-                            late * 100,
-                            sockets.worstLate() * 1000);
+                            lateShare * 100,
+                            testbed.worstLate() * 1000);
         }
-        if (none == null) {
+        if (noVerdictReason == null) {
             deleteFolder(folder);
         }
-        return new RunResult("sockets", VirtualTestbed.MODULE_POLICY, world, none);
+        return new RunResult("sockets", VirtualTestbed.MODULE_POLICY, simulation, noVerdictReason);
     }
 
     private static void deleteFolder(Path folder) throws IOException {
@@ -112,18 +112,18 @@
      * Prints the table of each play of the module, or of the only play; true where all that was
      * expected holds.
      */
-    public boolean printVerdict(Plan plan, List<RunResult> all) {
-        boolean good = true;
-        for (RunResult o : all) {
-            if (o.policy.equals(VirtualTestbed.MODULE_POLICY) || all.size() == 1) {
-                Tables.printExpectations(plan, o, out);
-                good &= o.meetsExpectations(plan);
+    public boolean printVerdict(Plan plan, List<RunResult> results) {
+        boolean passed = true;
+        for (RunResult result : results) {
+            if (result.policy.equals(VirtualTestbed.MODULE_POLICY) || results.size() == 1) {
+                Tables.printExpectations(plan, result, out);
+                passed &= result.meetsExpectations(plan);
             }
         }
-        if (all.size() > 1) {
-            Tables.printSideBySide(all, out);
+        if (results.size() > 1) {
+            Tables.printSideBySide(results, out);
         }
-        out.println(good ? "\nall that was expected holds" : "\nfell short of what was expected");
-        return good;
+        out.println(passed ? "\nall that was expected holds" : "\nfell short of what was expected");
+        return passed;
     }
 }
--- a/lab/src/main/java/asterpulley/lab/model/BaselinePolicy.java
+++ b/lab/src/main/java/asterpulley/lab/model/BaselinePolicy.java
@@ -23,15 +23,15 @@
  * keep the four rules as far as such a policy can, so that what it is compared by is its choice.
  */
 final class BaselinePolicy implements BalancingPolicy {
-    private static final int FAILURES = 3;
-    private static final double LEFT_OUT = 5, LIST_PAUSE = 0.5;
-    private static final double MOVE_EVERY = 0.1;
+    private static final int MAX_FAILURES = 3;
+    private static final double EXCLUSION_SECONDS = 5, LIST_RETRY_SECONDS = 0.5;
+    private static final double MOVE_INTERVAL_SECONDS = 0.1;
 
     /** The ideal's bound: from here on a server's messages come late. */
-    private static final double FULL = 0.9;
+    private static final double IDEAL_MAX_LOAD_FACTOR = 0.9;
 
     /** Priority by health: home gets all as long as this times its healthy part is all of it. */
-    private static final double OVERPROVISIONED = 1.4;
+    private static final double OVERPROVISIONING_FACTOR = 1.4;
 
     private final String policy;
     private final Settings settings;
@@ -42,68 +42,71 @@
      * What only the ideal looks at: a server's true load over its room, without end where it does
      * not answer.
      */
-    private final ToDoubleFunction<String> truth;
+    private final ToDoubleFunction<String> trueLoadFactor;
 
-    private final Map<String, ServerEntry> listed = new LinkedHashMap<>();
-    private final Map<String, Integer> own = new HashMap<>(), failures = new HashMap<>();
-    private final Map<String, Double> outUntil = new HashMap<>();
-    private final Map<String, List<BaselineTunnel>> standing = new HashMap<>();
+    private final Map<String, ServerEntry> servers = new LinkedHashMap<>();
+    private final Map<String, Integer> ownTunnels = new HashMap<>(), failures = new HashMap<>();
+    private final Map<String, Double> excludedUntil = new HashMap<>();
+    private final Map<String, List<BaselineTunnel>> openTunnels = new HashMap<>();
     private final Set<String> draining = new LinkedHashSet<>();
-    private int turn;
+    private int roundRobinIndex;
 
     BaselinePolicy(
             String policy,
             Settings settings,
             PolicyHost host,
             RandomGenerator random,
-            ToDoubleFunction<String> truth) {
+            ToDoubleFunction<String> trueLoadFactor) {
         this.policy = policy;
         this.settings = settings;
         this.host = host;
         this.random = random;
-        this.truth = truth;
+        this.trueLoadFactor = trueLoadFactor;
         host.watchServerList();
-        host.scheduleTimer(MOVE_EVERY, 0);
+        host.scheduleTimer(MOVE_INTERVAL_SECONDS, 0);
     }
 
     private final class BaselineTunnel implements TunnelHandle {
         private final long id;
-        private final Settings.Profile kind;
+        private final Settings.Profile profile;
         private final double deadline;
         private final Set<String> tried = new HashSet<>();
-        private String on;
-        private int setups;
+        private String server;
+        private int setupCount;
         private boolean done, moving;
 
-        private BaselineTunnel(long id, Settings.Profile kind, double budget) {
+        private BaselineTunnel(long id, Settings.Profile profile, double budget) {
             this.id = id;
-            this.kind = kind;
+            this.profile = profile;
             deadline = host.now() + budget;
         }
 
-        private void place() {
-            double left = deadline - host.now() - 2 * settings.tick;
-            String server =
-                    setups < settings.maxSetupsPerTunnel && left > 2 * settings.tick
-                            ? pick(tried)
+        private void startSetup() {
+            double remaining = deadline - host.now() - 2 * settings.tick;
+            String chosen =
+                    setupCount < settings.maxSetupsPerTunnel && remaining > 2 * settings.tick
+                            ? pickServer(tried)
                             : null;
-            if (server == null) {
+            if (chosen == null) {
                 done = true;
                 host.decline(id, settings.maxRetryAfter * (0.5 + 0.5 * random.nextDouble()));
                 return;
             }
-            setups++;
-            tried.add(server);
-            on = server;
-            own.merge(server, 1, Integer::sum);
-            host.sendSetup(id, server, Math.min(left, Math.max(left / 2, kind.setupGoal / 2)));
+            setupCount++;
+            tried.add(chosen);
+            server = chosen;
+            ownTunnels.merge(chosen, 1, Integer::sum);
+            host.sendSetup(
+                    id,
+                    chosen,
+                    Math.min(remaining, Math.max(remaining / 2, profile.setupGoal / 2)));
         }
 
         @Override
         public void onOpened(double lag) {
             done = true;
-            failures.remove(on);
-            standing.computeIfAbsent(on, k -> new ArrayList<>()).add(this);
+            failures.remove(server);
+            openTunnels.computeIfAbsent(server, k -> new ArrayList<>()).add(this);
         }
 
         @Override
@@ -113,31 +116,32 @@
 
         @Override
         public void onMessageDelay(double message) {
-            left(on);
+            exclude(server);
         }
 
         @Override
         public void onEnded(Outcome outcome, double lag, boolean last) {
-            String server = on;
-            on = null;
-            own.merge(server, -1, Integer::sum);
+            String endedServer = server;
+            server = null;
+            ownTunnels.merge(endedServer, -1, Integer::sum);
             if (done) {
                 // It may have been withdrawn before it stood anywhere.
-                standing.getOrDefault(server, new ArrayList<>()).remove(this);
+                openTunnels.getOrDefault(endedServer, new ArrayList<>()).remove(this);
                 return;
             }
-            if (outcome != Outcome.FULL && failures.merge(server, 1, Integer::sum) >= FAILURES) {
-                left(server);
+            if (outcome != Outcome.FULL
+                    && failures.merge(endedServer, 1, Integer::sum) >= MAX_FAILURES) {
+                exclude(endedServer);
             }
             done = last;
             if (done) {
                 return;
             }
-            boolean harmless =
+            boolean mayRetry =
                     outcome.provesNoEffect
-                            || kind.repeatability == Settings.Repeatability.REPEATABLE;
-            if (harmless) {
-                place();
+                            || profile.repeatability == Settings.Repeatability.REPEATABLE;
+            if (mayRetry) {
+                startSetup();
             } else {
                 done = true;
                 host.closeWithError(id);
@@ -150,36 +154,38 @@
         }
     }
 
-    private void left(String server) {
-        outUntil.put(server, host.now() + LEFT_OUT);
+    private void exclude(String server) {
+        excludedUntil.put(server, host.now() + EXCLUSION_SECONDS);
         failures.remove(server);
     }
 
-    private String pick(Set<String> not) {
-        List<String> may = new ArrayList<>();
-        for (ServerEntry l : listed.values()) {
-            if (l.state() == ServerEntry.State.RUNNING
-                    && !not.contains(l.name())
-                    && outUntil.getOrDefault(l.name(), 0.0) <= host.now()) {
-                may.add(l.name());
+    private String pickServer(Set<String> tried) {
+        List<String> candidates = new ArrayList<>();
+        for (ServerEntry entry : servers.values()) {
+            if (entry.state() == ServerEntry.State.RUNNING
+                    && !tried.contains(entry.name())
+                    && excludedUntil.getOrDefault(entry.name(), 0.0) <= host.now()) {
+                candidates.add(entry.name());
             }
         }
-        if (may.isEmpty()) {
+        if (candidates.isEmpty()) {
             return null;
         }
         return switch (policy) {
-            case "priority" -> priority(may);
-            case "random" -> may.get(random.nextInt(may.size()));
-            case "round-robin" -> may.get(turn++ % may.size());
-            case "least-own" -> least(may, s -> own.getOrDefault(s, 0));
+            case "priority" -> pickByPriority(candidates);
+            case "random" -> candidates.get(random.nextInt(candidates.size()));
+            case "round-robin" -> candidates.get(roundRobinIndex++ % candidates.size());
+            case "least-own" -> pickLowest(candidates, s -> ownTunnels.getOrDefault(s, 0));
             case "two-choices" -> {
-                String a = may.get(random.nextInt(may.size()));
-                String b = may.get(random.nextInt(may.size()));
-                yield own.getOrDefault(a, 0) <= own.getOrDefault(b, 0) ? a : b;
+                String first = candidates.get(random.nextInt(candidates.size()));
+                String second = candidates.get(random.nextInt(candidates.size()));
+                yield ownTunnels.getOrDefault(first, 0) <= ownTunnels.getOrDefault(second, 0)
+                        ? first
+                        : second;
             }
             default -> {
-                String best = least(may, truth);
-                yield truth.applyAsDouble(best) < FULL ? best : null;
+                String best = pickLowest(candidates, trueLoadFactor);
+                yield trueLoadFactor.applyAsDouble(best) < IDEAL_MAX_LOAD_FACTOR ? best : null;
             }
         };
     }
@@ -188,29 +194,35 @@
      * Home first, and as its healthy part falls a share of the tunnels goes to the others; within,
      * the least own.
      */
-    private String priority(List<String> may) {
-        double all = 0;
-        for (ServerEntry l : listed.values()) {
-            all += l.zone() == settings.zone && l.state() != ServerEntry.State.GONE ? 1 : 0;
+    private String pickByPriority(List<String> candidates) {
+        double homeServerCount = 0;
+        for (ServerEntry entry : servers.values()) {
+            homeServerCount +=
+                    entry.zone() == settings.zone && entry.state() != ServerEntry.State.GONE
+                            ? 1
+                            : 0;
         }
         List<String> home = new ArrayList<>(), others = new ArrayList<>();
-        may.forEach(s -> (listed.get(s).zone() == settings.zone ? home : others).add(s));
-        double here = all == 0 ? 0 : Math.min(1, OVERPROVISIONED * home.size() / all);
-        boolean stays = others.isEmpty() || !home.isEmpty() && random.nextDouble() < here;
-        return least(stays ? home : others, s -> own.getOrDefault(s, 0));
+        candidates.forEach(s -> (servers.get(s).zone() == settings.zone ? home : others).add(s));
+        double homeShare =
+                homeServerCount == 0
+                        ? 0
+                        : Math.min(1, OVERPROVISIONING_FACTOR * home.size() / homeServerCount);
+        boolean staysHome = others.isEmpty() || !home.isEmpty() && random.nextDouble() < homeShare;
+        return pickLowest(staysHome ? home : others, s -> ownTunnels.getOrDefault(s, 0));
     }
 
-    private String least(List<String> of, ToDoubleFunction<String> by) {
+    private String pickLowest(List<String> candidates, ToDoubleFunction<String> score) {
         String best = null;
-        double low = Double.POSITIVE_INFINITY;
+        double lowest = Double.POSITIVE_INFINITY;
         int ties = 0;
-        for (String s : of) {
-            double is = by.applyAsDouble(s);
-            if (best == null || is < low) {
-                low = is;
+        for (String s : candidates) {
+            double value = score.applyAsDouble(s);
+            if (best == null || value < lowest) {
+                lowest = value;
                 best = s;
                 ties = 1;
-            } else if (is == low && random.nextInt(++ties) == 0) {
+            } else if (value == lowest && random.nextInt(++ties) == 0) {
                 best = s;
             }
         }
@@ -221,7 +233,7 @@
     public TunnelHandle openTunnel(
             long id, int profile, int customer, String group, String key, double budget) {
         BaselineTunnel tunnel = new BaselineTunnel(id, settings.profiles.get(profile), budget);
-        tunnel.place();
+        tunnel.startSetup();
         return tunnel;
     }
 
@@ -231,23 +243,23 @@
     }
 
     @Override
-    public void onServerList(List<ServerEntry> servers, boolean whole) {
+    public void onServerList(List<ServerEntry> changes, boolean whole) {
         if (whole) {
-            listed.clear();
+            servers.clear();
         }
-        for (ServerEntry l : servers) {
-            listed.put(l.name(), l);
-            if (l.state() == ServerEntry.State.DRAINING) {
-                draining.add(l.name());
+        for (ServerEntry entry : changes) {
+            servers.put(entry.name(), entry);
+            if (entry.state() == ServerEntry.State.DRAINING) {
+                draining.add(entry.name());
             } else {
-                draining.remove(l.name());
+                draining.remove(entry.name());
             }
         }
     }
 
     @Override
     public void onServerListFailed() {
-        host.scheduleTimer(LIST_PAUSE, -1);
+        host.scheduleTimer(LIST_RETRY_SECONDS, -1);
     }
 
     @Override
@@ -255,16 +267,19 @@
         if (token < 0) {
             host.watchServerList();
         } else {
-            host.scheduleTimer(MOVE_EVERY, 0);
+            host.scheduleTimer(MOVE_INTERVAL_SECONDS, 0);
             for (String server : draining) {
-                List<BaselineTunnel> here = standing.getOrDefault(server, List.of());
+                List<BaselineTunnel> tunnelsHere = openTunnels.getOrDefault(server, List.of());
                 // A twentieth a turn: all of them at once would be a crowd.
-                List<BaselineTunnel> leave =
-                        here.stream().filter(p -> !p.moving).limit(here.size() / 20 + 1).toList();
-                leave.forEach(
-                        p -> {
-                            p.moving = true;
-                            host.move(p.id);
+                List<BaselineTunnel> toMove =
+                        tunnelsHere.stream()
+                                .filter(tunnel -> !tunnel.moving)
+                                .limit(tunnelsHere.size() / 20 + 1)
+                                .toList();
+                toMove.forEach(
+                        tunnel -> {
+                            tunnel.moving = true;
+                            host.move(tunnel.id);
                         });
             }
         }
--- a/lab/src/main/java/asterpulley/lab/model/ModulePolicy.java
+++ b/lab/src/main/java/asterpulley/lab/model/ModulePolicy.java
@@ -13,10 +13,10 @@
  * passes.
  */
 final class ModulePolicy implements BalancingPolicy {
-    private final LoadBalancer balance;
+    private final LoadBalancer loadBalancer;
 
     ModulePolicy(Settings settings, long seed, PolicyHost host) {
-        balance =
+        loadBalancer =
                 new LoadBalancer(
                         settings,
                         seed,
@@ -28,39 +28,39 @@
 
                             @Override
                             public void sendSetup(
-                                    LoadBalancer.Tunnel tun, String ep, double timeout) {
-                                host.sendSetup(tun.id, ep, timeout);
+                                    LoadBalancer.Tunnel tunnel, String serverName, double timeout) {
+                                host.sendSetup(tunnel.id, serverName, timeout);
                             }
 
                             @Override
-                            public void decline(LoadBalancer.Tunnel tun, double retryAfter) {
-                                host.decline(tun.id, retryAfter);
+                            public void decline(LoadBalancer.Tunnel tunnel, double retryAfter) {
+                                host.decline(tunnel.id, retryAfter);
                             }
 
                             @Override
-                            public void closeWithError(LoadBalancer.Tunnel tun) {
-                                host.closeWithError(tun.id);
+                            public void closeWithError(LoadBalancer.Tunnel tunnel) {
+                                host.closeWithError(tunnel.id);
                             }
 
                             @Override
-                            public void move(LoadBalancer.Tunnel tun) {
-                                host.move(tun.id);
+                            public void move(LoadBalancer.Tunnel tunnel) {
+                                host.move(tunnel.id);
                             }
 
                             @Override
                             public boolean isEligible(
-                                    LoadBalancer.Tunnel tun, int server, String ep) {
-                                return host.isEligible(tun.id, server, ep);
+                                    LoadBalancer.Tunnel tunnel, int server, String serverName) {
+                                return host.isEligible(tunnel.id, server, serverName);
                             }
 
                             @Override
-                            public boolean widenSelection(LoadBalancer.Tunnel tun) {
-                                return host.widenSelection(tun.id);
+                            public boolean widenSelection(LoadBalancer.Tunnel tunnel) {
+                                return host.widenSelection(tunnel.id);
                             }
 
                             @Override
-                            public void probe(String ep) {
-                                host.probe(ep);
+                            public void probe(String serverName) {
+                                host.probe(serverName);
                             }
 
                             @Override
@@ -85,7 +85,7 @@
     public TunnelHandle openTunnel(
             long id, int profile, int customer, String group, String key, double budget) {
         LoadBalancer.Tunnel tunnel =
-                balance.openTunnel(id, profile, customer, group, key, budget, false);
+                loadBalancer.openTunnel(id, profile, customer, group, key, budget, false);
         return new TunnelHandle() {
             @Override
             public void onOpened(double lag) {
@@ -116,21 +116,21 @@
 
     @Override
     public void onProbeResult(String server, Outcome outcome, LoadReport report) {
-        balance.onProbeResult(server, outcome, report);
+        loadBalancer.onProbeResult(server, outcome, report);
     }
 
     @Override
     public void onServerList(List<ServerEntry> servers, boolean whole) {
-        balance.onServerList(servers, whole);
+        loadBalancer.onServerList(servers, whole);
     }
 
     @Override
     public void onServerListFailed() {
-        balance.onServerListFailed(false);
+        loadBalancer.onServerListFailed(false);
     }
 
     @Override
     public void onTimer(long token) {
-        balance.onTimer(token);
+        loadBalancer.onTimer(token);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/model/VirtualClock.java
+++ b/lab/src/main/java/asterpulley/lab/model/VirtualClock.java
@@ -8,8 +8,8 @@
     private final EventQueue queue = new EventQueue();
     private double now;
 
-    VirtualClock(double from) {
-        now = from;
+    VirtualClock(double start) {
+        now = start;
     }
 
     @Override
@@ -18,19 +18,19 @@
     }
 
     @Override
-    public void schedule(double seconds, Runnable what) {
-        queue.add(now + Math.max(0, seconds), what);
+    public void schedule(double seconds, Runnable task) {
+        queue.add(now + Math.max(0, seconds), task);
     }
 
     /** Runs all that is due up to this time; returns how much that was. */
     long runUntil(double end) {
-        long ran = 0;
+        long count = 0;
         while (queue.nextTime() <= end) {
             now = queue.nextTime();
             queue.poll().run();
-            ran++;
+            count++;
         }
         now = end;
-        return ran;
+        return count;
     }
 }
--- a/lab/src/main/java/asterpulley/lab/model/VirtualRelay.java
+++ b/lab/src/main/java/asterpulley/lab/model/VirtualRelay.java
@@ -24,383 +24,413 @@
  */
 class VirtualRelay implements PolicyHost {
     /** The module's clock is Unix-like: it takes times at and before 0 for never. */
-    static final double EPOCH = 1e6;
-
-    private static final double SWEEP = 0.25, SLOW = 1.1, SILENT = 3.5;
-    private static final double LEAVING_STEP = 0.05,
-            KILL_AFTER = 0.7,
-            LAST_WORDS = 0.3,
-            MOVED_BEFORE = 0.4,
-            MOVES_OVER = 1;
-    private static final double LONGEST_WAIT = 3;
+    static final double EPOCH_SECONDS = 1e6;
+
+    private static final double SWEEP_SECONDS = 0.25,
+            SLOW_REPORT_SECONDS = 1.1,
+            SILENCE_LIMIT_SECONDS = 3.5;
+    private static final double SHUTDOWN_STEP_SECONDS = 0.05,
+            KILL_MARGIN_SECONDS = 0.7,
+            FINAL_ANSWERS_SECONDS = 0.3,
+            MOVE_LEAD_SECONDS = 0.4,
+            MOVE_SPREAD_SECONDS = 1;
+    private static final double MAX_PENDING_WAIT_SECONDS = 3;
 
     /** A load in cores, as servers tell it, of one mean load. */
-    private static final double CORES = 0.01;
+    private static final double CORES_PER_LOAD = 0.01;
 
     /** A tunnel as this relay knows it. */
     private static final class TunnelState {
         private final long id;
-        private final ClientRequest of;
+        private final ClientRequest request;
         private BalancingPolicy.TunnelHandle handle;
-        private int setups, told;
-        private boolean out, standing, answered, over;
-        private double sentAt, openedAt, silentSince = Double.NaN, sound;
+        private int setupCount, slowReports;
+        private boolean setupPending, established, answered, finished;
+        private double setupStartedAt, openedAt, silentSince = Double.NaN, servedSeconds;
         private Setup setup;
         private Server server;
 
-        private TunnelState(long id, ClientRequest of) {
+        private TunnelState(long id, ClientRequest request) {
             this.id = id;
-            this.of = of;
+            this.request = request;
         }
     }
 
     final int number;
-    final VirtualClock line;
-    final Simulation world;
+    final VirtualClock clock;
+    final Simulation simulation;
     private final Plan plan;
-    private final Map<String, Server> byName;
-    private final Map<Long, TunnelState> passages = new LinkedHashMap<>();
-    private final Map<String, Boolean> asking = new HashMap<>();
+    private final Map<String, Server> serversByName;
+    private final Map<Long, TunnelState> tunnels = new LinkedHashMap<>();
+    private final Map<String, Boolean> pendingProbes = new HashMap<>();
 
     /**
      * Null where the plan tells relays nothing of pools, or a baseline decides: then nothing
      * narrows the choice.
      */
-    private PoolRouter guide;
-
-    private BalancingPolicy brain;
-    private boolean dead, watching;
-    private long version, ids;
-    private double leavingSince = Double.NaN, movesOwed;
-
-    VirtualRelay(int number, VirtualClock line, Simulation world, Map<String, Server> byName) {
+    private PoolRouter poolRouter;
+
+    private BalancingPolicy policy;
+    private boolean stopped, watching;
+    private long listVersion, lastTunnelId;
+    private double shutdownStartedAt = Double.NaN, moveAllowance;
+
+    VirtualRelay(
+            int number,
+            VirtualClock clock,
+            Simulation simulation,
+            Map<String, Server> serversByName) {
         this.number = number;
-        this.line = line;
-        this.world = world;
-        this.plan = world.plan;
-        this.byName = byName;
+        this.clock = clock;
+        this.simulation = simulation;
+        this.plan = simulation.plan;
+        this.serversByName = serversByName;
     }
 
-    void start(BalancingPolicy decisions, PoolRouter narrows) {
-        brain = decisions;
-        guide = narrows;
-        List<ServerRegistry.Entry> known = world.registry.currentEntries();
-        version = world.registry.version();
-        world.entriesDelivered(number, known);
-        list(known, true);
-        line.schedule(SWEEP, this::sweep);
+    void start(BalancingPolicy balancingPolicy, PoolRouter router) {
+        policy = balancingPolicy;
+        poolRouter = router;
+        List<ServerRegistry.Entry> known = simulation.registry.currentEntries();
+        listVersion = simulation.registry.version();
+        simulation.entriesDelivered(number, known);
+        deliverList(known, true);
+        clock.schedule(SWEEP_SECONDS, this::sweep);
     }
 
-    private void list(List<ServerRegistry.Entry> entries, boolean whole) {
-        List<ServerEntry> listed = listed(entries);
-        if (guide != null) {
-            guide.updateServerList(listed, whole, now());
+    private void deliverList(List<ServerRegistry.Entry> entries, boolean whole) {
+        List<ServerEntry> listed = toServerEntries(entries);
+        if (poolRouter != null) {
+            poolRouter.updateServerList(listed, whole, now());
         }
-        brain.onServerList(listed, whole);
+        policy.onServerList(listed, whole);
     }
 
     /** What its operators say of pools has changed. */
     void reload() {
-        if (guide != null && !dead) {
-            guide.reload(plan.routingPolicy(world.roomOfRelay(number)), now());
+        if (poolRouter != null && !stopped) {
+            poolRouter.reload(plan.routingPolicy(simulation.roomOfRelay(number)), now());
         }
     }
 
     @Override
-    public boolean isEligible(long id, int server, String name) {
-        return guide == null || guide.mayUse(id, server, name, now());
+    public boolean isEligible(long id, int serverIndex, String serverName) {
+        return poolRouter == null || poolRouter.mayUse(id, serverIndex, serverName, now());
     }
 
     @Override
     public boolean widenSelection(long id) {
-        return guide != null && guide.advanceTier(id, now());
+        return poolRouter != null && poolRouter.advanceTier(id, now());
     }
 
-    private static List<ServerEntry> listed(List<ServerRegistry.Entry> entries) {
+    private static List<ServerEntry> toServerEntries(List<ServerRegistry.Entry> entries) {
         List<ServerEntry> listed = new ArrayList<>(entries.size());
-        for (ServerRegistry.Entry e : entries) {
-            ServerEntry l = e.toServerEntry();
+        for (ServerRegistry.Entry registered : entries) {
+            ServerEntry entry = registered.toServerEntry();
             listed.add(
                     new ServerEntry(
-                            l.name(),
-                            l.zone(),
-                            l.model(),
-                            l.cell(),
-                            l.state(),
-                            l.startedAt() + EPOCH));
+                            entry.name(),
+                            entry.zone(),
+                            entry.model(),
+                            entry.cell(),
+                            entry.state(),
+                            entry.startedAt() + EPOCH_SECONDS));
         }
         return listed;
     }
 
-    boolean dead() {
-        return dead;
+    boolean isStopped() {
+        return stopped;
     }
 
     /** Whose tunnel that is; null when it is over. */
-    ClientRequest tryOf(long id) {
-        TunnelState p = passages.get(id);
-        return p == null ? null : p.of;
+    ClientRequest requestOf(long id) {
+        TunnelState tunnel = tunnels.get(id);
+        return tunnel == null ? null : tunnel.request;
     }
 
     // ---- From clients
 
-    void take(ClientRequest t) {
-        TunnelState p = new TunnelState(++ids, t);
-        t.testbedState = p;
-        passages.put(p.id, p);
-        String key = Long.toHexString(t.client.spec.key());
-        if (guide != null) {
-            guide.tunnelAccepted(p.id, t.client.spec.profileIndex(), key, now());
-        }
-        int group = t.client.spec.group();
-        p.handle =
-                brain.openTunnel(
-                        p.id,
-                        t.client.spec.profileIndex(),
-                        t.client.spec.customerIndex(),
+    void acceptRequest(ClientRequest request) {
+        TunnelState tunnel = new TunnelState(++lastTunnelId, request);
+        request.testbedState = tunnel;
+        tunnels.put(tunnel.id, tunnel);
+        String key = Long.toHexString(request.client.spec.key());
+        if (poolRouter != null) {
+            poolRouter.tunnelAccepted(tunnel.id, request.client.spec.profileIndex(), key, now());
+        }
+        int group = request.client.spec.group();
+        tunnel.handle =
+                policy.openTunnel(
+                        tunnel.id,
+                        request.client.spec.profileIndex(),
+                        request.client.spec.customerIndex(),
                         group < 0 ? null : "g" + group,
                         key,
-                        t.clientTimeout);
-        line.schedule(
-                t.clientTimeout,
+                        request.clientTimeout);
+        clock.schedule(
+                request.clientTimeout,
                 () -> {
-                    if (!p.answered && !dead) {
-                        drop(p);
-                        closeWithError(p.id);
+                    if (!tunnel.answered && !stopped) {
+                        abandon(tunnel);
+                        closeWithError(tunnel.id);
                     }
                 });
     }
 
-    private void drop(TunnelState p) {
-        p.handle.cancel();
-        if (p.out) {
-            ends(p, Outcome.CANCELLED, true);
+    private void abandon(TunnelState tunnel) {
+        tunnel.handle.cancel();
+        if (tunnel.setupPending) {
+            endSetup(tunnel, Outcome.CANCELLED, true);
         }
     }
 
     /** The client ended its tunnel or its waiting; how many of its seconds were served. */
-    double hangUp(ClientRequest t) {
-        if (!(t.testbedState instanceof TunnelState p) || dead) {
-            return t.testbedState instanceof TunnelState p ? p.sound : 0;
+    double clientClosed(ClientRequest request) {
+        if (!(request.testbedState instanceof TunnelState tunnel) || stopped) {
+            return request.testbedState instanceof TunnelState tunnel ? tunnel.servedSeconds : 0;
         }
-        if (p.standing && !p.over) {
-            close(p);
-            p.handle.onEnded(Outcome.OK, 0, true);
-        } else if (!p.answered) {
-            drop(p);
-            p.answered = p.over = true;
-            forget(p);
+        if (tunnel.established && !tunnel.finished) {
+            closeEstablished(tunnel);
+            tunnel.handle.onEnded(Outcome.OK, 0, true);
+        } else if (!tunnel.answered) {
+            abandon(tunnel);
+            tunnel.answered = tunnel.finished = true;
+            remove(tunnel);
         }
-        return p.sound;
+        return tunnel.servedSeconds;
     }
 
-    private void forget(TunnelState p) {
-        passages.remove(p.id);
-        if (guide != null) {
-            guide.tunnelClosed(p.id);
+    private void remove(TunnelState tunnel) {
+        tunnels.remove(tunnel.id);
+        if (poolRouter != null) {
+            poolRouter.tunnelClosed(tunnel.id);
         }
     }
 
-    private void close(TunnelState p) {
-        p.sound = world.servedSeconds(p.setup);
-        p.over = true;
-        forget(p);
-        world.setupClosed(p.setup);
+    private void closeEstablished(TunnelState tunnel) {
+        tunnel.servedSeconds = simulation.servedSeconds(tunnel.setup);
+        tunnel.finished = true;
+        remove(tunnel);
+        simulation.setupClosed(tunnel.setup);
     }
 
     // ---- From the brain
 
     @Override
     public double now() {
-        return line.now() + EPOCH;
+        return clock.now() + EPOCH_SECONDS;
     }
 
-    private void toClient(Runnable what) {
-        line.schedule(plan.localDelay, what);
+    private void sendToClient(Runnable message) {
+        clock.schedule(plan.localDelay, message);
     }
 
     @Override
-    public void sendSetup(long id, String name, double timeout) {
-        TunnelState p = passages.get(id);
-        if (p == null || p.out) {
+    public void sendSetup(long id, String serverName, double timeout) {
+        TunnelState tunnel = tunnels.get(id);
+        if (tunnel == null || tunnel.setupPending) {
             return;
         }
-        int n = ++p.setups;
-        p.out = true;
-        p.server = byName.get(name);
-        p.setup = null;
-        p.sentAt = line.now();
-        if (guide != null) {
-            guide.setupStarted(id, name, now());
+        int setupNumber = ++tunnel.setupCount;
+        tunnel.setupPending = true;
+        tunnel.server = serversByName.get(serverName);
+        tunnel.setup = null;
+        tunnel.setupStartedAt = clock.now();
+        if (poolRouter != null) {
+            poolRouter.setupStarted(id, serverName, now());
         }
-        send(p, n, p.server, timeout);
+        startSetup(tunnel, setupNumber, tunnel.server, timeout);
     }
 
-    private void send(TunnelState p, int n, Server s, double timeout) {
-        int here = world.roomOfRelay(number);
-        double way = world.delay(here, s.room);
-        boolean connects = !s.hasVanished() && world.canReach(number, s.room);
-        line.schedule(
-                way,
+    private void startSetup(TunnelState tunnel, int setupNumber, Server server, double timeout) {
+        int ownRoom = simulation.roomOfRelay(number);
+        double oneWayDelay = simulation.delay(ownRoom, server.room);
+        boolean connects = !server.hasVanished() && simulation.canReach(number, server.room);
+        clock.schedule(
+                oneWayDelay,
                 () -> {
-                    if (dead || !p.out || p.setups != n || !connects) {
+                    if (stopped
+                            || !tunnel.setupPending
+                            || tunnel.setupCount != setupNumber
+                            || !connects) {
                         return;
                     }
-                    if (s.isDown()) {
-                        line.schedule(way, () -> ended(p, n, Outcome.NO_CONNECTION));
+                    if (server.isDown()) {
+                        clock.schedule(
+                                oneWayDelay,
+                                () -> setupEnded(tunnel, setupNumber, Outcome.NO_CONNECTION));
                         return;
                     }
-                    p.setup = world.setupArrived(p.of, s, p.sentAt, reply(p, n, way));
+                    tunnel.setup =
+                            simulation.setupArrived(
+                                    tunnel.request,
+                                    server,
+                                    tunnel.setupStartedAt,
+                                    newReply(tunnel, setupNumber, oneWayDelay));
                 });
-        double patience = connects ? timeout : Math.min(timeout, plan.connectTimeout);
-        line.schedule(
-                patience, () -> ended(p, n, connects ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION));
+        double setupTimeout = connects ? timeout : Math.min(timeout, plan.connectTimeout);
+        clock.schedule(
+                setupTimeout,
+                () ->
+                        setupEnded(
+                                tunnel,
+                                setupNumber,
+                                connects ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION));
     }
 
-    private Setup.Reply reply(TunnelState p, int n, double way) {
+    private Setup.Reply newReply(TunnelState tunnel, int setupNumber, double oneWayDelay) {
         return new Setup.Reply() {
             @Override
             public void opened(double load) {
-                line.schedule(way, () -> VirtualRelay.this.opened(p, n, load * CORES));
+                clock.schedule(
+                        oneWayDelay,
+                        () ->
+                                VirtualRelay.this.setupOpened(
+                                        tunnel, setupNumber, load * CORES_PER_LOAD));
             }
 
             @Override
             public void full() {
-                line.schedule(way, () -> ended(p, n, Outcome.FULL));
+                clock.schedule(oneWayDelay, () -> setupEnded(tunnel, setupNumber, Outcome.FULL));
             }
 
             @Override
             public void error() {
-                line.schedule(way, () -> ended(p, n, Outcome.FAILED));
+                clock.schedule(oneWayDelay, () -> setupEnded(tunnel, setupNumber, Outcome.FAILED));
             }
 
             @Override
             public void connectionLost() {
-                if (p.standing && p.setups == n) {
-                    p.sound = world.servedSeconds(p.setup);
+                if (tunnel.established && tunnel.setupCount == setupNumber) {
+                    tunnel.servedSeconds = simulation.servedSeconds(tunnel.setup);
                 }
-                line.schedule(way, () -> VirtualRelay.this.broke(p, n));
+                clock.schedule(
+                        oneWayDelay,
+                        () -> VirtualRelay.this.serverConnectionLost(tunnel, setupNumber));
             }
         };
     }
 
-    private void opened(TunnelState p, int n, double cores) {
-        if (dead || !p.out || p.setups != n) {
+    private void setupOpened(TunnelState tunnel, int setupNumber, double cores) {
+        if (stopped || !tunnel.setupPending || tunnel.setupCount != setupNumber) {
             return;
         }
-        p.out = false;
-        p.standing = p.answered = true;
-        p.openedAt = line.now();
-        if (guide != null) {
-            guide.tunnelOpened(p.id, now());
-            guide.tunnelLoadReported(p.id, cores);
+        tunnel.setupPending = false;
+        tunnel.established = tunnel.answered = true;
+        tunnel.openedAt = clock.now();
+        if (poolRouter != null) {
+            poolRouter.tunnelOpened(tunnel.id, now());
+            poolRouter.tunnelLoadReported(tunnel.id, cores);
         }
-        p.handle.onOpened(line.now() - p.sentAt);
-        p.handle.onLoad(cores);
-        toClient(() -> world.tunnelOpened(p.of));
+        tunnel.handle.onOpened(clock.now() - tunnel.setupStartedAt);
+        tunnel.handle.onLoad(cores);
+        sendToClient(() -> simulation.tunnelOpened(tunnel.request));
     }
 
-    private void broke(TunnelState p, int n) {
-        if (dead || p.setups != n) {
+    private void serverConnectionLost(TunnelState tunnel, int setupNumber) {
+        if (stopped || tunnel.setupCount != setupNumber) {
             return;
         }
-        if (p.out) {
-            ended(p, n, Outcome.RESET);
-        } else if (p.standing && !p.over) {
-            p.over = true;
-            forget(p);
-            p.handle.onEnded(Outcome.RESET, 0, true);
-            toClient(() -> world.tunnelCut(p.of, p.sound));
+        if (tunnel.setupPending) {
+            setupEnded(tunnel, setupNumber, Outcome.RESET);
+        } else if (tunnel.established && !tunnel.finished) {
+            tunnel.finished = true;
+            remove(tunnel);
+            tunnel.handle.onEnded(Outcome.RESET, 0, true);
+            sendToClient(() -> simulation.tunnelCut(tunnel.request, tunnel.servedSeconds));
         }
     }
 
-    private void ended(TunnelState p, int n, Outcome outcome) {
-        if (!dead && p.out && p.setups == n) {
-            ends(p, outcome, p.answered);
+    private void setupEnded(TunnelState tunnel, int setupNumber, Outcome outcome) {
+        if (!stopped && tunnel.setupPending && tunnel.setupCount == setupNumber) {
+            endSetup(tunnel, outcome, tunnel.answered);
         }
     }
 
-    private void ends(TunnelState p, Outcome outcome, boolean last) {
-        p.out = false;
-        if (guide != null) {
-            guide.serverConnectionEnded(p.id, outcome, true, now());
+    private void endSetup(TunnelState tunnel, Outcome outcome, boolean last) {
+        tunnel.setupPending = false;
+        if (poolRouter != null) {
+            poolRouter.serverConnectionEnded(tunnel.id, outcome, true, now());
         }
-        if (p.setup != null) {
-            world.setupClosed(p.setup);
+        if (tunnel.setup != null) {
+            simulation.setupClosed(tunnel.setup);
         }
-        p.handle.onEnded(outcome, line.now() - p.sentAt, last);
+        tunnel.handle.onEnded(outcome, clock.now() - tunnel.setupStartedAt, last);
     }
 
     @Override
     public void decline(long id, double retryAfter) {
-        TunnelState p = answers(id);
-        if (p != null) {
-            toClient(() -> world.requestDeclined(p.of, retryAfter));
+        TunnelState tunnel = finishUnanswered(id);
+        if (tunnel != null) {
+            sendToClient(() -> simulation.requestDeclined(tunnel.request, retryAfter));
         }
     }
 
     @Override
     public void closeWithError(long id) {
-        TunnelState p = answers(id);
-        if (p != null) {
-            toClient(() -> world.requestFailed(p.of));
+        TunnelState tunnel = finishUnanswered(id);
+        if (tunnel != null) {
+            sendToClient(() -> simulation.requestFailed(tunnel.request));
         }
     }
 
-    private TunnelState answers(long id) {
-        TunnelState p = passages.get(id);
-        if (p == null || p.answered) {
+    private TunnelState finishUnanswered(long id) {
+        TunnelState tunnel = tunnels.get(id);
+        if (tunnel == null || tunnel.answered) {
             return null;
         }
-        p.answered = p.over = true;
-        forget(p);
-        return p;
+        tunnel.answered = tunnel.finished = true;
+        remove(tunnel);
+        return tunnel;
     }
 
     @Override
     public void move(long id) {
-        TunnelState p = passages.get(id);
-        if (p != null && p.standing && !p.over) {
-            close(p);
-            p.handle.onEnded(Outcome.CANCELLED, 0, true);
-            toClient(() -> world.tunnelMoved(p.of, p.sound));
+        TunnelState tunnel = tunnels.get(id);
+        if (tunnel != null && tunnel.established && !tunnel.finished) {
+            closeEstablished(tunnel);
+            tunnel.handle.onEnded(Outcome.CANCELLED, 0, true);
+            sendToClient(() -> simulation.tunnelMoved(tunnel.request, tunnel.servedSeconds));
         }
     }
 
     @Override
-    public void probe(String name) {
-        Server s = byName.get(name);
-        if (asking.putIfAbsent(name, true) != null) {
+    public void probe(String serverName) {
+        Server server = serversByName.get(serverName);
+        if (pendingProbes.putIfAbsent(serverName, true) != null) {
             return;
         }
-        world.figures.increment("probes");
-        double way = world.delay(world.roomOfRelay(number), s.room);
-        double patience = plan.profiles.stream().mapToDouble(q -> q.setupGoal).min().orElse(0.5);
-        line.schedule(
-                way,
+        simulation.figures.increment("probes");
+        double oneWayDelay = simulation.delay(simulation.roomOfRelay(number), server.room);
+        double probeTimeout =
+                plan.profiles.stream().mapToDouble(profile -> profile.setupGoal).min().orElse(0.5);
+        clock.schedule(
+                oneWayDelay,
                 () -> {
-                    Optional<LoadReport> report = world.probe(number, s);
-                    boolean refused = s.isDown();
-                    line.schedule(
-                            report.isPresent() || refused ? way : Math.max(0, patience - way),
+                    Optional<LoadReport> report = simulation.probe(number, server);
+                    boolean refused = server.isDown();
+                    clock.schedule(
+                            report.isPresent() || refused
+                                    ? oneWayDelay
+                                    : Math.max(0, probeTimeout - oneWayDelay),
                             () -> {
-                                asking.remove(name);
-                                if (!dead) {
+                                pendingProbes.remove(serverName);
+                                if (!stopped) {
                                     Outcome outcome =
                                             report.isPresent()
                                                     ? Outcome.OK
                                                     : refused
                                                             ? Outcome.NO_CONNECTION
                                                             : Outcome.TIMED_OUT;
-                                    if (guide != null) {
-                                        guide.probeFinished(
-                                                name,
+                                    if (poolRouter != null) {
+                                        poolRouter.probeFinished(
+                                                serverName,
                                                 outcome,
                                                 report.orElseGet(LoadReport::new),
                                                 now());
                                     }
-                                    brain.onProbeResult(
-                                            name, outcome, report.orElseGet(LoadReport::new));
+                                    policy.onProbeResult(
+                                            serverName, outcome, report.orElseGet(LoadReport::new));
                                 }
                             });
                 });
@@ -408,11 +438,11 @@
 
     @Override
     public void scheduleTimer(double after, long token) {
-        line.schedule(
+        clock.schedule(
                 after,
                 () -> {
-                    if (!dead) {
-                        brain.onTimer(token);
+                    if (!stopped) {
+                        policy.onTimer(token);
                     }
                 });
     }
@@ -425,33 +455,33 @@
             return;
         }
         watching = true;
-        line.schedule(
+        clock.schedule(
                 2 * plan.localDelay,
                 () -> {
-                    if (!dead && world.registry.isDown()) {
-                        listFailed();
-                    } else if (!dead) {
-                        tell();
+                    if (!stopped && simulation.registry.isDown()) {
+                        serverListFailed();
+                    } else if (!stopped) {
+                        deliverListChanges();
                     }
                 });
     }
 
-    void tell() {
+    void deliverListChanges() {
         if (!watching) {
             return;
         }
-        List<ServerRegistry.Entry> news = world.registry.changesSince(version);
-        version = world.registry.version();
-        if (!news.isEmpty()) {
-            world.entriesDelivered(number, news);
-            list(news, false);
+        List<ServerRegistry.Entry> changes = simulation.registry.changesSince(listVersion);
+        listVersion = simulation.registry.version();
+        if (!changes.isEmpty()) {
+            simulation.entriesDelivered(number, changes);
+            deliverList(changes, false);
         }
     }
 
-    void listFailed() {
+    void serverListFailed() {
         if (watching) {
             watching = false;
-            brain.onServerListFailed();
+            policy.onServerListFailed();
         }
     }
 
@@ -462,105 +492,121 @@
      * moved.
      */
     private void sweep() {
-        if (dead) {
+        if (stopped) {
             return;
         }
-        if (guide != null) {
-            guide.tick(now()).forEach(this::move);
+        if (poolRouter != null) {
+            poolRouter.tick(now()).forEach(this::move);
         }
-        if (world.anyUnresponsive()) {
-            for (TunnelState p : List.copyOf(passages.values())) {
-                if (!p.standing || p.over) {
+        if (simulation.anyUnresponsive()) {
+            for (TunnelState tunnel : List.copyOf(tunnels.values())) {
+                if (!tunnel.established || tunnel.finished) {
                     continue;
                 }
-                if (Double.isInfinite(world.messageDelay(number, p.server))) {
-                    heedSilence(p);
+                if (Double.isInfinite(simulation.messageDelay(number, tunnel.server))) {
+                    handleSilence(tunnel);
                 } else {
-                    p.silentSince = Double.NaN;
+                    tunnel.silentSince = Double.NaN;
                 }
             }
         }
-        line.schedule(SWEEP, this::sweep);
+        clock.schedule(SWEEP_SECONDS, this::sweep);
     }
 
-    private void heedSilence(TunnelState p) {
-        if (Double.isNaN(p.silentSince)) {
+    private void handleSilence(TunnelState tunnel) {
+        if (Double.isNaN(tunnel.silentSince)) {
             // Its client says a line every so often: the next one is the first that nothing
             // answers.
-            p.silentSince =
-                    line.now() + plan.messageInterval * (p.of.client.spec.key() >>> 40) / (1 << 24);
-            p.told = 0;
+            tunnel.silentSince =
+                    clock.now()
+                            + plan.messageInterval
+                                    * (tunnel.request.client.spec.key() >>> 40)
+                                    / (1 << 24);
+            tunnel.slowReports = 0;
         }
-        double waits = line.now() - p.silentSince;
-        if (waits > SILENT) {
-            move(p.id);
-        } else if (waits > (p.told + 1) * SLOW) {
-            p.told++;
-            p.handle.onMessageDelay(waits);
+        double waited = clock.now() - tunnel.silentSince;
+        if (waited > SILENCE_LIMIT_SECONDS) {
+            move(tunnel.id);
+        } else if (waited > (tunnel.slowReports + 1) * SLOW_REPORT_SECONDS) {
+            tunnel.slowReports++;
+            tunnel.handle.onMessageDelay(waited);
         }
     }
 
     /** Killed outright: whatever it held is gone with it. */
     void kill() {
-        dies(false);
-    }
-
-    void dies(boolean inOrder) {
-        dead = true;
-        world.relayStopped(number, inOrder);
-        for (TunnelState p : List.copyOf(passages.values())) {
-            if (p.standing && !p.over) {
-                close(p);
-                toClient(() -> world.tunnelCut(p.of, p.sound));
-            } else if (!p.answered) {
-                if (p.setup != null) {
-                    world.setupClosed(p.setup);
+        stop(false);
+    }
+
+    void stop(boolean graceful) {
+        stopped = true;
+        simulation.relayStopped(number, graceful);
+        for (TunnelState tunnel : List.copyOf(tunnels.values())) {
+            if (tunnel.established && !tunnel.finished) {
+                closeEstablished(tunnel);
+                sendToClient(() -> simulation.tunnelCut(tunnel.request, tunnel.servedSeconds));
+            } else if (!tunnel.answered) {
+                if (tunnel.setup != null) {
+                    simulation.setupClosed(tunnel.setup);
                 }
-                p.over = true;
-                toClient(() -> world.connectionBroken(p.of));
+                tunnel.finished = true;
+                sendToClient(() -> simulation.connectionBroken(tunnel.request));
             }
         }
-        passages.clear();
+        tunnels.clear();
     }
 
     /**
      * Told to end: newcomers are still answered, what is pending is settled, whoever stands is
      * moved late.
      */
-    void leave() {
-        leavingSince = line.now();
-        leaving();
+    void shutDown() {
+        shutdownStartedAt = clock.now();
+        continueShutdown();
     }
 
-    private void leaving() {
-        if (dead) {
+    private void continueShutdown() {
+        if (stopped) {
             return;
         }
-        double longest = plan.profiles.stream().mapToDouble(p -> p.clientTimeout).max().orElse(0);
-        double end = Math.min(LONGEST_WAIT, longest) + KILL_AFTER - LAST_WORDS;
-        double since = line.now() - leavingSince;
-        double left = end - MOVED_BEFORE - since;
-        if (left < MOVES_OVER) {
-            movesOwed += Math.max(1, passages.size() * LEAVING_STEP / Math.max(LEAVING_STEP, left));
-        }
-        for (TunnelState p : List.copyOf(passages.values())) {
-            if (p.standing && movesOwed >= 1) {
-                movesOwed--;
-                move(p.id);
+        double longestClientTimeout =
+                plan.profiles.stream()
+                        .mapToDouble(profile -> profile.clientTimeout)
+                        .max()
+                        .orElse(0);
+        double end =
+                Math.min(MAX_PENDING_WAIT_SECONDS, longestClientTimeout)
+                        + KILL_MARGIN_SECONDS
+                        - FINAL_ANSWERS_SECONDS;
+        double elapsed = clock.now() - shutdownStartedAt;
+        double untilMoved = end - MOVE_LEAD_SECONDS - elapsed;
+        if (untilMoved < MOVE_SPREAD_SECONDS) {
+            moveAllowance +=
+                    Math.max(
+                            1,
+                            tunnels.size()
+                                    * SHUTDOWN_STEP_SECONDS
+                                    / Math.max(SHUTDOWN_STEP_SECONDS, untilMoved));
+        }
+        for (TunnelState profile : List.copyOf(tunnels.values())) {
+            if (profile.established && moveAllowance >= 1) {
+                moveAllowance--;
+                move(profile.id);
             }
         }
-        if (since > end) {
-            for (TunnelState p : List.copyOf(passages.values())) {
-                if (!p.answered) {
-                    drop(p);
-                    closeWithError(p.id);
+        if (elapsed > end) {
+            for (TunnelState profile : List.copyOf(tunnels.values())) {
+                if (!profile.answered) {
+                    abandon(profile);
+                    closeWithError(profile.id);
                 }
             }
         }
-        if (passages.isEmpty() && since > 2 * MOVES_OVER || since > end + 2 * LEAVING_STEP) {
-            dies(true);
+        if (tunnels.isEmpty() && elapsed > 2 * MOVE_SPREAD_SECONDS
+                || elapsed > end + 2 * SHUTDOWN_STEP_SECONDS) {
+            stop(true);
             return;
         }
-        line.schedule(LEAVING_STEP, this::leaving);
+        clock.schedule(SHUTDOWN_STEP_SECONDS, this::continueShutdown);
     }
 }
--- a/lab/src/main/java/asterpulley/lab/model/VirtualTestbed.java
+++ b/lab/src/main/java/asterpulley/lab/model/VirtualTestbed.java
@@ -43,14 +43,14 @@
         this.policy = policy;
         simulation = new Simulation(plan);
         simulation.setTestbed(this);
-        simulation.servers.forEach(s -> serversByName.put(s.name, s));
+        simulation.servers.forEach(server -> serversByName.put(server.name, server));
         relays = new VirtualRelay[simulation.relayCount()];
     }
 
     /** Plays the whole plan; the world then has the figures. */
     public Simulation run() {
-        for (int r = 0; r < relays.length; r++) {
-            createRelay(r);
+        for (int index = 0; index < relays.length; index++) {
+            createRelay(index);
         }
         clock.schedule(LEAD_SECONDS, simulation::start);
         eventCount = clock.runUntil(plan.duration + plan.settleTime);
@@ -62,39 +62,44 @@
         return eventCount;
     }
 
-    private void createRelay(int r) {
-        VirtualRelay host = newRelay(r, clock, serversByName);
-        Settings settings = plan.settings(simulation.roomOfRelay(r));
-        long seed = plan.seed * 1_000_003 + r * 1009L + simulation.relayIncarnation(r);
-        relays[r] = host;
-        boolean module = policy.equals(MODULE_POLICY) || policy.equals(MODULE_WITHOUT_ROUTES);
-        BalancingPolicy brain =
-                module
-                        ? new ModulePolicy(settings, seed, host)
+    private void createRelay(int index) {
+        VirtualRelay relay = newRelay(index, clock, serversByName);
+        Settings settings = plan.settings(simulation.roomOfRelay(index));
+        long seed = plan.seed * 1_000_003 + index * 1009L + simulation.relayIncarnation(index);
+        relays[index] = relay;
+        boolean usesModule = policy.equals(MODULE_POLICY) || policy.equals(MODULE_WITHOUT_ROUTES);
+        BalancingPolicy balancingPolicy =
+                usesModule
+                        ? new ModulePolicy(settings, seed, relay)
                         : new BaselinePolicy(
                                 policy,
                                 settings,
-                                host,
+                                relay,
                                 LoadGenerator.newRandom(seed),
                                 this::trueLoadFactor);
-        RoutingPolicy charter =
-                policy.equals(MODULE_POLICY) ? plan.routingPolicy(simulation.roomOfRelay(r)) : null;
-        host.start(
-                brain,
-                charter == null
+        RoutingPolicy routingPolicy =
+                policy.equals(MODULE_POLICY)
+                        ? plan.routingPolicy(simulation.roomOfRelay(index))
+                        : null;
+        relay.start(
+                balancingPolicy,
+                routingPolicy == null
                         ? null
                         : new PoolRouter(
-                                charter, host.now(), l -> {}, simulation.figures::increment));
+                                routingPolicy,
+                                relay.now(),
+                                l -> {},
+                                simulation.figures::increment));
     }
 
     /** A relay; tests put broken ones in its place, to see them caught. */
-    VirtualRelay newRelay(int r, VirtualClock on, Map<String, Server> servers) {
-        return new VirtualRelay(r, on, simulation, servers);
+    VirtualRelay newRelay(int index, VirtualClock clock, Map<String, Server> serversByName) {
+        return new VirtualRelay(index, clock, simulation, serversByName);
     }
 
     private double trueLoadFactor(String name) {
-        Server s = serversByName.get(name);
-        return s.isImpaired() ? Double.POSITIVE_INFINITY : s.loadFactor(clock.now());
+        Server server = serversByName.get(name);
+        return server.isImpaired() ? Double.POSITIVE_INFINITY : server.loadFactor(clock.now());
     }
 
     @Override
@@ -103,35 +108,36 @@
     }
 
     @Override
-    public void schedule(double seconds, Runnable what) {
-        clock.schedule(seconds, what);
+    public void schedule(double seconds, Runnable task) {
+        clock.schedule(seconds, task);
     }
 
     @Override
-    public void openTunnel(ClientRequest t) {
+    public void openTunnel(ClientRequest request) {
         clock.schedule(
                 plan.localDelay,
                 () -> {
-                    VirtualRelay host = relays[t.relay];
-                    if (t.finished) {
+                    VirtualRelay relay = relays[request.relay];
+                    if (request.finished) {
                         return;
                     }
-                    if (host.dead()) {
-                        clock.schedule(plan.localDelay, () -> simulation.connectionRefused(t));
+                    if (relay.isStopped()) {
+                        clock.schedule(
+                                plan.localDelay, () -> simulation.connectionRefused(request));
                     } else {
-                        host.take(t);
+                        relay.acceptRequest(request);
                     }
                 });
     }
 
     @Override
-    public double closeTunnel(ClientRequest t) {
-        return relays[t.relay].hangUp(t);
+    public double closeTunnel(ClientRequest request) {
+        return relays[request.relay].clientClosed(request);
     }
 
     @Override
-    public double breakConnection(ClientRequest t) {
-        return closeTunnel(t);
+    public double breakConnection(ClientRequest request) {
+        return closeTunnel(request);
     }
 
     @Override
@@ -146,20 +152,20 @@
 
     @Override
     public void killRelay(int relay) {
-        if (!relays[relay].dead()) {
+        if (!relays[relay].isStopped()) {
             relays[relay].kill();
         }
     }
 
     @Override
     public void shutDownRelay(int relay) {
-        relays[relay].leave();
+        relays[relay].shutDown();
     }
 
     @Override
     public void reloadRelays() {
-        for (VirtualRelay host : relays) {
-            host.reload();
+        for (VirtualRelay relay : relays) {
+            relay.reload();
         }
     }
 
@@ -170,13 +176,13 @@
 
     @Override
     public void serverListChanged() {
-        for (VirtualRelay host : relays) {
-            if (!host.dead()) {
+        for (VirtualRelay relay : relays) {
+            if (!relay.isStopped()) {
                 clock.schedule(
                         plan.localDelay,
                         () -> {
-                            if (!host.dead() && !simulation.registry.isDown()) {
-                                host.tell();
+                            if (!relay.isStopped() && !simulation.registry.isDown()) {
+                                relay.deliverListChanges();
                             }
                         });
             }
@@ -185,9 +191,9 @@
 
     @Override
     public void setServerListDown(boolean down) {
-        for (VirtualRelay host : relays) {
-            if (down && !host.dead()) {
-                host.listFailed();
+        for (VirtualRelay relay : relays) {
+            if (down && !relay.isStopped()) {
+                relay.serverListFailed();
             }
         }
     }
--- a/lab/src/main/java/asterpulley/lab/plan/Plan.java
+++ b/lab/src/main/java/asterpulley/lab/plan/Plan.java
@@ -65,13 +65,13 @@
 
     /** A figure, how it is compared, and with what. */
     public record Expectation(String figure, String operator, double bound) {
-        public boolean holds(double is) {
+        public boolean holds(double value) {
             return switch (operator) {
-                case "<" -> is < bound;
-                case "<=" -> is <= bound;
-                case ">" -> is > bound;
-                case ">=" -> is >= bound;
-                default -> Math.abs(is - bound) < 1e-9;
+                case "<" -> value < bound;
+                case "<=" -> value <= bound;
+                case ">" -> value > bound;
+                case ">=" -> value >= bound;
+                default -> Math.abs(value - bound) < 1e-9;
             };
         }
     }
@@ -131,14 +131,16 @@
      */
     public void halveTimes() {
         duration /= 2;
-        for (Fault f : faults) {
-            f.at /= 2;
-            f.duration /= 2;
-            f.stepInterval /= 2;
+        for (Fault fault : faults) {
+            fault.at /= 2;
+            fault.duration /= 2;
+            fault.stepInterval /= 2;
         }
     }
 
     public int serverCount() {
-        return servers.stream().mapToInt(k -> k.count * k.rooms.size()).sum();
+        return servers.stream()
+                .mapToInt(serverPlan -> serverPlan.count * serverPlan.rooms.size())
+                .sum();
     }
 }
--- a/lab/src/main/java/asterpulley/lab/plan/PlanReader.java
+++ b/lab/src/main/java/asterpulley/lab/plan/PlanReader.java
@@ -50,8 +50,8 @@
     private PlanReader() {}
 
     /** Reads the whole of it; ask the sheet for its problems before the plan is used. */
-    public static Plan read(TomlDocument sheet, String name) {
-        TomlSection root = sheet.root();
+    public static Plan read(TomlDocument document, String name) {
+        TomlSection root = document.root();
         Plan plan = new Plan();
         plan.name = name;
         plan.title = root.text("title", name);
@@ -85,18 +85,18 @@
                 PoolsReader.read(
                         root,
                         plan.rooms,
-                        plan.servers.stream().map(k -> k.model).toList(),
-                        plan.profiles.stream().map(q -> q.name).toList(),
+                        plan.servers.stream().map(serverPlan -> serverPlan.model).toList(),
+                        plan.profiles.stream().map(profile -> profile.name).toList(),
                         plan.relaysPerRoom,
                         plan.servers.get(0).capacity);
-        for (TomlSection p : root.sections("fault")) {
-            plan.faults.add(readFault(p, plan));
+        for (TomlSection section : root.sections("fault")) {
+            plan.faults.add(readFault(section, plan));
         }
         for (String text : root.texts("expect")) {
-            Plan.Expectation e =
+            Plan.Expectation expectation =
                     parseExpectation(root, text, figure -> Figures.isKnown(figure, plan));
-            if (e != null) {
-                plan.expectations.add(e);
+            if (expectation != null) {
+                plan.expectations.add(expectation);
             }
         }
         for (String baseline : root.texts("baselines")) {
@@ -118,15 +118,17 @@
      */
     public static Plan.Expectation parseExpectation(
             TomlSection root, String text, Predicate<String> known) {
-        Matcher m = EXPECTATION_PATTERN.matcher(text);
-        if (!m.matches()) {
+        Matcher matcher = EXPECTATION_PATTERN.matcher(text);
+        if (!matcher.matches()) {
             return root.reportProblem(
                     "expect", "'" + text + "' is not of the form: figure < number", null);
         }
-        if (!known.test(m.group(1))) {
-            return root.reportProblem("expect", "no run gives the figure " + m.group(1), null);
+        if (!known.test(matcher.group(1))) {
+            return root.reportProblem(
+                    "expect", "no run gives the figure " + matcher.group(1), null);
         }
-        return new Plan.Expectation(m.group(1), m.group(2), Double.parseDouble(m.group(3)));
+        return new Plan.Expectation(
+                matcher.group(1), matcher.group(2), Double.parseDouble(matcher.group(3)));
     }
 
     private static void readRooms(TomlSection root, Plan plan) {
@@ -138,9 +140,9 @@
         plan.localDelay = rooms.number("near_s", plan.localDelay, 0, 1);
         plan.crossRoomDelay = rooms.number("delay_s", plan.crossRoomDelay, 0, 1);
         TomlSection shares = rooms.section("share");
-        for (String named : shares.keys()) {
-            if (!plan.rooms.contains(named)) {
-                shares.reportProblem(named, "names no room", null);
+        for (String roomName : shares.keys()) {
+            if (!plan.rooms.contains(roomName)) {
+                shares.reportProblem(roomName, "names no room", null);
             }
         }
         for (String room : plan.rooms) {
@@ -160,40 +162,41 @@
     }
 
     private static void readProfiles(TomlSection root, Plan plan) {
-        for (TomlSection p : root.sections("profile")) {
-            Plan.ProfilePlan to = new Plan.ProfilePlan();
-            to.name = p.require("name").text("name", "");
+        for (TomlSection section : root.sections("profile")) {
+            Plan.ProfilePlan profile = new Plan.ProfilePlan();
+            profile.name = section.require("name").text("name", "");
             String effect =
-                    p.oneOf("effect", "repeatable", "repeatable", "referenced", "once-only");
-            to.repeatability =
+                    section.oneOf("effect", "repeatable", "repeatable", "referenced", "once-only");
+            profile.repeatability =
                     Settings.Repeatability.valueOf(effect.toUpperCase().replace('-', '_'));
-            to.idempotencyScope =
+            profile.idempotencyScope =
                     Settings.IdempotencyScope.valueOf(
-                            p.oneOf("reach", "all", "all", "zone", "cell").toUpperCase());
-            to.share = p.number("share", to.share, 0, MAX_COUNT);
-            to.setupGoal = p.number("setup_goal_s", to.setupGoal, 0.01, 60);
-            to.clientTimeout =
-                    p.number(
+                            section.oneOf("reach", "all", "all", "zone", "cell").toUpperCase());
+            profile.share = section.number("share", profile.share, 0, MAX_COUNT);
+            profile.setupGoal = section.number("setup_goal_s", profile.setupGoal, 0.01, 60);
+            profile.clientTimeout =
+                    section.number(
                             "client_timeout_s",
-                            Math.max(to.setupGoal, to.clientTimeout),
-                            to.setupGoal,
+                            Math.max(profile.setupGoal, profile.clientTimeout),
+                            profile.setupGoal,
                             60);
-            to.credit = p.number("credit", to.credit, 0, MAX_COUNT);
-            to.lifetime = p.number("lifetime_s", to.lifetime, 0.1, MAX_SECONDS);
-            to.load = p.number("load", to.load, 0.001, 1000);
-            to.idempotencyWindow = p.number("window_s", to.idempotencyWindow, 0, 600);
-            to.maxRetries = p.integer("retries", to.maxRetries, 0, 100);
-            plan.profiles.add(to);
+            profile.credit = section.number("credit", profile.credit, 0, MAX_COUNT);
+            profile.lifetime = section.number("lifetime_s", profile.lifetime, 0.1, MAX_SECONDS);
+            profile.load = section.number("load", profile.load, 0.001, 1000);
+            profile.idempotencyWindow =
+                    section.number("window_s", profile.idempotencyWindow, 0, 600);
+            profile.maxRetries = section.integer("retries", profile.maxRetries, 0, 100);
+            plan.profiles.add(profile);
         }
         if (plan.profiles.isEmpty()) {
             plan.profiles.add(new Plan.ProfilePlan());
         }
-        for (TomlSection p : root.sections("customer")) {
-            Plan.CustomerPlan to = new Plan.CustomerPlan();
-            to.name = p.require("name").text("name", "");
-            to.share = p.number("share", to.share, 0, MAX_COUNT);
-            to.room = readRoom(p, plan);
-            plan.customers.add(to);
+        for (TomlSection section : root.sections("customer")) {
+            Plan.CustomerPlan profile = new Plan.CustomerPlan();
+            profile.name = section.require("name").text("name", "");
+            profile.share = section.number("share", profile.share, 0, MAX_COUNT);
+            profile.room = readRoom(section, plan);
+            plan.customers.add(profile);
         }
         if (plan.customers.isEmpty()) {
             plan.customers.add(new Plan.CustomerPlan());
@@ -212,80 +215,84 @@
 
     private static void readServers(TomlSection root, Plan plan) {
         plan.reportsOpenTunnels = root.section("reports").flag("held", false);
-        for (TomlSection p : root.sections("servers")) {
-            Plan.ServerPlan to = new Plan.ServerPlan();
-            to.model = p.text("kind", to.model);
-            to.count = p.integer("count", to.count, 1, 100_000);
-            to.rooms.addAll(p.texts("rooms"));
-            for (String room : to.rooms) {
+        for (TomlSection section : root.sections("servers")) {
+            Plan.ServerPlan serverPlan = new Plan.ServerPlan();
+            serverPlan.model = section.text("kind", serverPlan.model);
+            serverPlan.count = section.integer("count", serverPlan.count, 1, 100_000);
+            serverPlan.rooms.addAll(section.texts("rooms"));
+            for (String room : serverPlan.rooms) {
                 if (!plan.rooms.contains(room)) {
-                    p.reportProblem("rooms", "'" + room + "' names no room", null);
+                    section.reportProblem("rooms", "'" + room + "' names no room", null);
                 }
             }
-            if (to.rooms.isEmpty()) {
-                to.rooms.addAll(plan.rooms);
+            if (serverPlan.rooms.isEmpty()) {
+                serverPlan.rooms.addAll(plan.rooms);
             }
-            to.capacity = p.number("holds", to.capacity, 1, MAX_COUNT);
-            to.setupTime = p.number("setup_s", to.setupTime, 0, 60);
-            to.warmUpTime = p.number("warm_up_s", to.warmUpTime, 0.1, 3600);
-            to.coldCapacityFraction = p.number("cold_from", to.coldCapacityFraction, 0.01, 1);
-            to.refuseAtFactor = p.number("refuse_at", to.refuseAtFactor, 0.1, 100);
-            to.startsCold = p.flag("cold", false);
-            plan.servers.add(to);
+            serverPlan.capacity = section.number("holds", serverPlan.capacity, 1, MAX_COUNT);
+            serverPlan.setupTime = section.number("setup_s", serverPlan.setupTime, 0, 60);
+            serverPlan.warmUpTime = section.number("warm_up_s", serverPlan.warmUpTime, 0.1, 3600);
+            serverPlan.coldCapacityFraction =
+                    section.number("cold_from", serverPlan.coldCapacityFraction, 0.01, 1);
+            serverPlan.refuseAtFactor =
+                    section.number("refuse_at", serverPlan.refuseAtFactor, 0.1, 100);
+            serverPlan.startsCold = section.flag("cold", false);
+            plan.servers.add(serverPlan);
         }
         if (plan.servers.isEmpty()) {
-            Plan.ServerPlan few = new Plan.ServerPlan();
-            few.rooms.addAll(plan.rooms);
-            plan.servers.add(few);
+            Plan.ServerPlan serverPlan = new Plan.ServerPlan();
+            serverPlan.rooms.addAll(plan.rooms);
+            plan.servers.add(serverPlan);
         }
     }
 
-    private static String readRoom(TomlSection p, Plan plan) {
-        String room = p.text("room", null);
+    private static String readRoom(TomlSection section, Plan plan) {
+        String room = section.text("room", null);
         return room == null || plan.rooms.contains(room)
                 ? room
-                : p.reportProblem("room", "'" + room + "' names no room", null);
+                : section.reportProblem("room", "'" + room + "' names no room", null);
     }
 
-    private static Plan.Fault readFault(TomlSection p, Plan plan) {
-        Plan.Fault f = new Plan.Fault();
-        f.kind = p.require("kind", "at_s").oneOf("kind", "silent", FAULT_KINDS);
-        f.at = p.number("at_s", 0, 0, MAX_SECONDS);
-        f.duration = p.number("for_s", f.duration, 0, MAX_SECONDS);
-        f.factor = p.number("factor", f.factor, 1, MAX_COUNT);
-        f.share = p.number("share", f.share, 0, 1);
-        f.stepInterval = p.number("step_s", f.stepInterval, 0, 600);
-        f.drainTime = p.number("drain_s", f.drainTime, 0, 600);
-        f.downTime = p.number("down_s", f.downTime, 0, 600);
-        f.withinSeconds = p.number("within_s", f.withinSeconds, 0, 600);
-        f.count = p.integer("count", 0, 0, (int) MAX_COUNT);
-        f.servers.addAll(p.texts("servers"));
-        f.relays.addAll(p.texts("relays"));
-        f.room = readRoom(p, plan);
-        f.spillShare = p.number("spill_share", f.spillShare, 0, 1);
-        if ((f.kind.startsWith("room-") || f.kind.equals("relay-cut")) && f.room == null) {
-            p.require("room");
+    private static Plan.Fault readFault(TomlSection section, Plan plan) {
+        Plan.Fault fault = new Plan.Fault();
+        fault.kind = section.require("kind", "at_s").oneOf("kind", "silent", FAULT_KINDS);
+        fault.at = section.number("at_s", 0, 0, MAX_SECONDS);
+        fault.duration = section.number("for_s", fault.duration, 0, MAX_SECONDS);
+        fault.factor = section.number("factor", fault.factor, 1, MAX_COUNT);
+        fault.share = section.number("share", fault.share, 0, 1);
+        fault.stepInterval = section.number("step_s", fault.stepInterval, 0, 600);
+        fault.drainTime = section.number("drain_s", fault.drainTime, 0, 600);
+        fault.downTime = section.number("down_s", fault.downTime, 0, 600);
+        fault.withinSeconds = section.number("within_s", fault.withinSeconds, 0, 600);
+        fault.count = section.integer("count", 0, 0, (int) MAX_COUNT);
+        fault.servers.addAll(section.texts("servers"));
+        fault.relays.addAll(section.texts("relays"));
+        fault.room = readRoom(section, plan);
+        fault.spillShare = section.number("spill_share", fault.spillShare, 0, 1);
+        if ((fault.kind.startsWith("room-") || fault.kind.equals("relay-cut"))
+                && fault.room == null) {
+            section.require("room");
         }
-        if (f.kind.equals("reload") && plan.routes == null) {
-            p.reportProblem("kind", "needs [spill]: a reload changes its share", null);
+        if (fault.kind.equals("reload") && plan.routes == null) {
+            section.reportProblem("kind", "needs [spill]: a reload changes its share", null);
         }
-        List<String> all = new ArrayList<>(serverNames(plan));
-        for (String pattern : f.servers) {
-            if (all.stream().noneMatch(n -> matchesPattern(pattern, n))) {
-                p.reportProblem(
+        List<String> serverNames = new ArrayList<>(serverNames(plan));
+        for (String pattern : fault.servers) {
+            if (serverNames.stream().noneMatch(serverName -> matchesPattern(pattern, serverName))) {
+                section.reportProblem(
                         "servers",
-                        "'" + pattern + "' names no server; the first is " + all.get(0),
+                        "'" + pattern + "' names no server; the first is " + serverNames.get(0),
                         null);
             }
         }
-        for (String relay : f.relays) {
+        for (String relay : fault.relays) {
             if (!relay.matches("r[0-9]+")
                     || Integer.parseInt(relay.substring(1)) > plan.relaysPerRoom * plan.rooms.size()
                     || relay.equals("r0")) {
-                p.reportProblem("relays", "'" + relay + "' names no relay; the first is r1", null);
+                section.reportProblem(
+                        "relays", "'" + relay + "' names no relay; the first is r1", null);
             }
         }
-        return f;
+        return fault;
     }
 
     /** A star stands for anything. */
@@ -296,10 +303,10 @@
     /** The servers' names, room by room within a kind. */
     public static List<String> serverNames(Plan plan) {
         List<String> names = new ArrayList<>();
-        for (Plan.ServerPlan kind : plan.servers) {
-            for (String room : kind.rooms) {
-                for (int i = 1; i <= kind.count; i++) {
-                    names.add(kind.model + "-" + room + "-" + i);
+        for (Plan.ServerPlan serverPlan : plan.servers) {
+            for (String room : serverPlan.rooms) {
+                for (int i = 1; i <= serverPlan.count; i++) {
+                    names.add(serverPlan.model + "-" + room + "-" + i);
                 }
             }
         }
--- a/lab/src/main/java/asterpulley/lab/plan/RelaySettings.java
+++ b/lab/src/main/java/asterpulley/lab/plan/RelaySettings.java
@@ -15,9 +15,9 @@
     /** The settings, as every relay of a plan in this room is told them. */
     public static Map<String, Object> settingsFor(Plan plan, int room) {
         List<Object> profiles = new ArrayList<>();
-        for (Plan.ProfilePlan p : plan.profiles) {
+        for (Plan.ProfilePlan profile : plan.profiles) {
             String effect =
-                    switch (p.repeatability) {
+                    switch (profile.repeatability) {
                         case REPEATABLE -> "read_like";
                         case REFERENCED -> "idempotency_key";
                         case ONCE_ONLY -> "non_idempotent";
@@ -25,33 +25,34 @@
             profiles.add(
                     mapOf(
                             "name",
-                            p.name,
+                            profile.name,
                             "effect",
                             effect,
                             "group",
-                            p.idempotencyScope.name().toLowerCase(),
+                            profile.idempotencyScope.name().toLowerCase(),
                             "credit",
-                            p.credit,
+                            profile.credit,
                             "setupGoalMs",
-                            p.setupGoal * 1e3,
+                            profile.setupGoal * 1e3,
                             "clientTimeoutMs",
-                            p.clientTimeout * 1e3,
+                            profile.clientTimeout * 1e3,
                             "windowMs",
-                            p.idempotencyWindow * 1e3));
+                            profile.idempotencyWindow * 1e3));
         }
         List<Object> customers = new ArrayList<>();
-        plan.customers.forEach(c -> customers.add(mapOf("name", c.name, "share", c.share)));
-        Map<String, Object> s = new LinkedHashMap<>();
-        s.put("zones", plan.rooms);
-        s.put("models", plan.servers.stream().map(k -> k.model).toList());
-        s.put("tenants", customers);
-        s.put("profiles", profiles);
-        s.put("siblings", plan.relaysPerRoom * plan.rooms.size());
-        s.put("myZone", room);
-        s.put("registryMode", "subscribe");
-        s.put("tickMs", plan.tick * 1e3);
-        s.put("familyInfo", mapOf("groups", plan.groupCount > 0));
-        s.put(
+        plan.customers.forEach(
+                customer -> customers.add(mapOf("name", customer.name, "share", customer.share)));
+        Map<String, Object> settings = new LinkedHashMap<>();
+        settings.put("zones", plan.rooms);
+        settings.put("models", plan.servers.stream().map(serverPlan -> serverPlan.model).toList());
+        settings.put("tenants", customers);
+        settings.put("profiles", profiles);
+        settings.put("siblings", plan.relaysPerRoom * plan.rooms.size());
+        settings.put("myZone", room);
+        settings.put("registryMode", "subscribe");
+        settings.put("tickMs", plan.tick * 1e3);
+        settings.put("familyInfo", mapOf("groups", plan.groupCount > 0));
+        settings.put(
                 "limits",
                 mapOf(
                         "probes",
@@ -64,7 +65,7 @@
                         plan.maxSetupsPerTunnel,
                         "dialTimeoutMs",
                         plan.connectTimeout * 1e3));
-        s.put(
+        settings.put(
                 "rules",
                 mapOf(
                         "askEveryMs",
@@ -77,8 +78,8 @@
                         plan.collapseMultiple,
                         "fallMs",
                         plan.collapseTime * 1e3));
-        s.put("fees", mapOf("crossZone", plan.crossZoneFee, "probe", plan.probeFee));
-        return s;
+        settings.put("fees", mapOf("crossZone", plan.crossZoneFee, "probe", plan.probeFee));
+        return settings;
     }
 
     public static Map<String, Object> mapOf(Object... pairs) {
--- a/lab/src/main/java/asterpulley/lab/report/Reports.java
+++ b/lab/src/main/java/asterpulley/lab/report/Reports.java
@@ -26,79 +26,87 @@
 
     private Reports() {}
 
-    public static byte[] toJson(Plan plan, List<RunResult> all) throws IOException {
-        Map<String, Object> top = new LinkedHashMap<>();
-        top.put("experiment", plan.name);
-        top.put("title", plan.title);
-        top.put("seed", plan.seed);
+    public static byte[] toJson(Plan plan, List<RunResult> results) throws IOException {
+        Map<String, Object> root = new LinkedHashMap<>();
+        root.put("experiment", plan.name);
+        root.put("title", plan.title);
+        root.put("seed", plan.seed);
         List<Object> plays = new ArrayList<>();
-        for (RunResult o : all) {
+        for (RunResult result : results) {
             Map<String, Object> play = new LinkedHashMap<>();
-            play.put("on", o.testbed);
-            play.put("policy", o.policy);
+            play.put("on", result.testbed);
+            play.put("policy", result.policy);
             play.put(
                     "verdict",
-                    o.noVerdictReason != null
-                            ? "none: " + o.noVerdictReason
-                            : o.meetsExpectations(plan) ? "holds" : "short");
+                    result.noVerdictReason != null
+                            ? "none: " + result.noVerdictReason
+                            : result.meetsExpectations(plan) ? "holds" : "short");
             List<Object> expects = new ArrayList<>();
-            for (Plan.Expectation e : plan.expectations) {
-                Map<String, Object> to = new LinkedHashMap<>();
-                to.put("figure", e.figure());
-                to.put("expected", e.operator() + " " + Tables.formatNumber(e.bound()));
-                to.put("is", o.figure(e.figure()));
-                to.put("holds", o.holds(e));
-                expects.add(to);
+            for (Plan.Expectation expectation : plan.expectations) {
+                Map<String, Object> row = new LinkedHashMap<>();
+                row.put("figure", expectation.figure());
+                row.put(
+                        "expected",
+                        expectation.operator() + " " + Tables.formatNumber(expectation.bound()));
+                row.put("is", result.figure(expectation.figure()));
+                row.put("holds", result.holds(expectation));
+                expects.add(row);
             }
             play.put("expect", expects);
-            play.put("figures", o.figures);
-            play.put("notes", o.notes);
+            play.put("figures", result.figures);
+            play.put("notes", result.notes);
             Map<String, Object> series = new LinkedHashMap<>();
             for (int i = 0; i < Figures.SERIES.size(); i++) {
-                int at = i;
-                series.put(Figures.SERIES.get(i), o.secondRows.stream().map(r -> r[at]).toList());
+                int column = i;
+                series.put(
+                        Figures.SERIES.get(i),
+                        result.secondRows.stream().map(row -> row[column]).toList());
             }
             play.put("by_second", series);
             plays.add(play);
         }
-        top.put("plays", plays);
-        return JSON_MAPPER.writeValueAsBytes(top);
+        root.put("plays", plays);
+        return JSON_MAPPER.writeValueAsBytes(root);
     }
 
-    public static void writeHtml(Plan plan, List<RunResult> all, Path to) throws IOException {
+    public static void writeHtml(Plan plan, List<RunResult> results, Path file) throws IOException {
         StringBuilder page = new StringBuilder(pageHead(plan.title, plan.name, plan.seed));
-        for (RunResult o : all) {
+        for (RunResult result : results) {
             page.append("<h2>")
-                    .append(escapeHtml(o.policy))
+                    .append(escapeHtml(result.policy))
                     .append(" on ")
-                    .append(o.testbed)
+                    .append(result.testbed)
                     .append("</h2>");
-            if (o.noVerdictReason != null) {
+            if (result.noVerdictReason != null) {
                 page.append("<p class=short>no verdict: ")
-                        .append(escapeHtml(o.noVerdictReason))
+                        .append(escapeHtml(result.noVerdictReason))
                         .append("</p>");
             }
             page.append("<table><tr><th>figure<th>is<th>expected<th>");
-            for (Plan.Expectation e : plan.expectations) {
-                page.append(expectationRow(e, o.figure(e.figure()), o.holds(e)));
+            for (Plan.Expectation expectation : plan.expectations) {
+                page.append(
+                        expectationRow(
+                                expectation,
+                                result.figure(expectation.figure()),
+                                result.holds(expectation)));
             }
             page.append("</table>");
-            o.notes.forEach(
-                    n -> page.append("<p class=short>").append(escapeHtml(n)).append("</p>"));
+            result.notes.forEach(
+                    note -> page.append("<p class=short>").append(escapeHtml(note)).append("</p>"));
         }
         page.append("<h2>Faults</h2><ul>");
-        for (Plan.Fault f : plan.faults) {
+        for (Plan.Fault fault : plan.faults) {
             page.append("<li>")
-                    .append(Tables.formatNumber(f.at))
+                    .append(Tables.formatNumber(fault.at))
                     .append(" s: ")
-                    .append(escapeHtml(f.kind))
+                    .append(escapeHtml(fault.kind))
                     .append(" for ")
-                    .append(Tables.formatNumber(f.duration))
+                    .append(Tables.formatNumber(fault.duration))
                     .append(" s");
         }
         page.append("</ul>")
-                .append(plotsHtml(new String(toJson(plan, all), StandardCharsets.UTF_8)));
-        Files.writeString(to, page.toString());
+                .append(plotsHtml(new String(toJson(plan, results), StandardCharsets.UTF_8)));
+        Files.writeString(file, page.toString());
     }
 
     /** A page up to its first play. */
@@ -119,17 +127,17 @@
     }
 
     /** An expectation's row. */
-    public static String expectationRow(Plan.Expectation e, double is, boolean holds) {
+    public static String expectationRow(Plan.Expectation expectation, double value, boolean holds) {
         return "<tr"
                 + (holds ? "" : " class=short")
                 + "><td>"
-                + escapeHtml(e.figure())
+                + escapeHtml(expectation.figure())
                 + "<td>"
-                + Tables.formatNumber(is)
+                + Tables.formatNumber(value)
                 + "<td>"
-                + escapeHtml(e.operator())
+                + escapeHtml(expectation.operator())
                 + ' '
-                + Tables.formatNumber(e.bound())
+                + Tables.formatNumber(expectation.bound())
                 + "<td>"
                 + (holds ? "holds" : "short");
     }
--- a/lab/src/main/java/asterpulley/lab/report/RunResult.java
+++ b/lab/src/main/java/asterpulley/lab/report/RunResult.java
@@ -19,12 +19,12 @@
     /** Why there is no verdict; null where there is one. */
     public final String noVerdictReason;
 
-    public RunResult(String carrier, String policy, Simulation world, String noVerdict) {
+    public RunResult(String carrier, String policy, Simulation simulation, String noVerdict) {
         this.testbed = carrier;
         this.policy = policy;
-        this.figures = new TreeMap<>(world.figures.byName());
-        this.secondRows = world.figures.rows();
-        this.notes = world.ruleChecker.notes();
+        this.figures = new TreeMap<>(simulation.figures.byName());
+        this.secondRows = simulation.figures.rows();
+        this.notes = simulation.ruleChecker.notes();
         this.noVerdictReason = noVerdict;
     }
 
@@ -32,8 +32,8 @@
         return figures.getOrDefault(name, Double.NaN);
     }
 
-    public boolean holds(Plan.Expectation e) {
-        return e.holds(figure(e.figure()));
+    public boolean holds(Plan.Expectation expectation) {
+        return expectation.holds(figure(expectation.figure()));
     }
 
     /** Every expectation holds, and the run is worth a verdict. */
--- a/lab/src/main/java/asterpulley/lab/report/Tables.java
+++ b/lab/src/main/java/asterpulley/lab/report/Tables.java
@@ -30,49 +30,54 @@
 
     private Tables() {}
 
-    public static String formatNumber(double d) {
-        if (Double.isNaN(d)) {
+    public static String formatNumber(double value) {
+        if (Double.isNaN(value)) {
             return "-";
         }
-        return d == Math.rint(d) && Math.abs(d) < 1e12
-                ? Long.toString((long) d)
-                : String.format(Locale.ROOT, "%.3f", d);
+        return value == Math.rint(value) && Math.abs(value) < 1e12
+                ? Long.toString((long) value)
+                : String.format(Locale.ROOT, "%.3f", value);
     }
 
     /** The expectations of one play, each with its figure. */
-    public static void printExpectations(Plan plan, RunResult o, PrintStream out) {
-        out.printf(Locale.ROOT, "%n%s on %s, seed %d%n", o.policy, o.testbed, plan.seed);
-        for (Plan.Expectation e : plan.expectations) {
+    public static void printExpectations(Plan plan, RunResult result, PrintStream out) {
+        out.printf(Locale.ROOT, "%n%s on %s, seed %d%n", result.policy, result.testbed, plan.seed);
+        for (Plan.Expectation expectation : plan.expectations) {
             out.printf(
                     Locale.ROOT,
                     "  %-8s %-26s %10s   expected %s %s%n",
-                    o.holds(e) ? "holds" : "SHORT",
-                    e.figure(),
-                    formatNumber(o.figure(e.figure())),
-                    e.operator(),
-                    formatNumber(e.bound()));
+                    result.holds(expectation) ? "holds" : "SHORT",
+                    expectation.figure(),
+                    formatNumber(result.figure(expectation.figure())),
+                    expectation.operator(),
+                    formatNumber(expectation.bound()));
         }
-        o.notes.forEach(n -> out.println("  ! " + n));
-        if (o.noVerdictReason != null) {
-            out.println("  no verdict: " + o.noVerdictReason);
+        result.notes.forEach(note -> out.println("  ! " + note));
+        if (result.noVerdictReason != null) {
+            out.println("  no verdict: " + result.noVerdictReason);
         }
     }
 
     /** Several plays beside each other. */
-    public static void printSideBySide(List<RunResult> all, PrintStream out) {
+    public static void printSideBySide(List<RunResult> results, PrintStream out) {
         out.printf("%n%-22s", "");
-        all.forEach(
-                o -> out.printf("%16s", o.policy.equals(all.get(0).policy) ? o.testbed : o.policy));
+        results.forEach(
+                result ->
+                        out.printf(
+                                "%16s",
+                                result.policy.equals(results.get(0).policy)
+                                        ? result.testbed
+                                        : result.policy));
         out.println();
-        COMPARED_FIGURES.forEach(figure -> printRow(figure, all, out));
-        if (all.stream().anyMatch(o -> o.figure("spill.worst_share") > 0)) {
-            COMPARED_ROOM_FIGURES.forEach(figure -> printRow(figure, all, out));
+        COMPARED_FIGURES.forEach(figure -> printRow(figure, results, out));
+        if (results.stream().anyMatch(result -> result.figure("spill.worst_share") > 0)) {
+            COMPARED_ROOM_FIGURES.forEach(figure -> printRow(figure, results, out));
         }
     }
 
-    private static void printRow(String figure, List<RunResult> all, PrintStream out) {
+    private static void printRow(String figure, List<RunResult> results, PrintStream out) {
         out.printf("%-22s", figure);
-        all.forEach(o -> out.printf("%16s", formatNumber(o.figure(figure))));
+        results.forEach(result -> out.printf("%16s", formatNumber(result.figure(figure))));
         out.println();
     }
 }
--- a/lab/src/main/java/asterpulley/lab/world/Client.java
+++ b/lab/src/main/java/asterpulley/lab/world/Client.java
@@ -30,11 +30,11 @@
     /** Since when it has been without a tunnel; NaN while it stands or is over. */
     double disconnectedSince;
 
-    Client(int number, Spec born, RandomGenerator random) {
+    Client(int number, Spec spec, RandomGenerator random) {
         this.number = number;
-        this.spec = born;
+        this.spec = spec;
         this.random = random;
-        disconnectedSince = born.arrivesAt();
+        disconnectedSince = spec.arrivesAt();
     }
 
     double departsAt() {
--- a/lab/src/main/java/asterpulley/lab/world/ClientRequest.java
+++ b/lab/src/main/java/asterpulley/lab/world/ClientRequest.java
@@ -41,8 +41,8 @@
             int number,
             int relay,
             int relayLife,
-            double meantAt,
-            double saidAt,
+            double intendedAt,
+            double sentAt,
             double patience,
             boolean again,
             boolean retry) {
@@ -50,8 +50,8 @@
         this.number = number;
         this.relay = relay;
         this.relayIncarnation = relayLife;
-        this.intendedAt = meantAt;
-        this.sentAt = saidAt;
+        this.intendedAt = intendedAt;
+        this.sentAt = sentAt;
         this.clientTimeout = patience;
         this.reconnecting = again;
         this.retry = retry;
--- a/lab/src/main/java/asterpulley/lab/world/Clock.java
+++ b/lab/src/main/java/asterpulley/lab/world/Clock.java
@@ -10,5 +10,5 @@
     /**
      * Runs this after so many seconds, in the order of the times and, at one time, of the calls.
      */
-    void schedule(double seconds, Runnable what);
+    void schedule(double seconds, Runnable task);
 }
--- a/lab/src/main/java/asterpulley/lab/world/EventQueue.java
+++ b/lab/src/main/java/asterpulley/lab/world/EventQueue.java
@@ -17,8 +17,8 @@
     private final PriorityQueue<Event> events = new PriorityQueue<>(1 << 12);
     private long nextOrder;
 
-    public void add(double at, Runnable what) {
-        events.add(new Event(at, nextOrder++, what));
+    public void add(double at, Runnable task) {
+        events.add(new Event(at, nextOrder++, task));
     }
 
     /** When the next is due; without end where nothing is. */
--- a/lab/src/main/java/asterpulley/lab/world/FaultInjector.java
+++ b/lab/src/main/java/asterpulley/lab/world/FaultInjector.java
@@ -19,148 +19,180 @@
     private final Simulation simulation;
     private final Testbed testbed;
 
-    FaultInjector(Simulation world, Testbed carrier) {
-        this.simulation = world;
+    FaultInjector(Simulation simulation, Testbed carrier) {
+        this.simulation = simulation;
         this.testbed = carrier;
     }
 
     void start() {
-        int number = 0;
-        for (Plan.Fault f : simulation.plan.faults) {
+        int faultIndex = 0;
+        for (Plan.Fault fault : simulation.plan.faults) {
             List<Server> servers =
-                    selectServers(f, new Random(simulation.plan.seed * 31 + number++));
-            testbed.schedule(f.at - testbed.now(), () -> inject(f, servers));
+                    selectServers(fault, new Random(simulation.plan.seed * 31 + faultIndex++));
+            testbed.schedule(fault.at - testbed.now(), () -> inject(fault, servers));
         }
     }
 
     /** Those named, or of the room, or a part of all; drawn by the seed, never by the run. */
-    private List<Server> selectServers(Plan.Fault f, Random random) {
-        List<Server> of = new ArrayList<>();
-        for (Server s : simulation.servers) {
+    private List<Server> selectServers(Plan.Fault fault, Random random) {
+        List<Server> selected = new ArrayList<>();
+        for (Server server : simulation.servers) {
             boolean named =
-                    f.servers.isEmpty()
-                            || f.servers.stream()
-                                    .anyMatch(p -> PlanReader.matchesPattern(p, s.name));
-            if (named && (f.room == null || simulation.plan.rooms.get(s.room).equals(f.room))) {
-                of.add(s);
+                    fault.servers.isEmpty()
+                            || fault.servers.stream()
+                                    .anyMatch(
+                                            pattern ->
+                                                    PlanReader.matchesPattern(
+                                                            pattern, server.name));
+            if (named
+                    && (fault.room == null
+                            || simulation.plan.rooms.get(server.room).equals(fault.room))) {
+                selected.add(server);
             }
         }
-        if (f.count > 0 || f.share < 1) {
-            int many =
-                    f.count > 0
-                            ? Math.min(f.count, of.size())
-                            : (int) Math.ceil(f.share * of.size());
-            Collections.shuffle(of, random);
-            of = new ArrayList<>(of.subList(0, many));
-            of.sort((a, b) -> a.index - b.index);
+        if (fault.count > 0 || fault.share < 1) {
+            int limit =
+                    fault.count > 0
+                            ? Math.min(fault.count, selected.size())
+                            : (int) Math.ceil(fault.share * selected.size());
+            Collections.shuffle(selected, random);
+            selected = new ArrayList<>(selected.subList(0, limit));
+            selected.sort((a, b) -> a.index - b.index);
         }
-        return of;
+        return selected;
     }
 
-    private List<Integer> selectRelays(Plan.Fault f) {
-        List<Integer> of = new ArrayList<>();
+    private List<Integer> selectRelays(Plan.Fault fault) {
+        List<Integer> selected = new ArrayList<>();
         for (int r = 0; r < simulation.relayCount(); r++) {
-            boolean all = f.room == null || f.kind.equals("relay-cut");
-            boolean named = f.relays.isEmpty() ? all && r == 0 : f.relays.contains("r" + (r + 1));
+            boolean inAnyRoom = fault.room == null || fault.kind.equals("relay-cut");
+            boolean named =
+                    fault.relays.isEmpty()
+                            ? inAnyRoom && r == 0
+                            : fault.relays.contains("r" + (r + 1));
             if (named
-                    || f.relays.isEmpty()
-                            && !all
+                    || fault.relays.isEmpty()
+                            && !inAnyRoom
                             && simulation
                                     .plan
                                     .rooms
                                     .get(simulation.roomOfRelay(r))
-                                    .equals(f.room)) {
-                of.add(r);
+                                    .equals(fault.room)) {
+                selected.add(r);
             }
         }
-        return of;
+        return selected;
     }
 
-    private void inject(Plan.Fault f, List<Server> servers) {
-        switch (f.kind) {
+    private void inject(Plan.Fault fault, List<Server> servers) {
+        switch (fault.kind) {
             case "silent" ->
-                    applyTemporarily(f, servers, s -> s.silent = true, s -> s.silent = false);
+                    applyTemporarily(
+                            fault,
+                            servers,
+                            server -> server.silent = true,
+                            server -> server.silent = false);
             case "no-answer" ->
-                    applyTemporarily(f, servers, s -> s.noAnswer = true, s -> s.noAnswer = false);
+                    applyTemporarily(
+                            fault,
+                            servers,
+                            server -> server.noAnswer = true,
+                            server -> server.noAnswer = false);
             case "refuse" ->
-                    applyTemporarily(f, servers, s -> s.refusing = true, s -> s.refusing = false);
+                    applyTemporarily(
+                            fault,
+                            servers,
+                            server -> server.refusing = true,
+                            server -> server.refusing = false);
             case "reset" ->
-                    applyTemporarily(f, servers, s -> s.resetting = true, s -> s.resetting = false);
+                    applyTemporarily(
+                            fault,
+                            servers,
+                            server -> server.resetting = true,
+                            server -> server.resetting = false);
             case "slow" ->
-                    applyTemporarily(f, servers, s -> s.slowdown = f.factor, s -> s.slowdown = 1);
+                    applyTemporarily(
+                            fault,
+                            servers,
+                            server -> server.slowdown = fault.factor,
+                            server -> server.slowdown = 1);
             case "errors" ->
                     applyTemporarily(
-                            f, servers, s -> s.errorShare = f.share, s -> s.errorShare = 0);
-            case "vanish", "room-dark" -> servers.forEach(s -> vanish(s, f.duration));
+                            fault,
+                            servers,
+                            server -> server.errorShare = fault.share,
+                            server -> server.errorShare = 0);
+            case "vanish", "room-dark" -> servers.forEach(server -> vanish(server, fault.duration));
             case "crash" ->
                     servers.forEach(
-                            s -> {
-                                simulation.stopServer(s, f.duration, false);
-                                simulation.publishState(s, ServerEntry.State.GONE);
+                            server -> {
+                                simulation.stopServer(server, fault.duration, false);
+                                simulation.publishState(server, ServerEntry.State.GONE);
                             });
-            case "drain" -> servers.forEach(s -> drain(s, f));
+            case "drain" -> servers.forEach(server -> drain(server, fault));
             case "deploy" -> {
-                double after = 0;
-                for (Server s : servers) {
-                    testbed.schedule(after, () -> drain(s, f));
-                    after += f.stepInterval;
+                double delay = 0;
+                for (Server server : servers) {
+                    testbed.schedule(delay, () -> drain(server, fault));
+                    delay += fault.stepInterval;
                 }
             }
             case "store-slow" -> {
-                simulation.sessionStore.slowdown = f.factor;
-                testbed.schedule(f.duration, () -> simulation.sessionStore.slowdown = 1);
+                simulation.sessionStore.slowdown = fault.factor;
+                testbed.schedule(fault.duration, () -> simulation.sessionStore.slowdown = 1);
             }
             case "room-cut" -> {
-                int room = simulation.plan.rooms.indexOf(f.room);
+                int room = simulation.plan.rooms.indexOf(fault.room);
                 simulation.setRoomCutOff(room, true);
-                testbed.schedule(f.duration, () -> simulation.setRoomCutOff(room, false));
+                testbed.schedule(fault.duration, () -> simulation.setRoomCutOff(room, false));
             }
             case "relay-cut" ->
-                    selectRelays(f)
+                    selectRelays(fault)
                             .forEach(
                                     r -> {
-                                        int room = simulation.plan.rooms.indexOf(f.room);
+                                        int room = simulation.plan.rooms.indexOf(fault.room);
                                         simulation.setRelayCutOff(r, room, true);
                                         testbed.schedule(
-                                                f.duration,
+                                                fault.duration,
                                                 () -> simulation.setRelayCutOff(r, room, false));
                                     });
             case "reload" -> {
-                if (!Double.isNaN(f.spillShare)) {
+                if (!Double.isNaN(fault.spillShare)) {
                     Map<String, Object> routes = new LinkedHashMap<>(simulation.plan.routes);
-                    routes.put("share", f.spillShare);
+                    routes.put("share", fault.spillShare);
                     simulation.plan.routes = routes;
                 }
                 testbed.reloadRelays();
             }
             case "list-down" -> {
                 setServerListDown(true);
-                testbed.schedule(f.duration, () -> setServerListDown(false));
+                testbed.schedule(fault.duration, () -> setServerListDown(false));
             }
             case "list-late" -> {
-                simulation.registry.extraDelay = f.factor;
-                testbed.schedule(f.duration, () -> simulation.registry.extraDelay = 0);
+                simulation.registry.extraDelay = fault.factor;
+                testbed.schedule(fault.duration, () -> simulation.registry.extraDelay = 0);
             }
             case "relay-kill" ->
-                    selectRelays(f)
+                    selectRelays(fault)
                             .forEach(
                                     r -> {
                                         testbed.killRelay(r);
-                                        testbed.schedule(f.downTime, () -> testbed.startRelay(r));
+                                        testbed.schedule(
+                                                fault.downTime, () -> testbed.startRelay(r));
                                     });
             case "relay-restart" ->
-                    selectRelays(f)
+                    selectRelays(fault)
                             .forEach(
                                     r -> {
                                         simulation.onRelayStopped(
                                                 r,
                                                 () ->
                                                         testbed.schedule(
-                                                                f.downTime,
+                                                                fault.downTime,
                                                                 () -> testbed.startRelay(r)));
                                         simulation.shutDownRelay(r);
                                     });
-            case "reconnect" -> simulation.disconnectShare(f.share, f.withinSeconds);
+            case "reconnect" -> simulation.disconnectShare(fault.share, fault.withinSeconds);
             default -> {
                 // A crowd is part of the load.
             }
@@ -168,41 +200,41 @@
     }
 
     private void applyTemporarily(
-            Plan.Fault f, List<Server> servers, Consumer<Server> on, Consumer<Server> off) {
+            Plan.Fault fault, List<Server> servers, Consumer<Server> begin, Consumer<Server> end) {
         double now = testbed.now();
         servers.forEach(
-                s -> {
-                    s.advanceTo(now);
-                    on.accept(s);
+                server -> {
+                    server.advanceTo(now);
+                    begin.accept(server);
                 });
         testbed.schedule(
-                f.duration,
+                fault.duration,
                 () -> {
                     servers.forEach(
-                            s -> {
-                                s.advanceTo(testbed.now());
-                                off.accept(s);
+                            server -> {
+                                server.advanceTo(testbed.now());
+                                end.accept(server);
                             });
                     simulation.deliverPending();
                 });
     }
 
     /** Says nothing, then is back empty and cold; the list learns of the end and of the start. */
-    private void vanish(Server s, double lasts) {
-        s.advanceTo(testbed.now());
-        s.silent = s.vanished = true;
-        simulation.publishState(s, ServerEntry.State.GONE);
-        testbed.schedule(lasts, () -> simulation.stopServer(s, 0, false));
+    private void vanish(Server server, double duration) {
+        server.advanceTo(testbed.now());
+        server.silent = server.vanished = true;
+        simulation.publishState(server, ServerEntry.State.GONE);
+        testbed.schedule(duration, () -> simulation.stopServer(server, 0, false));
     }
 
     /** A planned restart: it wants nothing new, finishes for a time, ends, and is back cold. */
-    private void drain(Server s, Plan.Fault f) {
-        simulation.startDraining(s);
+    private void drain(Server server, Plan.Fault fault) {
+        simulation.startDraining(server);
         testbed.schedule(
-                f.drainTime,
+                fault.drainTime,
                 () -> {
-                    simulation.stopServer(s, f.downTime, true);
-                    simulation.publishState(s, ServerEntry.State.GONE);
+                    simulation.stopServer(server, fault.downTime, true);
+                    simulation.publishState(server, ServerEntry.State.GONE);
                 });
     }
 
--- a/lab/src/main/java/asterpulley/lab/world/Figures.java
+++ b/lab/src/main/java/asterpulley/lab/world/Figures.java
@@ -80,8 +80,8 @@
 
     Figures() {
         COUNTS.forEach(c -> counts.put(c, 0L));
-        for (String t : TIMES) {
-            times.put(t, new Histogram(MAX_TIME_MICROS, 3));
+        for (String timeName : TIMES) {
+            times.put(timeName, new Histogram(MAX_TIME_MICROS, 3));
         }
     }
 
@@ -95,38 +95,38 @@
                 return true;
             }
         }
-        for (Plan.ProfilePlan p : plan.profiles) {
+        for (Plan.ProfilePlan profile : plan.profiles) {
             if (List.of("credit.share.", "opened.worst.", "declined.")
-                            .contains(figure.replace(p.name, ""))
-                    && figure.endsWith(p.name)) {
+                            .contains(figure.replace(profile.name, ""))
+                    && figure.endsWith(profile.name)) {
                 return true;
             }
         }
         if (figure.startsWith("credit.room.")) {
             return plan.rooms.contains(figure.substring("credit.room.".length()));
         }
-        for (String t : TIMES) {
-            if (figure.matches(t + "\\.(p50|p90|p99|max)_ms")) {
+        for (String timeName : TIMES) {
+            if (figure.matches(timeName + "\\.(p50|p90|p99|max)_ms")) {
                 return true;
             }
         }
         return false;
     }
 
-    public void increment(String what) {
-        counts.merge(what, 1L, Long::sum);
+    public void increment(String figure) {
+        counts.merge(figure, 1L, Long::sum);
     }
 
-    public long counterValue(String what) {
-        return counts.getOrDefault(what, 0L);
+    public long counterValue(String figure) {
+        return counts.getOrDefault(figure, 0L);
     }
 
-    public void set(String what, double value) {
-        values.put(what, value);
+    public void set(String figure, double value) {
+        values.put(figure, value);
     }
 
-    void recordTime(String what, double seconds) {
-        times.get(what)
+    void recordTime(String figure, double seconds) {
+        times.get(figure)
                 .recordValue(Math.max(0, Math.min(MAX_TIME_MICROS, Math.round(seconds * 1e6))));
     }
 
@@ -143,13 +143,13 @@
         Map<String, Double> all = new TreeMap<>(values);
         counts.forEach((k, v) -> all.put(k, (double) v));
         times.forEach(
-                (name, h) -> {
-                    for (double share : PERCENTILES) {
+                (name, histogram) -> {
+                    for (double percentile : PERCENTILES) {
                         all.put(
-                                name + ".p" + (int) share + "_ms",
-                                h.getValueAtPercentile(share) / 1e3);
+                                name + ".p" + (int) percentile + "_ms",
+                                histogram.getValueAtPercentile(percentile) / 1e3);
                     }
-                    all.put(name + ".max_ms", h.getMaxValue() / 1e3);
+                    all.put(name + ".max_ms", histogram.getMaxValue() / 1e3);
                 });
         return all;
     }
--- a/lab/src/main/java/asterpulley/lab/world/LoadGenerator.java
+++ b/lab/src/main/java/asterpulley/lab/world/LoadGenerator.java
@@ -28,34 +28,41 @@
     /** All clients of a plan, by the time at which they come. */
     static List<Client.Spec> generateClients(Plan plan) {
         RandomGenerator random = newRandom(plan.seed);
-        List<Client.Spec> all = new ArrayList<>();
+        List<Client.Spec> specs = new ArrayList<>();
         for (int i = 0; i < plan.initialClients; i++) {
             // They come over the first two seconds, as a crowd whose lives are partly over.
-            all.add(generateClient(plan, random, 2 * random.nextDouble(), -1));
+            specs.add(generateClient(plan, random, 2 * random.nextDouble(), -1));
         }
-        double most = plan.arrivalsPerSecond * (1 + plan.arrivalSwing);
-        for (double t = nextInterval(random, most);
-                t < plan.duration;
-                t += nextInterval(random, most)) {
+        double peakRate = plan.arrivalsPerSecond * (1 + plan.arrivalSwing);
+        for (double arrivesAt = nextInterval(random, peakRate);
+                arrivesAt < plan.duration;
+                arrivesAt += nextInterval(random, peakRate)) {
             double rate =
                     plan.arrivalsPerSecond
                             * (1
                                     + plan.arrivalSwing
-                                            * Math.sin(2 * Math.PI * t / SWING_PERIOD_SECONDS));
-            if (random.nextDouble() * most < rate) {
-                all.add(generateClient(plan, random, t, -1));
+                                            * Math.sin(
+                                                    2
+                                                            * Math.PI
+                                                            * arrivesAt
+                                                            / SWING_PERIOD_SECONDS));
+            if (random.nextDouble() * peakRate < rate) {
+                specs.add(generateClient(plan, random, arrivesAt, -1));
             }
         }
-        for (Plan.Fault f : plan.faults) {
-            int room = f.room == null ? -1 : plan.rooms.indexOf(f.room);
-            for (int i = 0; f.kind.equals("crowd") && i < f.count; i++) {
-                all.add(
+        for (Plan.Fault fault : plan.faults) {
+            int room = fault.room == null ? -1 : plan.rooms.indexOf(fault.room);
+            for (int i = 0; fault.kind.equals("crowd") && i < fault.count; i++) {
+                specs.add(
                         generateClient(
-                                plan, random, f.at + f.withinSeconds * random.nextDouble(), room));
+                                plan,
+                                random,
+                                fault.at + fault.withinSeconds * random.nextDouble(),
+                                room));
             }
         }
-        all.sort(Comparator.comparingDouble(Client.Spec::arrivesAt));
-        return all;
+        specs.sort(Comparator.comparingDouble(Client.Spec::arrivesAt));
+        return specs;
     }
 
     private static double nextInterval(RandomGenerator random, double rate) {
@@ -63,38 +70,38 @@
     }
 
     private static Client.Spec generateClient(
-            Plan plan, RandomGenerator random, double at, int room) {
-        int profile = weightedIndex(plan.profiles, p -> p.share, random);
-        int customer = weightedIndex(plan.customers, c -> c.share, random);
+            Plan plan, RandomGenerator random, double arrivesAt, int room) {
+        int profileIndex = weightedIndex(plan.profiles, profile -> profile.share, random);
+        int customerIndex = weightedIndex(plan.customers, customer -> customer.share, random);
         int group = plan.groupCount == 0 ? -1 : random.nextInt(plan.groupCount);
-        int drawn = weightedIndex(plan.roomShares, s -> s, random);
-        String of = plan.customers.get(customer).room;
-        int home = of == null ? drawn : plan.rooms.indexOf(of);
-        Plan.ProfilePlan p = plan.profiles.get(profile);
-        double lifetime = Math.max(0.5, -Math.log(1 - random.nextDouble()) * p.lifetime);
+        int randomRoom = weightedIndex(plan.roomShares, s -> s, random);
+        String customerRoom = plan.customers.get(customerIndex).room;
+        int homeRoom = customerRoom == null ? randomRoom : plan.rooms.indexOf(customerRoom);
+        Plan.ProfilePlan profile = plan.profiles.get(profileIndex);
+        double lifetime = Math.max(0.5, -Math.log(1 - random.nextDouble()) * profile.lifetime);
         // Loads spread about their mean as sums of two draws do: few are idle, few cost twice.
-        double load = p.load * (random.nextDouble() + random.nextDouble());
+        double load = profile.load * (random.nextDouble() + random.nextDouble());
         return new Client.Spec(
-                at,
-                profile,
-                customer,
+                arrivesAt,
+                profileIndex,
+                customerIndex,
                 group,
                 random.nextLong(),
-                room >= 0 ? room : home,
+                room >= 0 ? room : homeRoom,
                 lifetime,
-                Math.max(0.05 * p.load, load),
+                Math.max(0.05 * profile.load, load),
                 random.nextLong());
     }
 
     private static <T> int weightedIndex(
-            List<T> of, ToDoubleFunction<T> share, RandomGenerator random) {
-        double left = random.nextDouble() * of.stream().mapToDouble(share).sum();
-        for (int i = 0; i < of.size(); i++) {
-            left -= share.applyAsDouble(of.get(i));
-            if (left < 0) {
+            List<T> items, ToDoubleFunction<T> weight, RandomGenerator random) {
+        double remaining = random.nextDouble() * items.stream().mapToDouble(weight).sum();
+        for (int i = 0; i < items.size(); i++) {
+            remaining -= weight.applyAsDouble(items.get(i));
+            if (remaining < 0) {
                 return i;
             }
         }
-        return of.size() - 1;
+        return items.size() - 1;
     }
 }
--- a/lab/src/main/java/asterpulley/lab/world/RuleChecker.java
+++ b/lab/src/main/java/asterpulley/lab/world/RuleChecker.java
@@ -59,10 +59,12 @@
         return notes;
     }
 
-    void recordViolation(Rule rule, double at, String what) {
+    void recordViolation(Rule rule, double at, String description) {
         violations.merge(rule, 1, Integer::sum);
         if (notes.size() < MAX_NOTES) {
-            notes.add(String.format("%.3f s: rule %s: %s", at, rule.name().toLowerCase(), what));
+            notes.add(
+                    String.format(
+                            "%.3f s: rule %s: %s", at, rule.name().toLowerCase(), description));
         }
     }
 
@@ -70,9 +72,13 @@
      * A relay has heard of a server's state; the earliest time that it heard of this drain counts.
      */
     void recordListedState(int relay, Server server, boolean running, double at) {
-        double[] known = drainKnownAt[relay];
-        known[server.index] =
-                running ? 0 : known[server.index] > 0 ? known[server.index] : Math.max(1e-9, at);
+        double[] drainKnownAtByServer = drainKnownAt[relay];
+        drainKnownAtByServer[server.index] =
+                running
+                        ? 0
+                        : drainKnownAtByServer[server.index] > 0
+                                ? drainKnownAtByServer[server.index]
+                                : Math.max(1e-9, at);
     }
 
     void forgetRelay(int relay) {
@@ -80,37 +86,38 @@
     }
 
     /** A setup came to a server, which has it beside those before it. */
-    void checkSetup(Setup setup, double saidAt, double listUpSince, double now) {
-        ClientRequest t = setup.request;
-        Plan.ProfilePlan profile = plan.profiles.get(t.client.spec.profileIndex());
-        for (Setup before : t.setups) {
+    void checkSetup(Setup setup, double sentAt, double listUpSince, double now) {
+        ClientRequest request = setup.request;
+        Plan.ProfilePlan profile = plan.profiles.get(request.client.spec.profileIndex());
+        for (Setup before : request.setups) {
             if (!before.provenNotRun && !mayRetry(before, setup, profile, now)) {
                 recordViolation(
                         Rule.EFFECT,
                         now,
                         profile.repeatability.name().toLowerCase()
                                 + " tunnel "
-                                + t.id()
+                                + request.id()
                                 + " may have run at "
                                 + before.server.name
                                 + " and was sent to "
                                 + setup.server.name);
             }
         }
-        Server s = setup.server;
-        double told = drainKnownAt[t.relay][s.index];
-        if (s.draining && !Double.isNaN(s.drainingSince)) {
+        Server server = setup.server;
+        double knownAt = drainKnownAt[request.relay][server.index];
+        if (server.draining && !Double.isNaN(server.drainingSince)) {
             // Who asks in time is told by then, unless there was nobody to ask.
-            double deemed = Math.max(s.drainingSince, listUpSince) + plan.assumedListDelay;
-            told = told > 0 ? Math.min(told, deemed) : deemed;
+            double assumedKnownAt =
+                    Math.max(server.drainingSince, listUpSince) + plan.assumedListDelay;
+            knownAt = knownAt > 0 ? Math.min(knownAt, assumedKnownAt) : assumedKnownAt;
         }
-        if (told > 0 && saidAt > told + plan.drainGrace + SLACK_SECONDS + clockTolerance) {
+        if (knownAt > 0 && sentAt > knownAt + plan.drainGrace + SLACK_SECONDS + clockTolerance) {
             recordViolation(
                     Rule.DRAIN,
                     now,
                     String.format(
                             "relay r%d sent tunnel %s to %s %.3f s after it was told",
-                            t.relay + 1, t.id(), s.name, saidAt - told));
+                            request.relay + 1, request.id(), server.name, sentAt - knownAt));
         }
     }
 
@@ -145,16 +152,17 @@
     }
 
     /** A client has an answer, or what ends its waiting; {@code excused} where its relay died. */
-    void checkAnswer(ClientRequest t, ClientRequest.Answer answer, double now, boolean excused) {
-        if (t.answer != ClientRequest.Answer.NONE) {
+    void checkAnswer(
+            ClientRequest request, ClientRequest.Answer answer, double now, boolean excused) {
+        if (request.answer != ClientRequest.Answer.NONE) {
             if (answer != ClientRequest.Answer.BROKEN) {
                 recordViolation(
                         Rule.ANSWER,
                         now,
                         "tunnel "
-                                + t.id()
+                                + request.id()
                                 + " was "
-                                + answerText(t.answer)
+                                + answerText(request.answer)
                                 + " and then "
                                 + answerText(answer));
             }
@@ -165,41 +173,46 @@
                 recordViolation(
                         Rule.ANSWER,
                         now,
-                        "tunnel " + t.id() + " ended without an answer at relay r" + (t.relay + 1));
+                        "tunnel "
+                                + request.id()
+                                + " ended without an answer at relay r"
+                                + (request.relay + 1));
             }
             return;
         }
-        if (now > t.sentAt + t.clientTimeout + SLACK_SECONDS + clockTolerance) {
+        if (now > request.sentAt + request.clientTimeout + SLACK_SECONDS + clockTolerance) {
             recordViolation(
                     Rule.ANSWER,
                     now,
                     String.format(
                             "tunnel %s was %s %.3f s after its client timeout",
-                            t.id(), answerText(answer), now - t.sentAt - t.clientTimeout));
+                            request.id(),
+                            answerText(answer),
+                            now - request.sentAt - request.clientTimeout));
         }
-        Plan.ProfilePlan profile = plan.profiles.get(t.client.spec.profileIndex());
+        Plan.ProfilePlan profile = plan.profiles.get(request.client.spec.profileIndex());
         if (answer == ClientRequest.Answer.DECLINED
                 && profile.repeatability == Settings.Repeatability.ONCE_ONLY
-                && t.setups.stream().anyMatch(s -> !s.provenNotRun)) {
+                && request.setups.stream().anyMatch(setup -> !setup.provenNotRun)) {
             recordViolation(
                     Rule.EFFECT,
                     now,
-                    "once-only tunnel " + t.id() + " may have run and was declined");
+                    "once-only tunnel " + request.id() + " may have run and was declined");
         }
     }
 
     /** A client's time is up and it has heard nothing. */
-    void recordMissingAnswer(ClientRequest t, double now, boolean excused) {
+    void recordMissingAnswer(ClientRequest request, double now, boolean excused) {
         if (!excused) {
             recordViolation(
                     Rule.ANSWER,
                     now,
                     "tunnel "
-                            + t.id()
+                            + request.id()
                             + " had no answer from relay r"
-                            + (t.relay + 1)
+                            + (request.relay + 1)
                             + " in "
-                            + t.clientTimeout
+                            + request.clientTimeout
                             + " s");
         }
     }
--- a/lab/src/main/java/asterpulley/lab/world/Server.java
+++ b/lab/src/main/java/asterpulley/lab/world/Server.java
@@ -43,12 +43,18 @@
     final Set<Setup> activeSetups = new LinkedHashSet<>();
     double worstLoadFactor;
 
-    Server(int index, String name, int room, int kindIndex, Plan.ServerPlan kind, Plan plan) {
+    Server(
+            int index,
+            String name,
+            int room,
+            int modelIndex,
+            Plan.ServerPlan serverPlan,
+            Plan plan) {
         this.index = index;
         this.name = name;
         this.room = room;
-        this.modelIndex = kindIndex;
-        this.plan = kind;
+        this.modelIndex = modelIndex;
+        this.plan = serverPlan;
         this.messageGoal = plan.messageGoal;
         this.groupCost = plan.groupCost;
         this.collapseMultiple = plan.collapseMultiple;
@@ -98,20 +104,22 @@
 
     /** How long a message takes here, in seconds; without end where it says nothing. */
     public double messageDelay(double now) {
-        double f = loadFactor(now);
+        double loadFactor = loadFactor(now);
         return silent || down
                 ? Double.POSITIVE_INFINITY
                 : slowdown
                         * (IDLE_MESSAGE_SECONDS
-                                + Math.max(0, f - QUEUEING_FACTOR)
+                                + Math.max(0, loadFactor - QUEUEING_FACTOR)
                                         / (1 - QUEUEING_FACTOR)
                                         * FULL_MESSAGE_SECONDS);
     }
 
     /** How long the work of a setup takes here, without what it waits for behind it. */
     double setupDuration(double now) {
-        double f = Math.min(1, loadFactor(now));
-        return plan.setupTime * slowdown / Math.max(1 / MAX_SETUP_SLOWDOWN, 1 - f * f);
+        double loadFactor = Math.min(1, loadFactor(now));
+        return plan.setupTime
+                * slowdown
+                / Math.max(1 / MAX_SETUP_SLOWDOWN, 1 - loadFactor * loadFactor);
     }
 
     /**
--- a/lab/src/main/java/asterpulley/lab/world/ServerRegistry.java
+++ b/lab/src/main/java/asterpulley/lab/world/ServerRegistry.java
@@ -28,8 +28,8 @@
     double extraDelay;
 
     ServerRegistry(List<Server> servers) {
-        for (Server s : servers) {
-            entries.add(new Entry(s, ServerEntry.State.RUNNING, s.startedAt, version));
+        for (Server server : servers) {
+            entries.add(new Entry(server, ServerEntry.State.RUNNING, server.startedAt, version));
         }
     }
 
@@ -47,14 +47,14 @@
 
     /** Every entry that stands. */
     public List<Entry> currentEntries() {
-        return entries.stream().filter(e -> e.state != ServerEntry.State.GONE).toList();
+        return entries.stream().filter(entry -> entry.state != ServerEntry.State.GONE).toList();
     }
 
     /** What changed after that version. */
-    public List<Entry> changesSince(long seen) {
-        if (version == seen) {
+    public List<Entry> changesSince(long knownVersion) {
+        if (version == knownVersion) {
             return List.of();
         }
-        return entries.stream().filter(e -> e.version > seen).toList();
+        return entries.stream().filter(entry -> entry.version > knownVersion).toList();
     }
 }
--- a/lab/src/main/java/asterpulley/lab/world/SessionStore.java
+++ b/lab/src/main/java/asterpulley/lab/world/SessionStore.java
@@ -10,8 +10,8 @@
     double slowdown = 1;
 
     /** {@code rate}: setups a second; 0: there is no store. */
-    SessionStore(double rate) {
-        this.setupsPerSecond = rate;
+    SessionStore(double setupsPerSecond) {
+        this.setupsPerSecond = setupsPerSecond;
     }
 
     /** Enters the queue; how long until this setup has passed it. */
--- a/lab/src/main/java/asterpulley/lab/world/Setup.java
+++ b/lab/src/main/java/asterpulley/lab/world/Setup.java
@@ -11,7 +11,7 @@
 
     /** How a server's answer goes back; after {@link #broke} nothing more is said. */
     public interface Reply {
-        void opened(double cores);
+        void opened(double load);
 
         void full();
 
@@ -28,7 +28,7 @@
     public State state = State.UNDELIVERED;
 
     /** What is true of its effect, whatever anybody knows. */
-    boolean mayHaveRun;
+    boolean ran;
 
     /** Proved not to have run: turned away, or never read. */
     boolean provenNotRun;
@@ -36,8 +36,8 @@
     boolean brokenByServer;
     double responsiveSecondsAtStart, cutOffSecondsAtStart;
 
-    Setup(ClientRequest of, Server server, double arrivedAt, Reply reply) {
-        this.request = of;
+    Setup(ClientRequest request, Server server, double arrivedAt, Reply reply) {
+        this.request = request;
         this.server = server;
         this.arrivedAt = arrivedAt;
         this.reply = reply;
--- a/lab/src/main/java/asterpulley/lab/world/Simulation.java
+++ b/lab/src/main/java/asterpulley/lab/world/Simulation.java
@@ -94,7 +94,7 @@
             worstSpillShare,
             worstSpillExcess,
             spillExcessSeconds,
-            longestSpillExcess,
+            longestSpillExcessSeconds,
             currentSpilledLoad;
 
     /**
@@ -110,22 +110,22 @@
         this.plan = plan;
         random = LoadGenerator.newRandom(plan.seed ^ 0x5eed);
         List<String> names = PlanReader.serverNames(plan);
-        int kindIndex = 0;
-        for (Plan.ServerPlan kind : plan.servers) {
-            for (String room : kind.rooms) {
-                for (int i = 0; i < kind.count; i++) {
-                    int at = servers.size();
+        int modelIndex = 0;
+        for (Plan.ServerPlan serverPlan : plan.servers) {
+            for (String room : serverPlan.rooms) {
+                for (int i = 0; i < serverPlan.count; i++) {
+                    int index = servers.size();
                     servers.add(
                             new Server(
-                                    at,
-                                    names.get(at),
+                                    index,
+                                    names.get(index),
                                     plan.rooms.indexOf(room),
-                                    kindIndex,
-                                    kind,
+                                    modelIndex,
+                                    serverPlan,
                                     plan));
                 }
             }
-            kindIndex++;
+            modelIndex++;
         }
         registry = new ServerRegistry(servers);
         sessionStore = new SessionStore(plan.sessionStoreRate);
@@ -150,46 +150,46 @@
         worstOpenedShare = new double[plan.profiles.size()];
         java.util.Arrays.fill(worstOpenedShare, 1);
         meanCredit =
-                plan.profiles.stream().mapToDouble(p -> p.credit * p.share).sum()
-                        / plan.profiles.stream().mapToDouble(p -> p.share).sum();
+                plan.profiles.stream().mapToDouble(profile -> profile.credit * profile.share).sum()
+                        / plan.profiles.stream().mapToDouble(profile -> profile.share).sum();
         wantedCreditByRoom = new double[plan.rooms.size()];
         servedCreditByRoom = new double[plan.rooms.size()];
         wantedCreditByProfile = new double[plan.profiles.size()];
         servedCreditByProfile = new double[plan.profiles.size()];
-        List<Client.Spec> born = LoadGenerator.generateClients(plan);
-        for (int i = 0; i < born.size(); i++) {
-            clients.add(new Client(i, born.get(i), LoadGenerator.newRandom(born.get(i).seed())));
+        List<Client.Spec> specs = LoadGenerator.generateClients(plan);
+        for (int i = 0; i < specs.size(); i++) {
+            clients.add(new Client(i, specs.get(i), LoadGenerator.newRandom(specs.get(i).seed())));
         }
     }
 
     /** What carries it; to be told before anything else. */
-    public void setTestbed(Testbed by) {
-        testbed = by;
+    public void setTestbed(Testbed testbed) {
+        this.testbed = testbed;
     }
 
     /** Everything begins: call at time 0, when all relays are ready. */
     public void start() {
-        Testbed by = testbed;
+        Testbed testbed = this.testbed;
         for (int r = 0; r < relayCount; r++) {
             relayUp[r] = frontendKnows[r] = true;
         }
         servers.stream()
-                .filter(s -> s.plan.startsCold)
+                .filter(server -> server.plan.startsCold)
                 .forEach(
-                        s -> {
-                            s.restart(by.now());
-                            registry.update(s, ServerEntry.State.RUNNING);
+                        server -> {
+                            server.restart(testbed.now());
+                            registry.update(server, ServerEntry.State.RUNNING);
                         });
         admitArrivals(0);
-        new FaultInjector(this, by).start();
-        by.schedule(TICK_SECONDS, this::tick);
-        by.schedule(1, this::recordSecond);
-        by.schedule(ANSWER_WINDOW_SECONDS, this::closeAnswerWindow);
+        new FaultInjector(this, testbed).start();
+        testbed.schedule(TICK_SECONDS, this::tick);
+        testbed.schedule(1, this::recordSecond);
+        testbed.schedule(ANSWER_WINDOW_SECONDS, this::closeAnswerWindow);
     }
 
     /** How far the carrier's own clients may be behind, by which the judge is the milder. */
-    public void setClockTolerance(double pace) {
-        ruleChecker.clockTolerance = pace;
+    public void setClockTolerance(double seconds) {
+        ruleChecker.clockTolerance = seconds;
     }
 
     // ---- Places
@@ -223,25 +223,25 @@
 
     private double cutOffSeconds(int relay, int toRoom, double now) {
         int fromRoom = roomOfRelay(relay);
-        double rooms =
+        double roomSeconds =
                 fromRoom == toRoom
                         ? 0
                         : Math.max(roomCutOffTime(fromRoom, now), roomCutOffTime(toRoom, now));
-        return rooms
+        return roomSeconds
                 + relayCutOffSeconds[relay][toRoom]
                 + (relayCutOff[relay][toRoom] ? now - relayCutOffSince[relay][toRoom] : 0);
     }
 
-    void setRelayCutOff(int relay, int room, boolean off) {
+    void setRelayCutOff(int relay, int room, boolean cutOff) {
         double now = testbed.now();
-        if (off && !relayCutOff[relay][room]) {
+        if (cutOff && !relayCutOff[relay][room]) {
             relayCutOffSince[relay][room] = now;
             relayCutOffCount++;
-        } else if (!off && relayCutOff[relay][room]) {
+        } else if (!cutOff && relayCutOff[relay][room]) {
             relayCutOffSeconds[relay][room] += now - relayCutOffSince[relay][room];
             relayCutOffCount--;
         }
-        relayCutOff[relay][room] = off;
+        relayCutOff[relay][room] = cutOff;
         deliverPending();
     }
 
@@ -249,14 +249,14 @@
         return roomCutOffSeconds[room] + (roomCutOff[room] ? now - roomCutOffSince[room] : 0);
     }
 
-    void setRoomCutOff(int room, boolean off) {
+    void setRoomCutOff(int room, boolean cutOff) {
         double now = testbed.now();
-        if (off && !roomCutOff[room]) {
+        if (cutOff && !roomCutOff[room]) {
             roomCutOffSince[room] = now;
-        } else if (!off && roomCutOff[room]) {
+        } else if (!cutOff && roomCutOff[room]) {
             roomCutOffSeconds[room] += now - roomCutOffSince[room];
         }
-        roomCutOff[room] = off;
+        roomCutOff[room] = cutOff;
         deliverPending();
     }
 
@@ -266,11 +266,11 @@
     private void admitArrivals(int from) {
         int i = from;
         while (i < clients.size() && clients.get(i).spec.arrivesAt() <= testbed.now()) {
-            Client c = clients.get(i++);
+            Client client = clients.get(i++);
             figures.increment("clients.count");
             presentClients++;
-            testbed.schedule(c.departsAt() - testbed.now(), () -> endOfLifetime(c));
-            sendRequest(c, c.spec.arrivesAt(), false);
+            testbed.schedule(client.departsAt() - testbed.now(), () -> endOfLifetime(client));
+            sendRequest(client, client.spec.arrivesAt(), false);
         }
         if (i < clients.size()) {
             int next = i;
@@ -283,143 +283,144 @@
      * The front deals out connections among the relays of the client's room, as far as it knows
      * them.
      */
-    private int chooseRelay(Client c) {
-        int room = c.spec.room();
+    private int chooseRelay(Client client) {
+        int room = client.spec.room();
         int found = -1;
         int ties = 0;
         for (int r = room * plan.relaysPerRoom; r < (room + 1) * plan.relaysPerRoom; r++) {
-            if (frontendKnows[r] && c.random.nextInt(++ties) == 0) {
+            if (frontendKnows[r] && client.random.nextInt(++ties) == 0) {
                 found = r;
             }
         }
         for (int r = 0; found < 0 && r < relayCount; r++) {
-            if (frontendKnows[r] && c.random.nextInt(++ties) == 0) {
+            if (frontendKnows[r] && client.random.nextInt(++ties) == 0) {
                 found = r;
             }
         }
         return found;
     }
 
-    private void sendRequest(Client c, double meantAt, boolean retry) {
-        if (c.departed || c.currentRequest != null) {
+    private void sendRequest(Client client, double intendedAt, boolean retry) {
+        if (client.departed || client.currentRequest != null) {
             return;
         }
-        int relay = chooseRelay(c);
+        int relay = chooseRelay(client);
         if (relay < 0) {
             figures.increment("tries.unreached");
             testbed.schedule(
-                    RECONNECT_AFTER_REFUSAL_SECONDS * (1 + c.random.nextDouble()),
-                    () -> sendRequest(c, meantAt, retry));
+                    RECONNECT_AFTER_REFUSAL_SECONDS * (1 + client.random.nextDouble()),
+                    () -> sendRequest(client, intendedAt, retry));
             return;
         }
-        Plan.ProfilePlan p = plan.profiles.get(c.spec.profileIndex());
-        ClientRequest t =
+        Plan.ProfilePlan profile = plan.profiles.get(client.spec.profileIndex());
+        ClientRequest request =
                 new ClientRequest(
-                        c,
-                        c.requestCount++,
+                        client,
+                        client.requestCount++,
                         relay,
                         relayIncarnation[relay],
-                        meantAt,
+                        intendedAt,
                         testbed.now(),
-                        p.clientTimeout,
-                        c.reconnecting,
+                        profile.clientTimeout,
+                        client.reconnecting,
                         retry);
-        c.currentRequest = t;
+        client.currentRequest = request;
         figures.increment("tries.taken");
         testbed.schedule(
-                t.clientTimeout + 2 * RuleChecker.SLACK_SECONDS + ruleChecker.clockTolerance,
-                () -> onAnswerTimeout(t));
-        testbed.openTunnel(t);
+                request.clientTimeout + 2 * RuleChecker.SLACK_SECONDS + ruleChecker.clockTolerance,
+                () -> onAnswerTimeout(request));
+        testbed.openTunnel(request);
     }
 
-    private void onAnswerTimeout(ClientRequest t) {
-        if (t.answer != ClientRequest.Answer.NONE || t.finished) {
+    private void onAnswerTimeout(ClientRequest request) {
+        if (request.answer != ClientRequest.Answer.NONE || request.finished) {
             return;
         }
-        ruleChecker.recordMissingAnswer(t, testbed.now(), relayWasReplaced(t));
-        t.finished = true;
-        testbed.closeTunnel(t);
-        retryOrDepart(t, RETRY_PAUSE_SECONDS, true);
+        ruleChecker.recordMissingAnswer(request, testbed.now(), relayWasReplaced(request));
+        request.finished = true;
+        testbed.closeTunnel(request);
+        retryOrDepart(request, RETRY_PAUSE_SECONDS, true);
     }
 
     /** A relay that died took what it had with it; who was told of that counts nobody. */
-    private boolean relayWasReplaced(ClientRequest t) {
-        return relayIncarnation[t.relay] != t.relayIncarnation;
+    private boolean relayWasReplaced(ClientRequest request) {
+        return relayIncarnation[request.relay] != request.relayIncarnation;
     }
 
     /** The first connection never came up: nobody has taken anything. */
-    public void connectionRefused(ClientRequest t) {
-        if (t.finished) {
+    public void connectionRefused(ClientRequest request) {
+        if (request.finished) {
             return;
         }
         figures.increment("tries.unreached");
-        t.finished = true;
-        t.answer = ClientRequest.Answer.BROKEN;
-        t.client.currentRequest = null;
+        request.finished = true;
+        request.answer = ClientRequest.Answer.BROKEN;
+        request.client.currentRequest = null;
         testbed.schedule(
-                RECONNECT_AFTER_REFUSAL_SECONDS * (1 + t.client.random.nextDouble()),
-                () -> sendRequest(t.client, t.intendedAt, t.retry));
+                RECONNECT_AFTER_REFUSAL_SECONDS * (1 + request.client.random.nextDouble()),
+                () -> sendRequest(request.client, request.intendedAt, request.retry));
     }
 
-    public void tunnelOpened(ClientRequest t) {
+    public void tunnelOpened(ClientRequest request) {
         double now = testbed.now();
-        ruleChecker.checkAnswer(t, ClientRequest.Answer.OPENED, now, false);
-        if (t.finished || t.answer != ClientRequest.Answer.NONE) {
+        ruleChecker.checkAnswer(request, ClientRequest.Answer.OPENED, now, false);
+        if (request.finished || request.answer != ClientRequest.Answer.NONE) {
             return;
         }
-        t.answer = ClientRequest.Answer.OPENED;
-        t.answeredAt = now;
-        openedInWindow[t.client.spec.profileIndex()]++;
-        answeredInWindow[t.client.spec.profileIndex()]++;
+        request.answer = ClientRequest.Answer.OPENED;
+        request.answeredAt = now;
+        openedInWindow[request.client.spec.profileIndex()]++;
+        answeredInWindow[request.client.spec.profileIndex()]++;
         figures.increment("tries.opened");
-        figures.recordTime("setup", now - t.intendedAt);
-        figures.recordTime("answer", now - t.sentAt);
-        if (t.client.requestCount > 1) {
-            figures.recordTime("gap", now - t.client.disconnectedSince);
+        figures.recordTime("setup", now - request.intendedAt);
+        figures.recordTime("answer", now - request.sentAt);
+        if (request.client.requestCount > 1) {
+            figures.recordTime("gap", now - request.client.disconnectedSince);
         }
-        t.client.failures = 0;
-        t.client.disconnectedSince = Double.NaN;
+        request.client.failures = 0;
+        request.client.disconnectedSince = Double.NaN;
         openTunnels++;
     }
 
-    public void requestDeclined(ClientRequest t, double comeBack) {
-        ruleChecker.checkAnswer(t, ClientRequest.Answer.DECLINED, testbed.now(), false);
-        if (recordAnswer(t, ClientRequest.Answer.DECLINED, "tries.declined")) {
-            retryOrDepart(t, comeBack > 0 ? comeBack : RETRY_PAUSE_SECONDS, false);
+    public void requestDeclined(ClientRequest request, double retryAfter) {
+        ruleChecker.checkAnswer(request, ClientRequest.Answer.DECLINED, testbed.now(), false);
+        if (recordAnswer(request, ClientRequest.Answer.DECLINED, "tries.declined")) {
+            retryOrDepart(request, retryAfter > 0 ? retryAfter : RETRY_PAUSE_SECONDS, false);
         }
     }
 
-    public void requestFailed(ClientRequest t) {
-        ruleChecker.checkAnswer(t, ClientRequest.Answer.ERROR, testbed.now(), false);
-        if (recordAnswer(t, ClientRequest.Answer.ERROR, "tries.errors")) {
-            retryOrDepart(t, RETRY_PAUSE_SECONDS, true);
+    public void requestFailed(ClientRequest request) {
+        ruleChecker.checkAnswer(request, ClientRequest.Answer.ERROR, testbed.now(), false);
+        if (recordAnswer(request, ClientRequest.Answer.ERROR, "tries.errors")) {
+            retryOrDepart(request, RETRY_PAUSE_SECONDS, true);
         }
     }
 
     /** The connection ended before any answer. */
-    public void connectionBroken(ClientRequest t) {
-        boolean excused = relayWasReplaced(t);
-        ruleChecker.checkAnswer(t, ClientRequest.Answer.BROKEN, testbed.now(), excused);
+    public void connectionBroken(ClientRequest request) {
+        boolean excused = relayWasReplaced(request);
+        ruleChecker.checkAnswer(request, ClientRequest.Answer.BROKEN, testbed.now(), excused);
         if (recordAnswer(
-                t,
+                request,
                 ClientRequest.Answer.BROKEN,
                 excused ? "tries.lost_with_relay" : "tries.broken")) {
-            retryOrDepart(t, RETRY_PAUSE_SECONDS, true);
+            retryOrDepart(request, RETRY_PAUSE_SECONDS, true);
         }
     }
 
-    private boolean recordAnswer(ClientRequest t, ClientRequest.Answer answer, String counter) {
-        if (t.finished || t.answer != ClientRequest.Answer.NONE) {
+    private boolean recordAnswer(
+            ClientRequest request, ClientRequest.Answer answer, String counter) {
+        if (request.finished || request.answer != ClientRequest.Answer.NONE) {
             return false;
         }
-        t.answer = answer;
-        t.answeredAt = testbed.now();
-        t.finished = true;
-        answeredInWindow[t.client.spec.profileIndex()]++;
-        declinedByProfile[t.client.spec.profileIndex()] +=
+        request.answer = answer;
+        request.answeredAt = testbed.now();
+        request.finished = true;
+        answeredInWindow[request.client.spec.profileIndex()]++;
+        declinedByProfile[request.client.spec.profileIndex()] +=
                 answer == ClientRequest.Answer.DECLINED ? 1 : 0;
         figures.increment(counter);
-        figures.recordTime("answer", t.answeredAt - t.sentAt);
+        figures.recordTime("answer", request.answeredAt - request.sentAt);
         return true;
     }
 
@@ -427,122 +428,125 @@
      * What a client does that was not served: it comes again as long as that is harmless and of use
      * to it.
      */
-    private void retryOrDepart(ClientRequest t, double pause, boolean mayHaveRun) {
-        Client c = t.client;
-        c.currentRequest = null;
-        Plan.ProfilePlan p = plan.profiles.get(c.spec.profileIndex());
-        if (mayHaveRun && p.repeatability == Settings.Repeatability.ONCE_ONLY
-                || c.failures++ >= p.maxRetries) {
-            depart(c);
+    private void retryOrDepart(ClientRequest request, double pause, boolean mayHaveRun) {
+        Client client = request.client;
+        client.currentRequest = null;
+        Plan.ProfilePlan profile = plan.profiles.get(client.spec.profileIndex());
+        if (mayHaveRun && profile.repeatability == Settings.Repeatability.ONCE_ONLY
+                || client.failures++ >= profile.maxRetries) {
+            depart(client);
             return;
         }
         double wait =
                 mayHaveRun
                         ? Math.min(
                                 MAX_RETRY_PAUSE_SECONDS,
-                                pause * (1 << Math.min(10, c.failures - 1)))
+                                pause * (1 << Math.min(10, client.failures - 1)))
                         : pause;
-        double after = wait * (1 + 0.3 * c.random.nextDouble());
-        double meant = testbed.now() + after;
-        testbed.schedule(after, () -> sendRequest(c, meant, true));
+        double delay = wait * (1 + 0.3 * client.random.nextDouble());
+        double intendedAt = testbed.now() + delay;
+        testbed.schedule(delay, () -> sendRequest(client, intendedAt, true));
     }
 
     /** Told to move: it comes again soon. */
-    public void tunnelMoved(ClientRequest t, double sound) {
-        if (endTunnel(t, sound)) {
+    public void tunnelMoved(ClientRequest request, double servedSeconds) {
+        if (endTunnel(request, servedSeconds)) {
             figures.increment("moves");
-            scheduleReconnect(t, RECONNECT_AFTER_MOVE_SECONDS);
+            scheduleReconnect(request, RECONNECT_AFTER_MOVE_SECONDS);
         }
     }
 
     /** Its standing tunnel ended without a word. */
-    public void tunnelCut(ClientRequest t, double sound) {
-        if (!endTunnel(t, sound)) {
+    public void tunnelCut(ClientRequest request, double servedSeconds) {
+        if (!endTunnel(request, servedSeconds)) {
             return;
         }
-        boolean byServer = t.setups.stream().anyMatch(s -> s.brokenByServer);
+        boolean byServer = request.setups.stream().anyMatch(setup -> setup.brokenByServer);
         boolean leaving =
-                relayIncarnation[t.relay] == t.relayIncarnation
-                        ? relayShuttingDown[t.relay]
-                        : gracefulExitIncarnation[t.relay] == t.relayIncarnation;
+                relayIncarnation[request.relay] == request.relayIncarnation
+                        ? relayShuttingDown[request.relay]
+                        : gracefulExitIncarnation[request.relay] == request.relayIncarnation;
         if (!byServer && leaving) {
             ruleChecker.recordViolation(
                     RuleChecker.Rule.MOVE,
                     testbed.now(),
-                    "relay r" + (t.relay + 1) + " left and cut off tunnel " + t.id());
+                    "relay r" + (request.relay + 1) + " left and cut off tunnel " + request.id());
         }
         figures.increment(byServer ? "clients.cut_by_server" : "clients.cut_by_relay");
-        scheduleReconnect(t, RECONNECT_AFTER_CUT_SECONDS);
+        scheduleReconnect(request, RECONNECT_AFTER_CUT_SECONDS);
     }
 
-    private boolean endTunnel(ClientRequest t, double sound) {
-        if (t.finished || t.answer != ClientRequest.Answer.OPENED) {
+    private boolean endTunnel(ClientRequest request, double servedSeconds) {
+        if (request.finished || request.answer != ClientRequest.Answer.OPENED) {
             return false;
         }
-        t.finished = true;
+        request.finished = true;
         openTunnels--;
-        addServedCredit(t.client, sound);
-        t.client.disconnectedSince = testbed.now();
+        addServedCredit(request.client, servedSeconds);
+        request.client.disconnectedSince = testbed.now();
         return true;
     }
 
-    private void scheduleReconnect(ClientRequest t, double within) {
-        Client c = t.client;
-        c.currentRequest = null;
-        c.reconnecting = true;
-        double after = within * (0.25 + 0.75 * c.random.nextDouble());
-        double meant = testbed.now() + after;
-        testbed.schedule(after, () -> sendRequest(c, meant, false));
+    private void scheduleReconnect(ClientRequest request, double within) {
+        Client client = request.client;
+        client.currentRequest = null;
+        client.reconnecting = true;
+        double delay = within * (0.25 + 0.75 * client.random.nextDouble());
+        double intendedAt = testbed.now() + delay;
+        testbed.schedule(delay, () -> sendRequest(client, intendedAt, false));
     }
 
-    private void addServedCredit(Client c, double sound) {
-        Plan.ProfilePlan p = plan.profiles.get(c.spec.profileIndex());
+    private void addServedCredit(Client client, double servedSeconds) {
+        Plan.ProfilePlan profile = plan.profiles.get(client.spec.profileIndex());
         double credit =
-                p.credit * Math.min(sound, Math.max(0, c.spec.lifetime() - c.servedSeconds));
-        c.servedSeconds += sound;
+                profile.credit
+                        * Math.min(
+                                servedSeconds,
+                                Math.max(0, client.spec.lifetime() - client.servedSeconds));
+        client.servedSeconds += servedSeconds;
         servedCredit += credit;
-        servedCreditByProfile[c.spec.profileIndex()] += credit;
-        servedCreditByRoom[c.spec.room()] += credit;
+        servedCreditByProfile[client.spec.profileIndex()] += credit;
+        servedCreditByRoom[client.spec.room()] += credit;
     }
 
     /** A client's life is over: it leaves, wherever it is. */
-    private void endOfLifetime(Client c) {
-        if (c.departed) {
+    private void endOfLifetime(Client client) {
+        if (client.departed) {
             return;
         }
-        ClientRequest t = c.currentRequest;
-        if (t != null && !t.finished) {
-            boolean stood = t.answer == ClientRequest.Answer.OPENED;
-            t.finished = true;
-            double sound = testbed.closeTunnel(t);
-            if (stood) {
+        ClientRequest request = client.currentRequest;
+        if (request != null && !request.finished) {
+            boolean wasOpen = request.answer == ClientRequest.Answer.OPENED;
+            request.finished = true;
+            double servedSeconds = testbed.closeTunnel(request);
+            if (wasOpen) {
                 openTunnels--;
-                addServedCredit(c, sound);
+                addServedCredit(client, servedSeconds);
             } else {
                 figures.increment("clients.left_before_answer");
             }
         }
-        depart(c);
+        depart(client);
     }
 
-    private void depart(Client c) {
-        if (c.departed) {
+    private void depart(Client client) {
+        if (client.departed) {
             return;
         }
-        c.departed = true;
+        client.departed = true;
         presentClients--;
-        c.currentRequest = null;
-        if (c.servedSeconds == 0) {
+        client.currentRequest = null;
+        if (client.servedSeconds == 0) {
             figures.increment("clients.unserved");
         }
-        addWantedCredit(c, c.spec.lifetime());
+        addWantedCredit(client, client.spec.lifetime());
     }
 
-    private void addWantedCredit(Client c, double seconds) {
-        double credit = plan.profiles.get(c.spec.profileIndex()).credit * seconds;
+    private void addWantedCredit(Client client, double seconds) {
+        double credit = plan.profiles.get(client.spec.profileIndex()).credit * seconds;
         wantedCredit += credit;
-        wantedCreditByProfile[c.spec.profileIndex()] += credit;
-        wantedCreditByRoom[c.spec.room()] += credit;
+        wantedCreditByProfile[client.spec.profileIndex()] += credit;
+        wantedCreditByRoom[client.spec.room()] += credit;
     }
 
     /**
@@ -550,25 +554,25 @@
      * back within a time.
      */
     void disconnectShare(double share, double within) {
-        List<ClientRequest> lose = new ArrayList<>();
-        for (Client c : clients) {
-            ClientRequest t = c.currentRequest;
-            if (t != null
-                    && !t.finished
-                    && t.answer == ClientRequest.Answer.OPENED
-                    && c.random.nextDouble() < share) {
-                lose.add(t);
+        List<ClientRequest> affected = new ArrayList<>();
+        for (Client client : clients) {
+            ClientRequest request = client.currentRequest;
+            if (request != null
+                    && !request.finished
+                    && request.answer == ClientRequest.Answer.OPENED
+                    && client.random.nextDouble() < share) {
+                affected.add(request);
             }
         }
-        double over = Math.min(DISCONNECT_SPREAD_SECONDS, within / 2);
-        for (int i = 0; i < lose.size(); i++) {
-            ClientRequest t = lose.get(i);
+        double spread = Math.min(DISCONNECT_SPREAD_SECONDS, within / 2);
+        for (int i = 0; i < affected.size(); i++) {
+            ClientRequest request = affected.get(i);
             testbed.schedule(
-                    over * i / lose.size(),
+                    spread * i / affected.size(),
                     () -> {
-                        if (!t.finished) {
-                            endTunnel(t, testbed.breakConnection(t));
-                            scheduleReconnect(t, within);
+                        if (!request.finished) {
+                            endTunnel(request, testbed.breakConnection(request));
+                            scheduleReconnect(request, within);
                         }
                     });
         }
@@ -580,18 +584,21 @@
      */
     public void finish() {
         double now = testbed.now();
-        for (Client c : clients) {
-            if (!c.departed && c.spec.arrivesAt() < now) {
-                ClientRequest t = c.currentRequest;
-                if (t != null && !t.finished && t.answer == ClientRequest.Answer.OPENED) {
-                    t.finished = true;
-                    addServedCredit(c, testbed.closeTunnel(t));
-                } else if (t != null) {
-                    t.finished = true;
-                    testbed.closeTunnel(t);
+        for (Client client : clients) {
+            if (!client.departed && client.spec.arrivesAt() < now) {
+                ClientRequest request = client.currentRequest;
+                if (request != null
+                        && !request.finished
+                        && request.answer == ClientRequest.Answer.OPENED) {
+                    request.finished = true;
+                    addServedCredit(client, testbed.closeTunnel(request));
+                } else if (request != null) {
+                    request.finished = true;
+                    testbed.closeTunnel(request);
                 }
-                c.departed = true;
-                addWantedCredit(c, Math.min(c.spec.lifetime(), now - c.spec.arrivesAt()));
+                client.departed = true;
+                addWantedCredit(
+                        client, Math.min(client.spec.lifetime(), now - client.spec.arrivesAt()));
             }
         }
         figures.set(
@@ -600,45 +607,52 @@
                         ? (servedCredit - plan.crossZoneFee * spilledCredit) / wantedCredit
                         : 1);
         figures.set("credit.share", wantedCredit > 0 ? servedCredit / wantedCredit : 1);
-        for (int p = 0; p < wantedCreditByProfile.length; p++) {
+        for (int profileIndex = 0; profileIndex < wantedCreditByProfile.length; profileIndex++) {
             figures.set(
-                    "credit.share." + plan.profiles.get(p).name,
-                    wantedCreditByProfile[p] > 0
-                            ? servedCreditByProfile[p] / wantedCreditByProfile[p]
+                    "credit.share." + plan.profiles.get(profileIndex).name,
+                    wantedCreditByProfile[profileIndex] > 0
+                            ? servedCreditByProfile[profileIndex]
+                                    / wantedCreditByProfile[profileIndex]
                             : 1);
         }
-        for (int r = 0; r < wantedCreditByRoom.length; r++) {
+        for (int roomIndex = 0; roomIndex < wantedCreditByRoom.length; roomIndex++) {
             figures.set(
-                    "credit.room." + plan.rooms.get(r),
-                    wantedCreditByRoom[r] > 0 ? servedCreditByRoom[r] / wantedCreditByRoom[r] : 1);
+                    "credit.room." + plan.rooms.get(roomIndex),
+                    wantedCreditByRoom[roomIndex] > 0
+                            ? servedCreditByRoom[roomIndex] / wantedCreditByRoom[roomIndex]
+                            : 1);
         }
-        for (int p = 0; p < worstOpenedShare.length; p++) {
-            figures.set("opened.worst." + plan.profiles.get(p).name, worstOpenedShare[p]);
-            figures.set("declined." + plan.profiles.get(p).name, declinedByProfile[p]);
+        for (int profileIndex = 0; profileIndex < worstOpenedShare.length; profileIndex++) {
+            figures.set(
+                    "opened.worst." + plan.profiles.get(profileIndex).name,
+                    worstOpenedShare[profileIndex]);
+            figures.set(
+                    "declined." + plan.profiles.get(profileIndex).name,
+                    declinedByProfile[profileIndex]);
         }
         for (RuleChecker.Rule rule : RuleChecker.Rule.values()) {
             figures.set("rules." + rule.name().toLowerCase(), ruleChecker.violationCount(rule));
         }
         figures.set("spill.worst_share", worstSpillShare);
         figures.set("spill.over_most", worstSpillExcess);
-        figures.set("spill.over_s", Math.max(longestSpillExcess, spillExcessSeconds));
+        figures.set("spill.over_s", Math.max(longestSpillExcessSeconds, spillExcessSeconds));
         figures.set("spill.home_s", failbackSeconds(now));
         figures.set("rules.broken", ruleChecker.violationCount());
         figures.set(
                 "servers.worst_factor",
-                servers.stream().mapToDouble(s -> s.worstLoadFactor).max().orElse(0));
+                servers.stream().mapToDouble(server -> server.worstLoadFactor).max().orElse(0));
         figures.set(
                 "servers.mean_worst_factor",
-                servers.stream().mapToDouble(s -> s.worstLoadFactor).average().orElse(0));
+                servers.stream().mapToDouble(server -> server.worstLoadFactor).average().orElse(0));
         double opened = figures.counterValue("tries.opened");
         figures.set("setups_per_opened", opened > 0 ? figures.counterValue("setups") / opened : 0);
         double minutes =
                 clients.stream()
                                 .mapToDouble(
-                                        c ->
+                                        client ->
                                                 Math.min(
-                                                        c.spec.lifetime(),
-                                                        Math.max(0, now - c.spec.arrivesAt())))
+                                                        client.spec.lifetime(),
+                                                        Math.max(0, now - client.spec.arrivesAt())))
                                 .sum()
                         / 60;
         figures.set(
@@ -651,19 +665,20 @@
      * A setup's opening has come whole to a server; {@code saidAt}: when its relay began to send
      * it.
      */
-    public Setup setupArrived(ClientRequest t, Server s, double saidAt, Setup.Reply reply) {
+    public Setup setupArrived(
+            ClientRequest request, Server server, double sentAt, Setup.Reply reply) {
         double now = testbed.now();
-        Setup setup = new Setup(t, s, now, reply);
+        Setup setup = new Setup(request, server, now, reply);
         figures.increment("setups");
-        ruleChecker.checkSetup(setup, saidAt, registry.down ? now : registry.upSince, now);
-        for (Setup before : t.setups) {
+        ruleChecker.checkSetup(setup, sentAt, registry.down ? now : registry.upSince, now);
+        for (Setup before : request.setups) {
             if (before.state != Setup.State.CLOSED) {
                 testbed.schedule(
                         RuleChecker.SLACK_SECONDS,
                         () -> ruleChecker.checkConcurrentSetups(before, setup, testbed.now()));
             }
         }
-        t.setups.add(setup);
+        request.setups.add(setup);
         if (isDeliverable(setup)) {
             startSetup(setup);
         } else {
@@ -691,12 +706,12 @@
     }
 
     private void startSetup(Setup setup) {
-        Server s = setup.server;
+        Server server = setup.server;
         double now = testbed.now();
         setup.state = Setup.State.IN_PROGRESS;
-        if (s.resetting) {
+        if (server.resetting) {
             breakSetup(setup);
-        } else if (s.refusesSetups(now)) {
+        } else if (server.refusesSetups(now)) {
             testbed.schedule(
                     0.001,
                     () -> {
@@ -707,16 +722,16 @@
                             setup.reply.full();
                         }
                     });
-        } else if (s.noAnswer) {
-            setup.mayHaveRun = true;
-            s.addSetup(setup, now);
+        } else if (server.noAnswer) {
+            setup.ran = true;
+            server.addSetup(setup, now);
             figures.increment("setups.unanswered");
         } else {
-            boolean fails = s.errorShare > 0 && random.nextDouble() < s.errorShare;
-            s.addSetup(setup, now);
-            setup.mayHaveRun = true;
+            boolean fails = server.errorShare > 0 && random.nextDouble() < server.errorShare;
+            server.addSetup(setup, now);
+            setup.ran = true;
             testbed.schedule(
-                    s.setupDuration(now) + sessionStore.enqueue(now),
+                    server.setupDuration(now) + sessionStore.enqueue(now),
                     () -> completeSetup(setup, fails));
         }
     }
@@ -725,20 +740,20 @@
         if (setup.state != Setup.State.IN_PROGRESS) {
             return;
         }
-        Server s = setup.server;
+        Server server = setup.server;
         if (!isDeliverable(setup)) {
             // It fell silent over the work: the answer goes out when it speaks again.
             testbed.schedule(TICK_SECONDS, () -> completeSetup(setup, fails));
         } else if (fails) {
             figures.increment("setups.errors");
-            s.removeSetup(setup, testbed.now());
+            server.removeSetup(setup, testbed.now());
             setup.state = Setup.State.CLOSED;
             setup.reply.error();
         } else {
             double now = testbed.now();
             setup.state = Setup.State.OPEN;
-            setup.responsiveSecondsAtStart = s.responsiveSeconds(now);
-            setup.cutOffSecondsAtStart = cutOffSeconds(setup.request.relay, s.room, now);
+            setup.responsiveSecondsAtStart = server.responsiveSeconds(now);
+            setup.cutOffSecondsAtStart = cutOffSeconds(setup.request.relay, server.room, now);
             setup.reply.opened(setup.request.client.spec.load());
         }
     }
@@ -765,19 +780,22 @@
     /** Seconds in which this standing setup's messages came back in time. */
     public double servedSeconds(Setup setup) {
         double now = testbed.now();
-        double cutFor =
+        double cutOffFor =
                 cutOffSeconds(setup.request.relay, setup.server.room, now)
                         - setup.cutOffSecondsAtStart;
         return Math.max(
-                0, setup.server.responsiveSeconds(now) - setup.responsiveSecondsAtStart - cutFor);
+                0,
+                setup.server.responsiveSeconds(now) - setup.responsiveSecondsAtStart - cutOffFor);
     }
 
     /**
      * How long a message of a tunnel between these takes at its server; without end where nothing
      * comes back.
      */
-    public double messageDelay(int relay, Server s) {
-        return canReach(relay, s.room) ? s.messageDelay(testbed.now()) : Double.POSITIVE_INFINITY;
+    public double messageDelay(int relay, Server server) {
+        return canReach(relay, server.room)
+                ? server.messageDelay(testbed.now())
+                : Double.POSITIVE_INFINITY;
     }
 
     /**
@@ -785,109 +803,115 @@
      * otherwise.
      */
     public boolean anyUnresponsive() {
-        for (boolean c : roomCutOff) {
-            if (c) {
+        for (boolean isCutOff : roomCutOff) {
+            if (isCutOff) {
                 return true;
             }
         }
-        return relayCutOffCount > 0 || servers.stream().anyMatch(s -> s.silent);
+        return relayCutOffCount > 0 || servers.stream().anyMatch(server -> server.silent);
     }
 
     /** What a question for load brings; empty where nothing does. */
-    public Optional<LoadReport> probe(int relay, Server s) {
-        return canReach(relay, s.room) ? probe(s) : Optional.empty();
+    public Optional<LoadReport> probe(int relay, Server server) {
+        return canReach(relay, server.room) ? probe(server) : Optional.empty();
     }
 
     /** The same from within its room. */
-    public Optional<LoadReport> probe(Server s) {
-        if (s.silent || s.down) {
+    public Optional<LoadReport> probe(Server server) {
+        if (server.silent || server.down) {
             return Optional.empty();
         }
         LoadReport report = new LoadReport();
-        report.load = s.loadFactor(testbed.now());
+        report.load = server.loadFactor(testbed.now());
         if (plan.reportsOpenTunnels) {
-            report.openTunnels = s.openTunnels();
+            report.openTunnels = server.openTunnels();
         }
         return Optional.of(report);
     }
 
     /** Its process ends: all its connections break, and after a time it is up again, cold. */
-    void stopServer(Server s, double upAfter, boolean planned) {
-        if (s.down) {
+    void stopServer(Server server, double restartAfter, boolean planned) {
+        if (server.down) {
             return;
         }
         double now = testbed.now();
-        s.advanceTo(now);
-        boolean wasHeard = !s.silent;
-        s.down = true;
-        for (Setup setup : List.copyOf(s.activeSetups)) {
-            if (planned && setup.state == Setup.State.OPEN && wasHeard) {
+        server.advanceTo(now);
+        boolean wasResponsive = !server.silent;
+        server.down = true;
+        for (Setup setup : List.copyOf(server.activeSetups)) {
+            if (planned && setup.state == Setup.State.OPEN && wasResponsive) {
                 ruleChecker.recordViolation(
                         RuleChecker.Rule.MOVE,
                         now,
-                        "server " + s.name + " left and cut off tunnel " + setup.request.id());
+                        "server " + server.name + " left and cut off tunnel " + setup.request.id());
             }
             breakSetup(setup);
         }
-        undeliveredSetups.stream().filter(u -> u.server == s).toList().forEach(this::breakSetup);
-        testbed.setListening(s, false);
-        testbed.schedule(upAfter, () -> restartServer(s));
+        undeliveredSetups.stream()
+                .filter(setup -> setup.server == server)
+                .toList()
+                .forEach(this::breakSetup);
+        testbed.setListening(server, false);
+        testbed.schedule(restartAfter, () -> restartServer(server));
     }
 
-    private void restartServer(Server s) {
-        s.restart(testbed.now());
-        testbed.setListening(s, true);
-        publishState(s, ServerEntry.State.RUNNING);
+    private void restartServer(Server server) {
+        server.restart(testbed.now());
+        testbed.setListening(server, true);
+        publishState(server, ServerEntry.State.RUNNING);
         deliverPending();
     }
 
-    void startDraining(Server s) {
-        s.draining = true;
-        s.drainingSince = testbed.now();
-        publishState(s, ServerEntry.State.DRAINING);
+    void startDraining(Server server) {
+        server.draining = true;
+        server.drainingSince = testbed.now();
+        publishState(server, ServerEntry.State.DRAINING);
     }
 
     /** The list comes to know of a server's state, late. */
-    void publishState(Server s, ServerEntry.State state) {
-        double late =
+    void publishState(Server server, ServerEntry.State state) {
+        double listDelay =
                 plan.minListDelay
                         + (plan.maxListDelay - plan.minListDelay) * random.nextDouble()
                         + registry.extraDelay;
         testbed.schedule(
-                late,
+                listDelay,
                 () -> {
-                    registry.update(s, state);
+                    registry.update(server, state);
                     testbed.serverListChanged();
                 });
     }
 
     /** A relay was told these entries. */
     public void entriesDelivered(int relay, List<ServerRegistry.Entry> entries) {
-        for (ServerRegistry.Entry e : entries) {
+        for (ServerRegistry.Entry entry : entries) {
             ruleChecker.recordListedState(
-                    relay, e.server(), e.state() == ServerEntry.State.RUNNING, testbed.now());
+                    relay,
+                    entry.server(),
+                    entry.state() == ServerEntry.State.RUNNING,
+                    testbed.now());
         }
     }
 
     // ---- Relays
 
     /** A relay's process is gone; the front notices later. */
-    public void relayStopped(int relay, boolean inOrder) {
+    public void relayStopped(int relay, boolean graceful) {
         relayUp[relay] = false;
-        gracefulExitIncarnation[relay] = inOrder ? relayIncarnation[relay] : -1;
+        gracefulExitIncarnation[relay] = graceful ? relayIncarnation[relay] : -1;
         relayIncarnation[relay]++;
         relayShuttingDown[relay] = false;
         ruleChecker.forgetRelay(relay);
         testbed.schedule(plan.frontendNoticeDelay, () -> frontendKnows[relay] = relayUp[relay]);
-        Runnable then = onRelayStopped[relay];
+        Runnable callback = onRelayStopped[relay];
         onRelayStopped[relay] = null;
-        if (then != null) {
-            then.run();
+        if (callback != null) {
+            callback.run();
         }
     }
 
-    void onRelayStopped(int relay, Runnable then) {
-        onRelayStopped[relay] = then;
+    void onRelayStopped(int relay, Runnable callback) {
+        onRelayStopped[relay] = callback;
     }
 
     /** It was told to leave: the front deals out nothing to it from soon on. */
@@ -911,17 +935,17 @@
 
     private void tick() {
         double now = testbed.now();
-        for (Server s : servers) {
-            if (s.checkCollapse(now)) {
+        for (Server server : servers) {
+            if (server.checkCollapse(now)) {
                 figures.increment("servers.fell");
                 ruleChecker.recordViolation(
                         RuleChecker.Rule.COLD,
                         now,
                         String.format(
                                 "server %s was pushed over, cold for %.1f s, at a factor of %.1f",
-                                s.name, now - s.startedAt, s.loadFactor(now)));
-                stopServer(s, RESTART_SECONDS, false);
-                publishState(s, ServerEntry.State.GONE);
+                                server.name, now - server.startedAt, server.loadFactor(now)));
+                stopServer(server, RESTART_SECONDS, false);
+                publishState(server, ServerEntry.State.GONE);
             }
         }
         measureSpill();
@@ -933,25 +957,26 @@
      * long more than may.
      */
     private void measureSpill() {
-        double[] guests = new double[plan.rooms.size()];
-        double[] holds = new double[plan.rooms.size()];
-        for (Server s : servers) {
-            holds[s.room] += s.down ? 0 : s.plan.capacity;
-            guests[s.room] += s.spilledLoad;
-        }
-        double most = plan.routes == null ? 1 : ((Number) plan.routes.get("share")).doubleValue();
-        double over = 0;
+        double[] spilledLoad = new double[plan.rooms.size()];
+        double[] capacity = new double[plan.rooms.size()];
+        for (Server server : servers) {
+            capacity[server.room] += server.down ? 0 : server.plan.capacity;
+            spilledLoad[server.room] += server.spilledLoad;
+        }
+        double maxShare =
+                plan.routes == null ? 1 : ((Number) plan.routes.get("share")).doubleValue();
+        double excess = 0;
         currentSpilledLoad = 0;
-        for (int r = 0; r < guests.length; r++) {
-            spilledCredit += guests[r] * TICK_SECONDS * meanCredit;
-            currentSpilledLoad += guests[r];
-            double part = holds[r] > 0 ? guests[r] / holds[r] : 0;
-            worstSpillShare = Math.max(worstSpillShare, part);
-            over = Math.max(over, part - most);
+        for (int room = 0; room < spilledLoad.length; room++) {
+            spilledCredit += spilledLoad[room] * TICK_SECONDS * meanCredit;
+            currentSpilledLoad += spilledLoad[room];
+            double share = capacity[room] > 0 ? spilledLoad[room] / capacity[room] : 0;
+            worstSpillShare = Math.max(worstSpillShare, share);
+            excess = Math.max(excess, share - maxShare);
         }
-        worstSpillExcess = Math.max(worstSpillExcess, over);
-        longestSpillExcess = Math.max(longestSpillExcess, spillExcessSeconds);
-        spillExcessSeconds = over > 1e-9 ? spillExcessSeconds + TICK_SECONDS : 0;
+        worstSpillExcess = Math.max(worstSpillExcess, excess);
+        longestSpillExcessSeconds = Math.max(longestSpillExcessSeconds, spillExcessSeconds);
+        spillExcessSeconds = excess > 1e-9 ? spillExcessSeconds + TICK_SECONDS : 0;
     }
 
     /**
@@ -959,29 +984,38 @@
      * room.
      */
     private double failbackSeconds(double now) {
-        double back = 0;
-        for (Plan.Fault f : plan.faults) {
-            back = Math.max(back, FAILBACK_FAULTS.contains(f.kind) ? f.at + f.duration : 0);
+        double endOfFaults = 0;
+        for (Plan.Fault fault : plan.faults) {
+            endOfFaults =
+                    Math.max(
+                            endOfFaults,
+                            FAILBACK_FAULTS.contains(fault.kind) ? fault.at + fault.duration : 0);
         }
-        double room = servers.stream().mapToDouble(s -> s.plan.capacity).sum() / plan.rooms.size();
+        double meanRoomCapacity =
+                servers.stream().mapToDouble(server -> server.plan.capacity).sum()
+                        / plan.rooms.size();
         int column = Figures.SERIES.indexOf("guests_load");
-        int from = figures.rows().size();
-        while (from > 0 && figures.rows().get(from - 1)[column] <= room / 100) {
-            from--;
+        int homeSecond = figures.rows().size();
+        while (homeSecond > 0
+                && figures.rows().get(homeSecond - 1)[column] <= meanRoomCapacity / 100) {
+            homeSecond--;
         }
-        return from >= figures.rows().size() ? now - back : Math.max(0, from + 1 - back);
+        return homeSecond >= figures.rows().size()
+                ? now - endOfFaults
+                : Math.max(0, homeSecond + 1 - endOfFaults);
     }
 
     /** The worst part of a profile's tries that were opened, window by window. */
     private void closeAnswerWindow() {
-        for (int p = 0; p < worstOpenedShare.length; p++) {
-            if (answeredInWindow[p] >= MIN_ANSWERS_PER_WINDOW) {
-                worstOpenedShare[p] =
+        for (int profileIndex = 0; profileIndex < worstOpenedShare.length; profileIndex++) {
+            if (answeredInWindow[profileIndex] >= MIN_ANSWERS_PER_WINDOW) {
+                worstOpenedShare[profileIndex] =
                         Math.min(
-                                worstOpenedShare[p],
-                                (double) openedInWindow[p] / answeredInWindow[p]);
+                                worstOpenedShare[profileIndex],
+                                (double) openedInWindow[profileIndex]
+                                        / answeredInWindow[profileIndex]);
             }
-            openedInWindow[p] = answeredInWindow[p] = 0;
+            openedInWindow[profileIndex] = answeredInWindow[profileIndex] = 0;
         }
         testbed.schedule(ANSWER_WINDOW_SECONDS, this::closeAnswerWindow);
     }
@@ -992,25 +1026,26 @@
         double[] row = new double[Figures.SERIES.size()];
         row[0] = openTunnels;
         for (int i = 0; i < names.length; i++) {
-            long is = figures.counterValue(names[i]);
-            row[i < 4 ? i + 1 : 6] = is - lastCounts[i];
-            lastCounts[i] = is;
+            long count = figures.counterValue(names[i]);
+            row[i < 4 ? i + 1 : 6] = count - lastCounts[i];
+            lastCounts[i] = count;
         }
         long cutNow =
                 figures.counterValue("clients.cut_by_server")
                         + figures.counterValue("clients.cut_by_relay");
         row[5] = cutNow - lastCutCount;
         lastCutCount = cutNow;
-        double got = 0;
-        for (Server s : servers) {
-            double f = s.down ? 0 : s.loadFactor(now);
-            row[8] = Math.max(row[8], f);
-            row[9] += f / servers.size();
-            row[10] += s.silent || s.down ? 1 : 0;
-            got += s.messageDelay(now) <= plan.messageGoal ? s.openTunnels() : 0;
+        double servedTunnels = 0;
+        for (Server server : servers) {
+            double loadFactor = server.down ? 0 : server.loadFactor(now);
+            row[8] = Math.max(row[8], loadFactor);
+            row[9] += loadFactor / servers.size();
+            row[10] += server.silent || server.down ? 1 : 0;
+            servedTunnels +=
+                    server.messageDelay(now) <= plan.messageGoal ? server.openTunnels() : 0;
         }
         row[11] = currentSpilledLoad;
-        row[7] = presentClients > 0 ? Math.min(1, got / presentClients) : 1;
+        row[7] = presentClients > 0 ? Math.min(1, servedTunnels / presentClients) : 1;
         figures.addRow(row);
         testbed.schedule(1, this::recordSecond);
     }
--- a/lab/src/main/java/asterpulley/lab/world/Testbed.java
+++ b/lab/src/main/java/asterpulley/lab/world/Testbed.java
@@ -7,13 +7,13 @@
  */
 public interface Testbed extends Clock {
     /** A client says its opening to a relay; the end of it comes back through the world. */
-    void openTunnel(ClientRequest t);
+    void openTunnel(ClientRequest request);
 
     /** The client ends its tunnel; the answer is how many of its seconds were served. */
-    double closeTunnel(ClientRequest t);
+    double closeTunnel(ClientRequest request);
 
     /** A client whose connection breaks without its doing, as a crowd does that comes back. */
-    double breakConnection(ClientRequest t);
+    double breakConnection(ClientRequest request);
 
     /** A relay starts, is killed outright, or is told to leave. */
     void startRelay(int relay);
