--- a/lab/src/test/java/asterpulley/lab/model/ExperimentsTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/ExperimentsTest.java
@@ -22,17 +22,17 @@
  * by is what holds them.
  */
 class ExperimentsTest {
-    private static final Path ROOMS = Path.of("..", "experiments", "rooms");
-    private static final int SMALL = 100;
+    private static final Path ROOM_EXPERIMENTS = Path.of("..", "experiments", "rooms");
+    private static final int MAX_SERVERS = 100;
 
     private static Plan plan(Path file) throws IOException {
-        TomlDocument sheet = TomlDocument.read(file);
-        Plan plan = PlanReader.read(sheet, file.getFileName().toString());
-        assertEquals(List.of(), sheet.problems());
+        TomlDocument document = TomlDocument.read(file);
+        Plan plan = PlanReader.read(document, file.getFileName().toString());
+        assertEquals(List.of(), document.problems());
         return plan;
     }
 
-    private static RunResult play(Plan plan) {
+    private static RunResult run(Plan plan) {
         return new RunResult(
                 "model",
                 VirtualTestbed.MODULE_POLICY,
@@ -41,8 +41,8 @@
     }
 
     @TestFactory
-    Stream<DynamicTest> eachHoldsAsItSays() throws IOException {
-        return Files.list(ROOMS)
+    Stream<DynamicTest> smallRoomExperimentsMeetTheirExpectations() throws IOException {
+        return Files.list(ROOM_EXPERIMENTS)
                 .sorted()
                 .map(
                         file ->
@@ -50,39 +50,42 @@
                                         file.getFileName().toString(),
                                         () -> {
                                             Plan plan = plan(file);
-                                            if (plan.serverCount() > SMALL) {
+                                            if (plan.serverCount() > MAX_SERVERS) {
                                                 return;
                                             }
-                                            RunResult o = play(plan);
-                                            for (Plan.Expectation e : plan.expectations) {
+                                            RunResult result = run(plan);
+                                            for (Plan.Expectation expectation : plan.expectations) {
                                                 assertTrue(
-                                                        o.holds(e),
-                                                        e + " is " + o.figure(e.figure()));
+                                                        result.holds(expectation),
+                                                        expectation
+                                                                + " is "
+                                                                + result.figure(
+                                                                        expectation.figure()));
                                             }
                                             assertTrue(
                                                     plan.expectations.size() > 2
-                                                            && o.notes.isEmpty(),
-                                                    o.notes.toString());
+                                                            && result.notes.isEmpty(),
+                                                    result.notes.toString());
                                         }));
     }
 
-    private static double without(String experiment, String figure, Object... keysAndValues)
+    private static double figureWith(String experiment, String figure, Object... routeOverrides)
             throws IOException {
-        Plan plan = plan(ROOMS.resolve(experiment));
-        for (int i = 0; i < keysAndValues.length; i += 2) {
-            plan.routes.put((String) keysAndValues[i], keysAndValues[i + 1]);
+        Plan plan = plan(ROOM_EXPERIMENTS.resolve(experiment));
+        for (int i = 0; i < routeOverrides.length; i += 2) {
+            plan.routes.put((String) routeOverrides[i], routeOverrides[i + 1]);
         }
-        return play(plan).figure(figure);
+        return run(plan).figure(figure);
     }
 
-    private static double with(String experiment, String figure) throws IOException {
-        return play(plan(ROOMS.resolve(experiment))).figure(figure);
+    private static double figureOf(String experiment, String figure) throws IOException {
+        return run(plan(ROOM_EXPERIMENTS.resolve(experiment))).figure(figure);
     }
 
     @Test
-    void whatEachLimitIsForFailsWithoutIt() throws IOException {
+    void removingALimitBreaksWhatItGuards() throws IOException {
         assertTrue(
-                without(
+                figureWith(
                                 "near-full.toml",
                                 "spill.worst_share",
                                 "share",
@@ -94,12 +97,12 @@
                                 "kept",
                                 Map.of())
                         > 0.35);
-        assertTrue(with("near-full.toml", "spill.worst_share") < 0.33);
-        assertTrue(without("cold-return.toml", "spill.home_s", "return_share_per_s", null) > 35);
-        assertTrue(with("cold-return.toml", "spill.home_s") < 30);
-        double storm = with("near-full.toml", "credit.share.storm");
+        assertTrue(figureOf("near-full.toml", "spill.worst_share") < 0.33);
+        assertTrue(figureWith("cold-return.toml", "spill.home_s", "return_share_per_s", null) > 35);
+        assertTrue(figureOf("cold-return.toml", "spill.home_s") < 30);
+        double storm = figureOf("near-full.toml", "credit.share.storm");
         assertTrue(
-                without(
+                figureWith(
                                 "near-full.toml",
                                 "credit.share.storm",
                                 "guests_kept",
@@ -114,20 +117,20 @@
      * tell.
      */
     @Test
-    void aLimitOnHowFullServersAreForGuestsIsWhatKeepsThemUnderFull() throws IOException {
+    void spillLoadLimitKeepsServersBelowFull() throws IOException {
         double highest = 0;
         for (long seed : new long[] {31, 1, 2, 3, 4, 5, 6, 7}) {
-            Plan plan = plan(ROOMS.resolve("comes-and-goes.toml"));
+            Plan plan = plan(ROOM_EXPERIMENTS.resolve("comes-and-goes.toml"));
             plan.seed = seed;
-            double with = play(plan).figure("servers.worst_factor");
-            plan = plan(ROOMS.resolve("comes-and-goes.toml"));
+            double limited = run(plan).figure("servers.worst_factor");
+            plan = plan(ROOM_EXPERIMENTS.resolve("comes-and-goes.toml"));
             plan.seed = seed;
             plan.routes.put("below", 10.0);
-            double without = play(plan).figure("servers.worst_factor");
+            double unlimited = run(plan).figure("servers.worst_factor");
             assertTrue(
-                    with < 0.8 && with < without,
-                    "seed " + seed + ": " + with + " with it, " + without + " without");
-            highest = Math.max(highest, without);
+                    limited < 0.8 && limited < unlimited,
+                    "seed " + seed + ": " + limited + " with it, " + unlimited + " without");
+            highest = Math.max(highest, unlimited);
         }
         assertTrue(highest > 0.8, "at most " + highest);
     }
--- a/lab/src/test/java/asterpulley/lab/model/JudgeTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/RuleCheckerTest.java
@@ -22,8 +22,8 @@
  * The judge: each world has a relay that is broken in one way, and is caught under the right rule;
  * a sound one is not.
  */
-class JudgeTest {
-    private static final String WORLD =
+class RuleCheckerTest {
+    private static final String PLAN =
             """
             seed = 3
             length_s = 20
@@ -60,13 +60,17 @@
             """;
 
     /** What a relay can do wrong. */
-    private interface Flaw {
-        VirtualRelay relay(int r, VirtualClock line, Simulation world, Map<String, Server> servers);
+    private interface BrokenRelay {
+        VirtualRelay create(
+                int index,
+                VirtualClock clock,
+                Simulation simulation,
+                Map<String, Server> serversByName);
     }
 
-    private record Case(String name, RuleChecker.Rule rule, Flaw flaw) {}
+    private record Case(String name, RuleChecker.Rule rule, BrokenRelay brokenRelay) {}
 
-    private static final Setup.Reply DEAF =
+    private static final Setup.Reply IGNORING_REPLY =
             new Setup.Reply() {
                 @Override
                 public void opened(double cores) {
@@ -90,27 +94,29 @@
             };
 
     /** Sends setups elsewhere than its brain said, where there is such a server. */
-    private static final class Misdirects extends VirtualRelay {
-        private final Predicate<Server> where;
+    private static final class MisdirectingRelay extends VirtualRelay {
+        private final Predicate<Server> target;
 
-        private Misdirects(
-                int r,
-                VirtualClock line,
-                Simulation world,
-                Map<String, Server> servers,
-                Predicate<Server> where) {
-            super(r, line, world, servers);
-            this.where = where;
+        private MisdirectingRelay(
+                int index,
+                VirtualClock clock,
+                Simulation simulation,
+                Map<String, Server> serversByName,
+                Predicate<Server> target) {
+            super(index, clock, simulation, serversByName);
+            this.target = target;
         }
 
         @Override
         public void sendSetup(long id, String name, double timeout) {
             super.sendSetup(
                     id,
-                    world.servers.stream()
-                            .filter(where)
-                            .max(Comparator.comparingDouble(s -> -s.warmUpFraction(line.now())))
-                            .map(s -> s.name)
+                    simulation.servers.stream()
+                            .filter(target)
+                            .max(
+                                    Comparator.comparingDouble(
+                                            server -> -server.warmUpFraction(clock.now())))
+                            .map(server -> server.name)
                             .orElse(name),
                     timeout);
         }
@@ -121,66 +127,67 @@
                     new Case(
                             "answers twice",
                             RuleChecker.Rule.ANSWER,
-                            (r, line, world, servers) ->
-                                    new VirtualRelay(r, line, world, servers) {
+                            (r, clock, simulation, serversByName) ->
+                                    new VirtualRelay(r, clock, simulation, serversByName) {
                                         @Override
-                                        void take(ClientRequest t) {
-                                            super.take(t);
-                                            line.schedule(0.3, () -> world.requestFailed(t));
+                                        void acceptRequest(ClientRequest request) {
+                                            super.acceptRequest(request);
+                                            clock.schedule(
+                                                    0.3, () -> simulation.requestFailed(request));
                                         }
                                     }),
                     new Case(
                             "forgets every fifth client",
                             RuleChecker.Rule.ANSWER,
-                            (r, line, world, servers) ->
-                                    new VirtualRelay(r, line, world, servers) {
+                            (r, clock, simulation, serversByName) ->
+                                    new VirtualRelay(r, clock, simulation, serversByName) {
                                         private int n;
 
                                         @Override
-                                        void take(ClientRequest t) {
+                                        void acceptRequest(ClientRequest request) {
                                             if (++n % 5 > 0) {
-                                                super.take(t);
+                                                super.acceptRequest(request);
                                             }
                                         }
                                     }),
                     new Case(
                             "ends clients without an answer",
                             RuleChecker.Rule.ANSWER,
-                            (r, line, world, servers) ->
-                                    new VirtualRelay(r, line, world, servers) {
+                            (r, clock, simulation, serversByName) ->
+                                    new VirtualRelay(r, clock, simulation, serversByName) {
                                         @Override
                                         public void closeWithError(long id) {
-                                            ClientRequest t = tryOf(id);
-                                            if (t != null) {
-                                                world.connectionBroken(t);
+                                            ClientRequest request = requestOf(id);
+                                            if (request != null) {
+                                                simulation.connectionBroken(request);
                                             }
                                         }
                                     }),
                     new Case(
                             "has two setups out",
                             RuleChecker.Rule.EFFECT,
-                            (r, line, world, servers) ->
-                                    new VirtualRelay(r, line, world, servers) {
+                            (r, clock, simulation, serversByName) ->
+                                    new VirtualRelay(r, clock, simulation, serversByName) {
                                         @Override
                                         public void sendSetup(
                                                 long id, String name, double timeout) {
                                             super.sendSetup(id, name, timeout);
-                                            ClientRequest t = tryOf(id);
-                                            line.schedule(
+                                            ClientRequest request = requestOf(id);
+                                            clock.schedule(
                                                     0.001,
                                                     () ->
-                                                            world.setupArrived(
-                                                                    t,
-                                                                    world.servers.get(0),
-                                                                    line.now(),
-                                                                    DEAF));
+                                                            simulation.setupArrived(
+                                                                    request,
+                                                                    simulation.servers.get(0),
+                                                                    clock.now(),
+                                                                    IGNORING_REPLY));
                                         }
                                     }),
                     new Case(
                             "declines what may have run",
                             RuleChecker.Rule.EFFECT,
-                            (r, line, world, servers) ->
-                                    new VirtualRelay(r, line, world, servers) {
+                            (r, clock, simulation, serversByName) ->
+                                    new VirtualRelay(r, clock, simulation, serversByName) {
                                         @Override
                                         public void closeWithError(long id) {
                                             decline(id, 0.5);
@@ -189,28 +196,33 @@
                     new Case(
                             "sends to servers that drain",
                             RuleChecker.Rule.DRAIN,
-                            (r, line, world, servers) ->
-                                    new Misdirects(
+                            (r, clock, simulation, serversByName) ->
+                                    new MisdirectingRelay(
                                             r,
-                                            line,
-                                            world,
-                                            servers,
-                                            s -> s.isImpaired() && !s.isDown() && s.index < 3)),
+                                            clock,
+                                            simulation,
+                                            serversByName,
+                                            server ->
+                                                    server.isImpaired()
+                                                            && !server.isDown()
+                                                            && server.index < 3)),
                     new Case(
                             "floods a cold server",
                             RuleChecker.Rule.COLD,
-                            (r, line, world, servers) ->
-                                    new Misdirects(
+                            (r, clock, simulation, serversByName) ->
+                                    new MisdirectingRelay(
                                             r,
-                                            line,
-                                            world,
-                                            servers,
-                                            s -> s.isCold(line.now()) && !s.isImpaired())),
+                                            clock,
+                                            simulation,
+                                            serversByName,
+                                            server ->
+                                                    server.isCold(clock.now())
+                                                            && !server.isImpaired())),
                     new Case(
                             "never moves a client",
                             RuleChecker.Rule.MOVE,
-                            (r, line, world, servers) ->
-                                    new VirtualRelay(r, line, world, servers) {
+                            (r, clock, simulation, serversByName) ->
+                                    new VirtualRelay(r, clock, simulation, serversByName) {
                                         @Override
                                         public void move(long id) {
                                             // Its clients stay where they are until they are cut
@@ -220,37 +232,37 @@
                     new Case(
                             "leaves at once",
                             RuleChecker.Rule.MOVE,
-                            (r, line, world, servers) ->
-                                    new VirtualRelay(r, line, world, servers) {
+                            (r, clock, simulation, serversByName) ->
+                                    new VirtualRelay(r, clock, simulation, serversByName) {
                                         @Override
-                                        void leave() {
-                                            dies(true);
+                                        void shutDown() {
+                                            stop(true);
                                         }
                                     }));
 
-    private static Simulation play(Flaw flaw) {
-        TomlDocument sheet = TomlDocument.parse("judge.toml", WORLD);
-        Plan plan = PlanReader.read(sheet, "judge");
-        assertEquals(List.of(), sheet.problems());
+    private static Simulation runWith(BrokenRelay brokenRelay) {
+        TomlDocument document = TomlDocument.parse("judge.toml", PLAN);
+        Plan plan = PlanReader.read(document, "judge");
+        assertEquals(List.of(), document.problems());
         return new VirtualTestbed(plan, VirtualTestbed.MODULE_POLICY) {
             @Override
-            VirtualRelay newRelay(int r, VirtualClock on, Map<String, Server> servers) {
-                return flaw == null
-                        ? super.newRelay(r, on, servers)
-                        : flaw.relay(r, on, simulation, servers);
+            VirtualRelay newRelay(int r, VirtualClock clock, Map<String, Server> serversByName) {
+                return brokenRelay == null
+                        ? super.newRelay(r, clock, serversByName)
+                        : brokenRelay.create(r, clock, simulation, serversByName);
             }
         }.run();
     }
 
     @TestFactory
-    List<DynamicTest> brokenRelaysAreCaughtUnderTheRightRule() {
+    List<DynamicTest> brokenRelaysViolateTheExpectedRule() {
         return CASES.stream()
                 .map(
                         c ->
                                 DynamicTest.dynamicTest(
                                         c.name,
                                         () -> {
-                                            RuleChecker judge = play(c.flaw).ruleChecker;
+                                            RuleChecker judge = runWith(c.brokenRelay).ruleChecker;
                                             assertTrue(
                                                     judge.violationCount(c.rule) > 0,
                                                     "caught under "
@@ -262,8 +274,8 @@
     }
 
     @TestFactory
-    DynamicTest aSoundRelayBreaksNone() {
+    DynamicTest aCorrectRelayBreaksNoRule() {
         return DynamicTest.dynamicTest(
-                "sound", () -> assertEquals(List.of(), play(null).ruleChecker.notes()));
+                "sound", () -> assertEquals(List.of(), runWith(null).ruleChecker.notes()));
     }
 }
--- a/lab/src/test/java/asterpulley/lab/model/ModelTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/VirtualTestbedTest.java
@@ -25,7 +25,7 @@
 /**
  * The world in virtual time: the same each time, and each fault does to figures what its name says.
  */
-class ModelTest {
+class VirtualTestbedTest {
     private static final String SMALL =
             """
             length_s = 12
@@ -40,18 +40,18 @@
             """;
 
     private static Plan plan(String text) {
-        TomlDocument sheet = TomlDocument.parse("model.toml", text);
-        Plan plan = PlanReader.read(sheet, "model");
-        assertEquals(List.of(), sheet.problems());
+        TomlDocument document = TomlDocument.parse("model.toml", text);
+        Plan plan = PlanReader.read(document, "model");
+        assertEquals(List.of(), document.problems());
         return plan;
     }
 
-    private static RunResult play(String text, String policy) {
+    private static RunResult run(String text, String policy) {
         return new RunResult("model", policy, new VirtualTestbed(plan(text), policy).run(), null);
     }
 
     @Test
-    void theSameSeedGivesTheSameBytesAndAnotherDoesNot() throws IOException {
+    void sameSeedGivesIdenticalReports() throws IOException {
         String faults =
                 "[[fault]]\nkind=\"silent\"\nat_s=3\nfor_s=3\ncount=1\n[[fault]]\nkind=\"reconnect\"\nat_s=7\n";
         Plan plan = plan(SMALL + faults);
@@ -59,7 +59,7 @@
         for (int i = 0; i < 2; i++) {
             runs.add(
                     Reports.toJson(
-                            plan, List.of(play(SMALL + faults, VirtualTestbed.MODULE_POLICY))));
+                            plan, List.of(run(SMALL + faults, VirtualTestbed.MODULE_POLICY))));
         }
         assertArrayEquals(runs.get(0), runs.get(1));
         assertFalse(
@@ -68,7 +68,7 @@
                         Reports.toJson(
                                 plan,
                                 List.of(
-                                        play(
+                                        run(
                                                 "seed = 2\n" + SMALL + faults,
                                                 VirtualTestbed.MODULE_POLICY)))));
     }
@@ -110,8 +110,8 @@
                     new Case("kind=\"crowd\"\nat_s=3\ncount=200", "clients.count", ">"));
 
     @TestFactory
-    Stream<DynamicTest> faultsDoWhatTheirNamesSay() {
-        RunResult calm = play(SMALL, VirtualTestbed.MODULE_POLICY);
+    Stream<DynamicTest> eachFaultShiftsItsFigure() {
+        RunResult baseline = run(SMALL, VirtualTestbed.MODULE_POLICY);
         return CASES.stream()
                 .map(
                         c ->
@@ -119,11 +119,11 @@
                                         c.fault.lines().findFirst().orElse(""),
                                         () -> {
                                             RunResult with =
-                                                    play(
+                                                    run(
                                                             SMALL + "[[fault]]\n" + c.fault + "\n",
                                                             VirtualTestbed.MODULE_POLICY);
                                             double is = with.figure(c.figure);
-                                            double was = calm.figure(c.figure);
+                                            double was = baseline.figure(c.figure);
                                             assertTrue(
                                                     c.sign.equals(">") ? is > was : is < was,
                                                     c.figure + " was " + was + ", is " + is);
@@ -135,65 +135,65 @@
     }
 
     @Test
-    void aListThatIsDownIsReadAgainAndADrainMeanwhileIsKept() {
-        RunResult o =
-                play(
+    void drainDuringAListOutageIsHonoured() {
+        RunResult result =
+                run(
                         SMALL.replace("length_s = 12", "length_s = 18")
                                 + "[[fault]]\nkind=\"list-down\"\nat_s=2\nfor_s=4\n"
                                 + "[[fault]]\nkind=\"drain\"\nat_s=1.9\ncount=1\ndrain_s=14\n",
                         VirtualTestbed.MODULE_POLICY);
-        assertEquals(List.of(), o.notes);
-        assertTrue(o.figure("moves") > 0);
+        assertEquals(List.of(), result.notes);
+        assertTrue(result.figure("moves") > 0);
     }
 
     @Test
-    void aRoomThatIsCutOffServesItsOwnAndIsAvoidedByOthers() {
+    void roomThatIsCutOffServesItsOwnClients() {
         String two =
                 SMALL.replace("[load]", "[rooms]\nnames=[\"a\",\"b\"]\n[load]")
                         .replace("count = 4", "count = 2");
-        RunResult calm = play(two, VirtualTestbed.MODULE_POLICY);
-        RunResult o =
-                play(
+        RunResult baseline = run(two, VirtualTestbed.MODULE_POLICY);
+        RunResult result =
+                run(
                         two + "[[fault]]\nkind=\"room-cut\"\nroom=\"b\"\nat_s=3\nfor_s=6\n",
                         VirtualTestbed.MODULE_POLICY);
-        assertEquals(0, o.figure("rules.broken"), o.notes.toString());
-        assertTrue(o.figure("credit.share") > 0.9 * calm.figure("credit.share"));
+        assertEquals(0, result.figure("rules.broken"), result.notes.toString());
+        assertTrue(result.figure("credit.share") > 0.9 * baseline.figure("credit.share"));
     }
 
     @TestFactory
-    Stream<DynamicTest> baselinesServeACalmDayByTheRules() {
+    Stream<DynamicTest> baselinesKeepTheRulesWithoutFaults() {
         return Stream.of(PlanReader.BASELINES)
                 .map(
                         b ->
                                 DynamicTest.dynamicTest(
                                         b,
                                         () -> {
-                                            RunResult o = play(SMALL, b);
+                                            RunResult result = run(SMALL, b);
                                             assertEquals(
                                                     0,
-                                                    o.figure("rules.broken"),
-                                                    o.notes.toString());
-                                            assertTrue(o.figure("credit.share") > 0.9);
+                                                    result.figure("rules.broken"),
+                                                    result.notes.toString());
+                                            assertTrue(result.figure("credit.share") > 0.9);
                                             RunResult withSilence =
-                                                    play(
+                                                    run(
                                                             SMALL
                                                                     + "[[fault]]\nkind=\"silent\"\nat_s=3\nfor_s=5\ncount=3\n",
                                                             b);
                                             assertTrue(
                                                     withSilence.figure("credit.share")
-                                                            < o.figure("credit.share"));
+                                                            < result.figure("credit.share"));
                                         }));
     }
 
     @Test
-    void everyExperimentOfTheRepositoryReads() throws IOException {
+    void everyExperimentFileIsValid() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("../experiments"))) {
             Map<String, List<String>> wrong = new java.util.TreeMap<>();
             for (Path file : files.filter(f -> f.toString().endsWith(".toml")).toList()) {
-                TomlDocument sheet = TomlDocument.read(file);
-                Plan plan = PlanReader.read(sheet, file.getFileName().toString());
-                if (!sheet.problems().isEmpty() || plan.expectations.isEmpty()) {
-                    wrong.put(file.toString(), sheet.problems());
+                TomlDocument document = TomlDocument.read(file);
+                Plan plan = PlanReader.read(document, file.getFileName().toString());
+                if (!document.problems().isEmpty() || plan.expectations.isEmpty()) {
+                    wrong.put(file.toString(), document.problems());
                 }
             }
             assertEquals(Map.of(), wrong);
