--- a/lab/src/main/java/asterpulley/lab/Lab.java
+++ b/lab/src/main/java/asterpulley/lab/Lab.java
@@ -17,8 +17,8 @@
 import java.util.stream.Stream;
 
 /**
- * Plays experiments: the module on one carrier or both, and baselines beside it, and says whether
- * what was expected holds. It must give no verdict on a run that could not keep its own pace.
+ * Runs experiments: the load balancer on one testbed or both, and baselines beside it, and tells
+ * whether the expectations hold. It must give no verdict on a run that could not keep its own pace.
  */
 public final class Lab {
     private final PrintStream out;
@@ -28,8 +28,7 @@
     }
 
     /**
-     * Plays it on this carrier, "model", "sockets" or "both", and the plan's baselines on the
-     * model.
+     * Runs the plan on a testbed, "model", "sockets" or "both", and its baselines in virtual time.
      */
     public List<RunResult> run(Plan plan, String on) throws IOException {
         List<RunResult> results = new ArrayList<>();
@@ -45,7 +44,7 @@
         return results;
     }
 
-    /** Plays it in virtual time, with the module or a baseline in every relay. */
+    /** Runs the plan in virtual time, with the load balancer or a baseline in every relay. */
     public RunResult runInVirtualTime(Plan plan, String policy) {
         out.printf(
                 Locale.ROOT,
@@ -59,8 +58,8 @@
         VirtualTestbed testbed = new VirtualTestbed(plan, policy);
         Simulation simulation = testbed.run();
         double seconds = (System.nanoTime() - startNanos) / 1e9;
-        // The pace is this machine's, so it is printed and stands in no file that must be the same
-        // each time.
+        // The pace depends on the machine, so it is only printed: files must be the same for each
+        // run of a seed.
         out.printf(
                 Locale.ROOT,
                 "  %d events in %.2f s, %.1f times faster than real time%n",
@@ -109,8 +108,8 @@
     }
 
     /**
-     * Prints the table of each play of the module, or of the only play; true where all that was
-     * expected holds.
+     * Prints the table of each run of the load balancer, or of the only run; returns whether all
+     * expectations hold.
      */
     public boolean printVerdict(Plan plan, List<RunResult> results) {
         boolean passed = true;
--- a/lab/src/main/java/asterpulley/lab/model/BalancingPolicy.java
+++ b/lab/src/main/java/asterpulley/lab/model/BalancingPolicy.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * One relay's decisions: the module itself, or a baseline to compare it with. It answers through
- * its {@link Host}.
+ * The balancing decisions of one relay: the load balancer itself, or a baseline to compare it with.
+ * It answers through its {@link PolicyHost}.
  */
 interface BalancingPolicy {
-    /** A tunnel that was taken; what happens to it is told here. */
+    /** A tunnel of an accepted request; receives what happens to it. */
     interface TunnelHandle {
         void onOpened(double lag);
 
--- a/lab/src/main/java/asterpulley/lab/model/BaselinePolicy.java
+++ b/lab/src/main/java/asterpulley/lab/model/BaselinePolicy.java
@@ -17,20 +17,22 @@
 
 /**
  * The textbook policies to compare with: random, round robin, least own tunnels, the better of two
- * random choices, a fixed priority of rooms with an over-provisioning factor, and an ideal that
- * sees every server as it is. All of them leave a server out for a while that failed three times in
- * a row, try again only where that is lawful, and move what stands on a draining server. It must
- * keep the four rules as far as such a policy can, so that what it is compared by is its choice.
+ * random choices, a fixed priority of rooms with an overprovisioning factor, and an ideal that sees
+ * the true state of every server. All of them exclude a server for a while after three failures in
+ * a row, retry only if that is allowed, and move tunnels off a draining server. They must keep the
+ * rules as far as such a policy can, so that the comparison is of their choices.
  */
 final class BaselinePolicy implements BalancingPolicy {
     private static final int MAX_FAILURES = 3;
     private static final double EXCLUSION_SECONDS = 5, LIST_RETRY_SECONDS = 0.5;
     private static final double MOVE_INTERVAL_SECONDS = 0.1;
 
-    /** The ideal's bound: from here on a server's messages come late. */
+    /** The limit of the ideal: from this load factor on the messages of a server are late. */
     private static final double IDEAL_MAX_LOAD_FACTOR = 0.9;
 
-    /** Priority by health: home gets all as long as this times its healthy part is all of it. */
+    /**
+     * Home servers get all tunnels as long as their healthy share times this factor is at least 1.
+     */
     private static final double OVERPROVISIONING_FACTOR = 1.4;
 
     private final String policy;
@@ -38,10 +40,7 @@
     private final PolicyHost host;
     private final RandomGenerator random;
 
-    /**
-     * What only the ideal looks at: a server's true load over its room, without end where it does
-     * not answer.
-     */
+    /** Only for the ideal: the true load factor of a server; infinite if it does not answer. */
     private final ToDoubleFunction<String> trueLoadFactor;
 
     private final Map<String, ServerEntry> servers = new LinkedHashMap<>();
@@ -111,7 +110,7 @@
 
         @Override
         public void onLoad(double cores) {
-            // None of these policies looks at what a tunnel costs.
+            // No baseline uses the cost of a tunnel.
         }
 
         @Override
@@ -125,7 +124,7 @@
             server = null;
             ownTunnels.merge(endedServer, -1, Integer::sum);
             if (done) {
-                // It may have been withdrawn before it stood anywhere.
+                // It may have been cancelled before it was open anywhere.
                 openTunnels.getOrDefault(endedServer, new ArrayList<>()).remove(this);
                 return;
             }
@@ -191,8 +190,8 @@
     }
 
     /**
-     * Home first, and as its healthy part falls a share of the tunnels goes to the others; within,
-     * the least own.
+     * Home first; as its healthy share falls, a part of the tunnels goes to other rooms. Within a
+     * room the server with the fewest own tunnels.
      */
     private String pickByPriority(List<String> candidates) {
         double homeServerCount = 0;
@@ -239,7 +238,7 @@
 
     @Override
     public void onProbeResult(String server, Outcome outcome, LoadReport report) {
-        // None of these policies asks.
+        // No baseline sends probes.
     }
 
     @Override
@@ -270,7 +269,8 @@
             host.scheduleTimer(MOVE_INTERVAL_SECONDS, 0);
             for (String server : draining) {
                 List<BaselineTunnel> tunnelsHere = openTunnels.getOrDefault(server, List.of());
-                // A twentieth a turn: all of them at once would be a crowd.
+                // Moves a twentieth at a time, since all at once would be a crowd of reconnecting
+                // clients.
                 List<BaselineTunnel> toMove =
                         tunnelsHere.stream()
                                 .filter(tunnel -> !tunnel.moving)
--- a/lab/src/main/java/asterpulley/lab/model/ModulePolicy.java
+++ b/lab/src/main/java/asterpulley/lab/model/ModulePolicy.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * The decision module itself, behind the interface of its front. It must change nothing of what
- * passes.
+ * Adapts the load balancer to the interface of a balancing policy. It must change nothing that
+ * passes through.
  */
 final class ModulePolicy implements BalancingPolicy {
     private final LoadBalancer loadBalancer;
@@ -75,8 +75,8 @@
 
                             @Override
                             public void log(String line) {
-                                // What a run is worth is read off its figures; a thousand relays'
-                                // lines would only fill the memory.
+                                // A run is judged by its figures; the log lines of a thousand
+                                // relays would only fill the memory.
                             }
                         });
     }
--- a/lab/src/main/java/asterpulley/lab/model/PolicyHost.java
+++ b/lab/src/main/java/asterpulley/lab/model/PolicyHost.java
@@ -1,8 +1,8 @@
 package asterpulley.lab.model;
 
 /**
- * What a relay's decisions ask of the relay in virtual time; the same as a front's, by the tunnel's
- * number.
+ * What a balancing policy asks of its simulated relay; the same as the frontend of the load
+ * balancer, by tunnel number.
  */
 interface PolicyHost {
     double now();
@@ -16,7 +16,8 @@
     void move(long id);
 
     /**
-     * True where this tunnel may go to that server now; and whether more is open to it from now on.
+     * Whether this tunnel may use that server now, and whether more servers are open to it from now
+     * on.
      */
     boolean isEligible(long id, int number, String server);
 
--- a/lab/src/main/java/asterpulley/lab/model/VirtualClock.java
+++ b/lab/src/main/java/asterpulley/lab/model/VirtualClock.java
@@ -3,7 +3,7 @@
 import asterpulley.lab.world.Clock;
 import asterpulley.lab.world.EventQueue;
 
-/** Virtual time: it stands still while something runs, and then jumps to what is due next. */
+/** Virtual time: it stands still while a task runs, and then jumps to the time of the next. */
 final class VirtualClock implements Clock {
     private final EventQueue queue = new EventQueue();
     private double now;
@@ -22,7 +22,7 @@
         queue.add(now + Math.max(0, seconds), task);
     }
 
-    /** Runs all that is due up to this time; returns how much that was. */
+    /** Runs all tasks that are due up to this time; returns how many. */
     long runUntil(double end) {
         long count = 0;
         while (queue.nextTime() <= end) {
--- a/lab/src/main/java/asterpulley/lab/model/VirtualRelay.java
+++ b/lab/src/main/java/asterpulley/lab/model/VirtualRelay.java
@@ -18,12 +18,15 @@
 import java.util.Optional;
 
 /**
- * One relay in virtual time: does with a tunnel what the relay on sockets does with it (delays of
- * the way there and back, time-outs, moves, what stands on a silent server, leaving in order), and
- * asks its brain for every decision. It must decide nothing itself.
+ * A relay in virtual time: handles tunnels as the real relay does (network delays, timeouts, moves,
+ * tunnels on a silent server, graceful shutdown), and asks its policy for every decision. It must
+ * decide nothing itself.
  */
 class VirtualRelay implements PolicyHost {
-    /** The module's clock is Unix-like: it takes times at and before 0 for never. */
+    /**
+     * Added to the virtual time, since the load balancer expects Unix-like times: at or before 0
+     * means never.
+     */
     static final double EPOCH_SECONDS = 1e6;
 
     private static final double SWEEP_SECONDS = 0.25,
@@ -36,10 +39,10 @@
             MOVE_SPREAD_SECONDS = 1;
     private static final double MAX_PENDING_WAIT_SECONDS = 3;
 
-    /** A load in cores, as servers tell it, of one mean load. */
+    /** One mean load, in the cores that servers report. */
     private static final double CORES_PER_LOAD = 0.01;
 
-    /** A tunnel as this relay knows it. */
+    /** The state of a tunnel at this relay. */
     private static final class TunnelState {
         private final long id;
         private final ClientRequest request;
@@ -65,8 +68,8 @@
     private final Map<String, Boolean> pendingProbes = new HashMap<>();
 
     /**
-     * Null where the plan tells relays nothing of pools, or a baseline decides: then nothing
-     * narrows the choice.
+     * Null if the plan has no routes or the policy is a baseline: then nothing limits the choice of
+     * servers.
      */
     private PoolRouter poolRouter;
 
@@ -105,7 +108,7 @@
         policy.onServerList(listed, whole);
     }
 
-    /** What its operators say of pools has changed. */
+    /** The routes of the plan have changed. */
     void reload() {
         if (poolRouter != null && !stopped) {
             poolRouter.reload(plan.routingPolicy(simulation.roomOfRelay(number)), now());
@@ -142,7 +145,7 @@
         return stopped;
     }
 
-    /** Whose tunnel that is; null when it is over. */
+    /** The request of this tunnel; null when it is over. */
     ClientRequest requestOf(long id) {
         TunnelState tunnel = tunnels.get(id);
         return tunnel == null ? null : tunnel.request;
@@ -184,7 +187,9 @@
         }
     }
 
-    /** The client ended its tunnel or its waiting; how many of its seconds were served. */
+    /**
+     * The client ended its tunnel or stopped waiting; returns how many of its seconds were served.
+     */
     double clientClosed(ClientRequest request) {
         if (!(request.testbedState instanceof TunnelState tunnel) || stopped) {
             return request.testbedState instanceof TunnelState tunnel ? tunnel.servedSeconds : 0;
@@ -214,7 +219,7 @@
         simulation.setupClosed(tunnel.setup);
     }
 
-    // ---- From the brain
+    // ---- From the policy
 
     @Override
     public double now() {
@@ -488,8 +493,8 @@
     // ---- Time
 
     /**
-     * What stands on a server that says nothing: the module hears of it, and at last the client is
-     * moved.
+     * Finds tunnels on a server that does not respond: the policy is notified, and at last the
+     * client is moved.
      */
     private void sweep() {
         if (stopped) {
@@ -515,8 +520,8 @@
 
     private void handleSilence(TunnelState tunnel) {
         if (Double.isNaN(tunnel.silentSince)) {
-            // Its client says a line every so often: the next one is the first that nothing
-            // answers.
+            // The client sends a message at every interval; the next one is the first without an
+            // answer.
             tunnel.silentSince =
                     clock.now()
                             + plan.messageInterval
@@ -533,7 +538,7 @@
         }
     }
 
-    /** Killed outright: whatever it held is gone with it. */
+    /** The process is killed: all its tunnels are lost. */
     void kill() {
         stop(false);
     }
@@ -557,8 +562,8 @@
     }
 
     /**
-     * Told to end: newcomers are still answered, what is pending is settled, whoever stands is
-     * moved late.
+     * Starts a graceful shutdown: new requests are still answered, pending ones are settled, and
+     * open tunnels are moved late.
      */
     void shutDown() {
         shutdownStartedAt = clock.now();
--- a/lab/src/main/java/asterpulley/lab/model/VirtualTestbed.java
+++ b/lab/src/main/java/asterpulley/lab/model/VirtualTestbed.java
@@ -13,21 +13,21 @@
 import java.util.Map;
 
 /**
- * Carries a world in virtual time, with the decision module itself in every relay or a baseline in
- * its place. One thread, one clock: the same plan and seed give the same run to the last bit. It
- * must never read a real clock.
+ * Runs a simulation in virtual time, with the load balancer or a baseline in every relay. One
+ * thread, one clock: the same plan and seed give the same run to the last bit. It must never read a
+ * real clock.
  */
 public class VirtualTestbed implements Testbed {
-    /** The policy that stands for the module itself. */
+    /** The name of the load balancer among the policies. */
     public static final String MODULE_POLICY = "asterpulley";
 
-    /** The module alone, with the crossing fee and nothing that narrows its choice. */
+    /** The load balancer alone, with the cross-zone fee and no routing policy. */
     public static final String MODULE_WITHOUT_ROUTES = "no-routes";
 
-    /** Relays are there this long before the first client, as on sockets. */
+    /** Relays run this long before the first client, as on sockets. */
     private static final double LEAD_SECONDS = 1;
 
-    /** A relay's process takes so long to start. */
+    /** How long the process of a relay takes to start. */
     private static final double RELAY_START_SECONDS = 0.8;
 
     private final Plan plan;
@@ -47,7 +47,7 @@
         relays = new VirtualRelay[simulation.relayCount()];
     }
 
-    /** Plays the whole plan; the world then has the figures. */
+    /** Runs the whole plan; the simulation then has the figures. */
     public Simulation run() {
         for (int index = 0; index < relays.length; index++) {
             createRelay(index);
@@ -92,7 +92,7 @@
                                 simulation.figures::increment));
     }
 
-    /** A relay; tests put broken ones in its place, to see them caught. */
+    /** Overridden in tests, to check that faulty relays are detected. */
     VirtualRelay newRelay(int index, VirtualClock clock, Map<String, Server> serversByName) {
         return new VirtualRelay(index, clock, simulation, serversByName);
     }
@@ -171,7 +171,7 @@
 
     @Override
     public void setListening(Server server, boolean up) {
-        // Whether it does is asked of the server itself.
+        // Relays ask the server itself whether it listens.
     }
 
     @Override
--- a/lab/src/main/java/asterpulley/lab/plan/Plan.java
+++ b/lab/src/main/java/asterpulley/lab/plan/Plan.java
@@ -9,9 +9,8 @@
 import java.util.Map;
 
 /**
- * What an experiment asks for: a world, its load, a timetable of faults and what is expected of the
- * run. Plain values, read once and never changed; all times are seconds, all loads are mean loads
- * of a tunnel.
+ * The plan of an experiment: servers, load, faults and the expectations of the run. Read once;
+ * times are in seconds, loads in mean loads of a tunnel.
  */
 public final class Plan {
     public static final class ProfilePlan {
@@ -33,7 +32,7 @@
         public double share = 1;
     }
 
-    /** A kind of server; {@code count} of them stand in every room named. */
+    /** A model of server; {@code count} of them run in each of its rooms. */
     public static final class ServerPlan {
         public String model = "feed";
         public int count = 3;
@@ -63,7 +62,7 @@
         public String room;
     }
 
-    /** A figure, how it is compared, and with what. */
+    /** A bound that a figure must meet. */
     public record Expectation(String figure, String operator, double bound) {
         public boolean holds(double value) {
             return switch (operator) {
@@ -89,7 +88,7 @@
 
     public List<String> rooms = new ArrayList<>();
 
-    /** The part of the clients whose home each room is. */
+    /** The weight of each room as the home of clients. */
     public List<Double> roomShares = new ArrayList<>();
 
     public double localDelay = 0.0005, crossRoomDelay = 0.01;
@@ -109,26 +108,23 @@
     public double sessionStoreRate;
 
     /**
-     * What relays are told of pools; null: nothing narrows their choice. A fault may bring another.
+     * The routing settings of the relays; null if there are none. A reload fault may replace them.
      */
     public Map<String, Object> routes;
 
-    /** What a relay of this world is told, as the module reads it. */
+    /** The settings of a relay in this room, as the load balancer reads them. */
     public Settings settings(int room) {
         return SettingsDecoder.decode(RelaySettings.settingsFor(this, room));
     }
 
-    /** The same of pools; null where it is told nothing of them. */
+    /** The routing policy of a relay in this room; null if the plan has no routes. */
     public RoutingPolicy routingPolicy(int room) {
         return routes == null
                 ? null
                 : RoutingPolicyDecoder.decode(routes, room, RelaySettings.settingsFor(this, room));
     }
 
-    /**
-     * Everything in half the time: the load lasts half as long, and what goes wrong does so twice
-     * as soon.
-     */
+    /** Halves the duration and all times of faults, for a quick run. */
     public void halveTimes() {
         duration /= 2;
         for (Fault fault : faults) {
--- a/lab/src/main/java/asterpulley/lab/plan/PlanReader.java
+++ b/lab/src/main/java/asterpulley/lab/plan/PlanReader.java
@@ -12,9 +12,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads an experiment's file into a plan. Every fault of the file is told by the sheet that it
- * comes from; what the sheet can't see (a room that nobody named, a fault without a target, a
- * figure that no run gives) is told here.
+ * Reads the file of an experiment into a plan. Syntax and ranges are checked by the TOML document;
+ * this class reports what needs the whole plan (an unknown room, a fault without a target, a figure
+ * that no run gives).
  */
 public final class PlanReader {
     public static final String[] FAULT_KINDS = {
@@ -49,7 +49,7 @@
 
     private PlanReader() {}
 
-    /** Reads the whole of it; ask the sheet for its problems before the plan is used. */
+    /** Reads the whole file; check the problems of the document before using the plan. */
     public static Plan read(TomlDocument document, String name) {
         TomlSection root = document.root();
         Plan plan = new Plan();
@@ -113,8 +113,8 @@
     }
 
     /**
-     * One line of what is expected; null, and told, where it is none or names a figure that no run
-     * gives.
+     * Parses one expectation; returns null and reports a problem if it is malformed or names a
+     * figure that no run gives.
      */
     public static Plan.Expectation parseExpectation(
             TomlSection root, String text, Predicate<String> known) {
@@ -295,12 +295,12 @@
         return fault;
     }
 
-    /** A star stands for anything. */
+    /** Whether a name matches; {@code *} in the pattern matches anything. */
     public static boolean matchesPattern(String pattern, String name) {
         return name.matches(Pattern.quote(pattern).replace("*", "\\E.*\\Q"));
     }
 
-    /** The servers' names, room by room within a kind. */
+    /** The names of all servers, room by room within a model. */
     public static List<String> serverNames(Plan plan) {
         List<String> names = new ArrayList<>();
         for (Plan.ServerPlan serverPlan : plan.servers) {
--- a/lab/src/main/java/asterpulley/lab/plan/RelaySettings.java
+++ b/lab/src/main/java/asterpulley/lab/plan/RelaySettings.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * What relays of a plan are told, under the platform's names, on every carrier. It must say nothing
- * that the plan does not say.
+ * Builds the settings document of the relays of a plan, in the outer names of the settings, for
+ * every testbed. It must add nothing that the plan does not say.
  */
 public final class RelaySettings {
     private RelaySettings() {}
 
-    /** The settings, as every relay of a plan in this room is told them. */
+    /** The settings of every relay in this room. */
     public static Map<String, Object> settingsFor(Plan plan, int room) {
         List<Object> profiles = new ArrayList<>();
         for (Plan.ProfilePlan profile : plan.profiles) {
--- a/lab/src/main/java/asterpulley/lab/report/Reports.java
+++ b/lab/src/main/java/asterpulley/lab/report/Reports.java
@@ -15,9 +15,9 @@
 import java.util.Map;
 
 /**
- * Writes outcomes into files: JSON for scripts, and a page that draws what happened over time and
- * needs no network. The JSON of a run in virtual time holds nothing that differs between two runs
- * of one seed.
+ * Writes results into files: JSON for scripts, and a self-contained HTML page with plots that needs
+ * no network. The JSON of a run in virtual time holds nothing that differs between two runs of one
+ * seed.
  */
 public final class Reports {
     private static final ObjectMapper JSON_MAPPER =
@@ -109,7 +109,7 @@
         Files.writeString(file, page.toString());
     }
 
-    /** A page up to its first play. */
+    /** The page up to its first run. */
     public static String pageHead(String title, String name, long seed) throws IOException {
         return "<!doctype html><meta charset=\"utf-8\"><title>"
                 + escapeHtml(title)
@@ -126,7 +126,7 @@
                 + "</p>";
     }
 
-    /** An expectation's row. */
+    /** The table row of an expectation. */
     public static String expectationRow(Plan.Expectation expectation, double value, boolean holds) {
         return "<tr"
                 + (holds ? "" : " class=short")
@@ -142,7 +142,7 @@
                 + (holds ? "holds" : "short");
     }
 
-    /** What happened by the second, drawn from a file's JSON. */
+    /** The plots by second, drawn from the JSON of a report. */
     public static String plotsHtml(String json) throws IOException {
         return "<h2>By the second</h2><div id=plots></div><script>"
                 + resource("uPlot.iife.min.js")
--- a/lab/src/main/java/asterpulley/lab/report/RunResult.java
+++ b/lab/src/main/java/asterpulley/lab/report/RunResult.java
@@ -7,8 +7,7 @@
 import java.util.TreeMap;
 
 /**
- * What one play of a plan gave: its figures, what happened by the second, and which expectations
- * held.
+ * The result of one run of a plan: its figures, the rows by second, and which expectations hold.
  */
 public final class RunResult {
     public final String testbed, policy;
@@ -16,7 +15,7 @@
     public final List<double[]> secondRows;
     public final List<String> notes;
 
-    /** Why there is no verdict; null where there is one. */
+    /** Why there is no verdict; null if there is one. */
     public final String noVerdictReason;
 
     public RunResult(String carrier, String policy, Simulation simulation, String noVerdict) {
@@ -36,7 +35,7 @@
         return expectation.holds(figure(expectation.figure()));
     }
 
-    /** Every expectation holds, and the run is worth a verdict. */
+    /** Every expectation holds, and the run is valid. */
     public boolean meetsExpectations(Plan plan) {
         return noVerdictReason == null && plan.expectations.stream().allMatch(this::holds);
     }
--- a/lab/src/main/java/asterpulley/lab/report/Tables.java
+++ b/lab/src/main/java/asterpulley/lab/report/Tables.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Prints outcomes for a terminal. It must print nothing that the outcomes don't hold. */
+/** Prints results for a terminal. It must print nothing that the results do not hold. */
 public final class Tables {
     private static final List<String> COMPARED_FIGURES =
             List.of(
@@ -19,7 +19,7 @@
                     "servers.worst_factor",
                     "rules.broken");
 
-    /** Where rooms are more than one. */
+    /** Also printed if tunnels spilled between rooms. */
     private static final List<String> COMPARED_ROOM_FIGURES =
             List.of(
                     "credit.net",
@@ -39,7 +39,7 @@
                 : String.format(Locale.ROOT, "%.3f", value);
     }
 
-    /** The expectations of one play, each with its figure. */
+    /** Prints the expectations of one run, each with its figure. */
     public static void printExpectations(Plan plan, RunResult result, PrintStream out) {
         out.printf(Locale.ROOT, "%n%s on %s, seed %d%n", result.policy, result.testbed, plan.seed);
         for (Plan.Expectation expectation : plan.expectations) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Several plays beside each other. */
+    /** Prints several runs beside each other. */
     public static void printSideBySide(List<RunResult> results, PrintStream out) {
         out.printf("%n%-22s", "");
         results.forEach(
--- a/lab/src/main/java/asterpulley/lab/world/Client.java
+++ b/lab/src/main/java/asterpulley/lab/world/Client.java
@@ -2,12 +2,9 @@
 
 import java.util.random.RandomGenerator;
 
-/**
- * A client: what it was born with, which never depends on how it is served, and how far it has
- * come.
- */
+/** A client: its specification, which never depends on how it is served, and its progress. */
 public final class Client {
-    /** Drawn before the run, so that every carrier and every baseline plays the same load. */
+    /** Drawn before the run, so that every testbed and every baseline runs the same load. */
     public record Spec(
             double arrivesAt,
             int profileIndex,
@@ -27,7 +24,7 @@
     boolean reconnecting, departed;
     double servedSeconds;
 
-    /** Since when it has been without a tunnel; NaN while it stands or is over. */
+    /** Since when it has had no tunnel; NaN while a tunnel is open. */
     double disconnectedSince;
 
     Client(int number, Spec spec, RandomGenerator random) {
--- a/lab/src/main/java/asterpulley/lab/world/ClientRequest.java
+++ b/lab/src/main/java/asterpulley/lab/world/ClientRequest.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * One opening of a client at one relay, and what became of it: plain facts, which the world writes
- * and nobody judges here.
+ * One request of a client at one relay, and its outcome. The simulation writes these facts; the
+ * rule checker judges them.
  */
 public final class ClientRequest {
     public enum Answer {
@@ -19,7 +19,7 @@
     public final Client client;
     public final int number, relay, relayIncarnation;
 
-    /** When the client meant to say it, and when it did. */
+    /** When the client meant to send it, and when it did. */
     public final double intendedAt, sentAt;
 
     public final double clientTimeout;
@@ -27,13 +27,13 @@
     public Answer answer = Answer.NONE;
     public double answeredAt = Double.NaN;
 
-    /** It stood and has ended, or never will. */
+    /** The tunnel has ended, or will never open. */
     public boolean finished;
 
-    /** The setups of it that came to servers, in their order. */
+    /** The setups for it that reached servers, in order. */
     public final List<Setup> setups = new ArrayList<>(1);
 
-    /** The carrier's own record of it. */
+    /** The testbed's own record of this request. */
     public Object testbedState;
 
     ClientRequest(
@@ -57,7 +57,7 @@
         this.retry = retry;
     }
 
-    /** New with every opening, as ids of the line protocol are. */
+    /** Unique for each request, like the ids of the line protocol. */
     public String id() {
         return Long.toHexString(0x100000000L + client.number * 0x1000L + number);
     }
--- a/lab/src/main/java/asterpulley/lab/world/Clock.java
+++ b/lab/src/main/java/asterpulley/lab/world/Clock.java
@@ -1,14 +1,14 @@
 package asterpulley.lab.world;
 
 /**
- * The time of a world, virtual or real, in seconds, and what is to happen later on it. One thread
+ * The time of a simulation, virtual or real, in seconds, and tasks scheduled on it. One thread
  * only.
  */
 public interface Clock {
     double now();
 
     /**
-     * Runs this after so many seconds, in the order of the times and, at one time, of the calls.
+     * Runs a task after a delay, ordered by time and, at equal times, by the order of the calls.
      */
     void schedule(double seconds, Runnable task);
 }
--- a/lab/src/main/java/asterpulley/lab/world/EventQueue.java
+++ b/lab/src/main/java/asterpulley/lab/world/EventQueue.java
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue;
 
 /**
- * What is due on any clock, in the order of its times and, at one time, of its calls. It must never
- * skip or reorder.
+ * Scheduled tasks, ordered by time and, at equal times, by the order of the calls. None is skipped
+ * or reordered.
  */
 public final class EventQueue {
     private record Event(double at, long order, Runnable task) implements Comparable<Event> {
@@ -21,12 +21,12 @@
         events.add(new Event(at, nextOrder++, task));
     }
 
-    /** When the next is due; without end where nothing is. */
+    /** The time of the next task; infinite if there is none. */
     public double nextTime() {
         return events.isEmpty() ? Double.POSITIVE_INFINITY : events.peek().at;
     }
 
-    /** Takes the next off. */
+    /** Removes and returns the next task. */
     public Runnable poll() {
         return events.poll().task;
     }
--- a/lab/src/main/java/asterpulley/lab/world/FaultInjector.java
+++ b/lab/src/main/java/asterpulley/lab/world/FaultInjector.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 
 /**
- * Owns the faults of an experiment: what goes wrong when, with whom, and how it ends. It must never
- * look at how the run goes.
+ * Injects the faults of an experiment at their times, and ends them. It must not depend on how the
+ * run goes.
  */
 final class FaultInjector {
     private final Simulation simulation;
@@ -33,7 +33,10 @@
         }
     }
 
-    /** Those named, or of the room, or a part of all; drawn by the seed, never by the run. */
+    /**
+     * The servers named, or of the room, or a share of all; drawn from the seed, never from the
+     * state of the run.
+     */
     private List<Server> selectServers(Plan.Fault fault, Random random) {
         List<Server> selected = new ArrayList<>();
         for (Server server : simulation.servers) {
@@ -194,7 +197,7 @@
                                     });
             case "reconnect" -> simulation.disconnectShare(fault.share, fault.withinSeconds);
             default -> {
-                // A crowd is part of the load.
+                // A crowd is part of the generated load.
             }
         }
     }
@@ -219,7 +222,10 @@
                 });
     }
 
-    /** Says nothing, then is back empty and cold; the list learns of the end and of the start. */
+    /**
+     * The server stops responding and is restarted empty and cold; the list learns of the end and
+     * of the start.
+     */
     private void vanish(Server server, double duration) {
         server.advanceTo(testbed.now());
         server.silent = server.vanished = true;
@@ -227,7 +233,7 @@
         testbed.schedule(duration, () -> simulation.stopServer(server, 0, false));
     }
 
-    /** A planned restart: it wants nothing new, finishes for a time, ends, and is back cold. */
+    /** A planned restart: the server drains for a time, stops, and is restarted cold. */
     private void drain(Server server, Plan.Fault fault) {
         simulation.startDraining(server);
         testbed.schedule(
--- a/lab/src/main/java/asterpulley/lab/world/Figures.java
+++ b/lab/src/main/java/asterpulley/lab/world/Figures.java
@@ -8,16 +8,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Owns the figures of a run: counts, times and what happened second by second. Times are kept from
- * when a client meant to start, so that a relay that makes clients late is not spared for it. It
- * must never judge.
+ * Collects the figures of a run: counters, times and one row a second. Times run from when a client
+ * meant to start, so that a relay that delays clients is not spared for it. It must not judge them.
  */
 public final class Figures {
     private static final double[] PERCENTILES = {50, 90, 99};
     private static final String[] TIMES = {"setup", "answer", "gap"};
     private static final long MAX_TIME_MICROS = 600_000_000L;
 
-    /** Counts that every run gives, also where nothing was counted. */
+    /** Counters that every run reports, even if they are 0. */
     public static final List<String> COUNTS =
             List.of(
                     "clients.count",
@@ -57,7 +56,7 @@
                     "spill.over_s",
                     "spill.home_s");
 
-    /** One row a second. */
+    /** The columns of the row that is written each second. */
     public static final List<String> SERIES =
             List.of(
                     "standing",
@@ -85,7 +84,7 @@
         }
     }
 
-    /** True where some run of this plan can give that figure. */
+    /** Whether a run of this plan can give this figure. */
     public static boolean isKnown(String figure, Plan plan) {
         if (COUNTS.contains(figure) || OTHER_FIGURES.contains(figure)) {
             return true;
@@ -138,7 +137,7 @@
         return rows;
     }
 
-    /** All figures by name, in the order of the names. */
+    /** All figures, sorted by name. */
     public Map<String, Double> byName() {
         Map<String, Double> all = new TreeMap<>(values);
         counts.forEach((k, v) -> all.put(k, (double) v));
--- a/lab/src/main/java/asterpulley/lab/world/LoadGenerator.java
+++ b/lab/src/main/java/asterpulley/lab/world/LoadGenerator.java
@@ -9,14 +9,14 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Owns the load of an experiment: every client of it, drawn from the seed alone. It must never ask
- * how the run goes.
+ * Generates all clients of an experiment from the seed alone; it must not depend on how the run
+ * goes.
  */
 public final class LoadGenerator {
     private static final RandomGeneratorFactory<RandomGenerator> RANDOM_FACTORY =
             RandomGeneratorFactory.of("L64X128MixRandom");
 
-    /** A swing's period. */
+    /** The period of the sinusoidal arrival rate. */
     private static final double SWING_PERIOD_SECONDS = 30;
 
     private LoadGenerator() {}
@@ -25,12 +25,13 @@
         return RANDOM_FACTORY.create(seed);
     }
 
-    /** All clients of a plan, by the time at which they come. */
+    /** All clients of a plan, sorted by arrival. */
     static List<Client.Spec> generateClients(Plan plan) {
         RandomGenerator random = newRandom(plan.seed);
         List<Client.Spec> specs = new ArrayList<>();
         for (int i = 0; i < plan.initialClients; i++) {
-            // They come over the first two seconds, as a crowd whose lives are partly over.
+            // They arrive over the first two seconds; their lifetimes are what remains of longer
+            // ones.
             specs.add(generateClient(plan, random, 2 * random.nextDouble(), -1));
         }
         double peakRate = plan.arrivalsPerSecond * (1 + plan.arrivalSwing);
@@ -79,7 +80,8 @@
         int homeRoom = customerRoom == null ? randomRoom : plan.rooms.indexOf(customerRoom);
         Plan.ProfilePlan profile = plan.profiles.get(profileIndex);
         double lifetime = Math.max(0.5, -Math.log(1 - random.nextDouble()) * profile.lifetime);
-        // Loads spread about their mean as sums of two draws do: few are idle, few cost twice.
+        // A sum of two uniform draws spreads the loads about their mean: few are idle, few cost
+        // twice the mean.
         double load = profile.load * (random.nextDouble() + random.nextDouble());
         return new Client.Spec(
                 arrivesAt,
--- a/lab/src/main/java/asterpulley/lab/world/RuleChecker.java
+++ b/lab/src/main/java/asterpulley/lab/world/RuleChecker.java
@@ -8,13 +8,14 @@
 import java.util.Map;
 
 /**
- * Owns the rules: whether each was kept, by what clients and servers saw, never by what a relay
- * says of itself. It must never change what happens.
+ * Checks whether the rules were kept, by what clients and servers saw, never by what a relay
+ * reports about itself. It must not influence the run.
  */
 public final class RuleChecker {
     /**
-     * One final answer in time; no effect twice; drains kept; no cold server pushed over; moved
-     * before cut off.
+     * ANSWER: one final answer in time. EFFECT: no effect twice. DRAIN: no setups to a draining
+     * server. COLD: no cold server is pushed into collapse. MOVE: clients are moved before they are
+     * cut off.
      */
     public enum Rule {
         ANSWER,
@@ -24,7 +25,7 @@
         MOVE
     }
 
-    /** What a client's own connection and timers may take, beyond what is told to it. */
+    /** What a client's own connection and timers may take, beyond the timeout that it was given. */
     static final double SLACK_SECONDS = 0.05;
 
     private static final int MAX_NOTES = 20;
@@ -34,11 +35,11 @@
     private final List<String> notes = new ArrayList<>();
 
     /**
-     * When a relay was told that a server drains or is gone, by relay and server; 0: it was not.
+     * When a relay learned that a server drains or is gone, by relay and server; 0 if it has not.
      */
     private final double[][] drainKnownAt;
 
-    /** How far the carrier's own clients may be behind. */
+    /** By how many seconds the testbed's own clients may be late. */
     double clockTolerance;
 
     RuleChecker(Plan plan) {
@@ -54,7 +55,7 @@
         return violations.values().stream().mapToInt(i -> i).sum();
     }
 
-    /** The first few, in words. */
+    /** Descriptions of the first violations. */
     public List<String> notes() {
         return notes;
     }
@@ -69,7 +70,8 @@
     }
 
     /**
-     * A relay has heard of a server's state; the earliest time that it heard of this drain counts.
+     * A relay has received the state of a server; the earliest time at which it learned of this
+     * drain counts.
      */
     void recordListedState(int relay, Server server, boolean running, double at) {
         double[] drainKnownAtByServer = drainKnownAt[relay];
@@ -85,7 +87,10 @@
         java.util.Arrays.fill(drainKnownAt[relay], 0);
     }
 
-    /** A setup came to a server, which has it beside those before it. */
+    /**
+     * Checks a setup that reached a server against the earlier setups of its request and against
+     * drains.
+     */
     void checkSetup(Setup setup, double sentAt, double listUpSince, double now) {
         ClientRequest request = setup.request;
         Plan.ProfilePlan profile = plan.profiles.get(request.client.spec.profileIndex());
@@ -106,7 +111,8 @@
         Server server = setup.server;
         double knownAt = drainKnownAt[request.relay][server.index];
         if (server.draining && !Double.isNaN(server.drainingSince)) {
-            // Who asks in time is told by then, unless there was nobody to ask.
+            // A relay that polls as often as it must knows by then, unless the list service was
+            // down.
             double assumedKnownAt =
                     Math.max(server.drainingSince, listUpSince) + plan.assumedListDelay;
             knownAt = knownAt > 0 ? Math.min(knownAt, assumedKnownAt) : assumedKnownAt;
@@ -122,8 +128,8 @@
     }
 
     /**
-     * Asked a little after a setup came, since news that an earlier one was given up may take
-     * longer than the setup.
+     * Called a little after the later setup arrived, since the cancellation of the earlier one may
+     * take longer to arrive than the new setup.
      */
     void checkConcurrentSetups(Setup before, Setup after, double now) {
         if (before.state != Setup.State.CLOSED) {
@@ -151,7 +157,7 @@
         };
     }
 
-    /** A client has an answer, or what ends its waiting; {@code excused} where its relay died. */
+    /** Checks an answer, or the end of the connection; {@code excused} if its relay has stopped. */
     void checkAnswer(
             ClientRequest request, ClientRequest.Answer answer, double now, boolean excused) {
         if (request.answer != ClientRequest.Answer.NONE) {
@@ -201,7 +207,7 @@
         }
     }
 
-    /** A client's time is up and it has heard nothing. */
+    /** The client timeout has passed without an answer. */
     void recordMissingAnswer(ClientRequest request, double now, boolean excused) {
         if (!excused) {
             recordViolation(
--- a/lab/src/main/java/asterpulley/lab/world/Server.java
+++ b/lab/src/main/java/asterpulley/lab/world/Server.java
@@ -7,20 +7,20 @@
 import java.util.Set;
 
 /**
- * Owns what a server can do: the load that it holds, how warm it is, how long its messages and
- * setups take, when it refuses and when it falls over. Its faults are flags that the timetable
- * sets. It must never know who asks: whether a setup was lawful is the judge's to say.
+ * Models a server: its load, its warm-up, how long messages and setups take, when it refuses setups
+ * and when it collapses. Its faults are flags that the fault injector sets. It must not know which
+ * relay or client sends a setup; whether a setup was allowed is for the rule checker.
  */
 public final class Server {
     /**
-     * From this part of its room on, messages wait for each other; at all of it they wait for this
-     * long.
+     * From this load factor on messages queue; at a load factor of 1 they take FULL_MESSAGE_SECONDS
+     * longer.
      */
     private static final double QUEUEING_FACTOR = 0.9, FULL_MESSAGE_SECONDS = 0.5;
 
     private static final double IDLE_MESSAGE_SECONDS = 0.005;
 
-    /** A setup takes longer the fuller its server, by this much at most. */
+    /** A setup takes longer the fuller its server, by this factor at most. */
     private static final double MAX_SETUP_SLOWDOWN = 8;
 
     public final int index, room, modelIndex;
@@ -29,13 +29,13 @@
     private final double messageGoal, groupCost, collapseMultiple, collapseTime;
     double startedAt = Double.NEGATIVE_INFINITY;
 
-    /** A timetable's doing. */
+    /** Faults, set by the fault injector. */
     boolean down, silent, vanished, noAnswer, refusing, resetting, draining;
 
     double slowdown = 1, errorShare;
     double drainingSince = Double.NaN;
 
-    /** Of its load, what clients of other rooms brought. */
+    /** The part of the load that clients of other rooms cause. */
     double spilledLoad;
 
     private double load, advancedAt, responsiveTotal, overloadedSince = Double.NaN;
@@ -61,7 +61,9 @@
         this.collapseTime = plan.collapseTime;
     }
 
-    /** From what a cold one can do to all of it. */
+    /**
+     * The fraction of the full capacity that the server has now: from the cold fraction up to 1.
+     */
     public double warmUpFraction(double now) {
         double age = now - startedAt;
         return age >= plan.warmUpTime
@@ -74,22 +76,22 @@
         return now - startedAt < plan.warmUpTime;
     }
 
-    /** Nothing of it is reachable: its machine has vanished. */
+    /** The machine has vanished: packets to it are lost. */
     public boolean hasVanished() {
         return vanished;
     }
 
-    /** Its process is not there: connections are refused. */
+    /** The process is not running: connections are refused. */
     public boolean isDown() {
         return down;
     }
 
-    /** A setup here would not be served, as one who sees everything knows. */
+    /** True if a setup here would not be served. Only the ideal baseline sees this. */
     public boolean isImpaired() {
         return down || silent || noAnswer || refusing || resetting || draining || errorShare > 0;
     }
 
-    /** Its load over what it can do now. */
+    /** The load over the capacity that it has now. */
     public double loadFactor(double now) {
         return load / (plan.capacity * warmUpFraction(now));
     }
@@ -102,7 +104,7 @@
         return activeSetups.size();
     }
 
-    /** How long a message takes here, in seconds; without end where it says nothing. */
+    /** How long a message takes here, in seconds; infinite if the server does not respond. */
     public double messageDelay(double now) {
         double loadFactor = loadFactor(now);
         return silent || down
@@ -114,7 +116,7 @@
                                         * FULL_MESSAGE_SECONDS);
     }
 
-    /** How long the work of a setup takes here, without what it waits for behind it. */
+    /** How long a setup takes here, without waiting for the session store. */
     double setupDuration(double now) {
         double loadFactor = Math.min(1, loadFactor(now));
         return plan.setupTime
@@ -123,20 +125,23 @@
     }
 
     /**
-     * A cold one does not know its own limit: it takes what it could hold when warm, and falls
-     * over.
+     * A cold server does not know its reduced capacity: it accepts what it could hold when warm,
+     * and collapses.
      */
     boolean refusesSetups(double now) {
         return refusing || draining || load / plan.capacity >= plan.refuseAtFactor;
     }
 
-    /** Seconds, up to now, in which a message would have come back in time. */
+    /** Seconds, up to now, in which a message would have been answered in time. */
     double responsiveSeconds(double now) {
         advanceTo(now);
         return responsiveTotal;
     }
 
-    /** Brings the sum of its sound seconds up to now; called before anything about it changes. */
+    /**
+     * Updates the responsive seconds up to now; must be called before anything that changes the
+     * load or a fault.
+     */
     void advanceTo(double now) {
         if (now > advancedAt) {
             if (messageDelay(now) <= messageGoal) {
@@ -181,7 +186,7 @@
         }
     }
 
-    /** True when it is pushed over: cold, and offered too much for too long. */
+    /** True when the server collapses: it is cold and has been overloaded for too long. */
     boolean checkCollapse(double now) {
         advanceTo(now);
         if (down || !isCold(now) || loadFactor(now) <= collapseMultiple) {
@@ -194,7 +199,7 @@
         return now - overloadedSince >= collapseTime - 1e-9;
     }
 
-    /** Comes up empty and cold. */
+    /** Restarts empty and cold. */
     void restart(double now) {
         advanceTo(now);
         down = silent = vanished = draining = false;
--- a/lab/src/main/java/asterpulley/lab/world/ServerRegistry.java
+++ b/lab/src/main/java/asterpulley/lab/world/ServerRegistry.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * Owns the list of servers as its service has it: versions, and every entry with the version that
- * it comes from. What happens to servers reaches it late, and the world says when. It must never
- * know the truth before it is told.
+ * The server list as its service has it: versions, and each entry with the version that last
+ * changed it. Changes reach it with a delay that the simulation sets; it must not know them
+ * earlier.
  */
 public final class ServerRegistry {
-    /** An entry as it is listed; {@code version} is the one that last changed it. */
+    /** A listed entry; {@code version} is the one that last changed it. */
     public record Entry(Server server, ServerEntry.State state, double startedAt, long version) {
         public ServerEntry toServerEntry() {
             return new ServerEntry(
@@ -22,7 +22,7 @@
     private long version = 1;
     boolean down;
 
-    /** Since when it answers without a break. */
+    /** Since when the list service has answered without a break. */
     double upSince = Double.NEGATIVE_INFINITY;
 
     double extraDelay;
@@ -45,12 +45,12 @@
         entries.set(server.index, new Entry(server, state, server.startedAt, ++version));
     }
 
-    /** Every entry that stands. */
+    /** All entries but those of servers that are gone. */
     public List<Entry> currentEntries() {
         return entries.stream().filter(entry -> entry.state != ServerEntry.State.GONE).toList();
     }
 
-    /** What changed after that version. */
+    /** The entries that changed after that version. */
     public List<Entry> changesSince(long knownVersion) {
         if (version == knownVersion) {
             return List.of();
--- a/lab/src/main/java/asterpulley/lab/world/Setup.java
+++ b/lab/src/main/java/asterpulley/lab/world/Setup.java
@@ -1,6 +1,6 @@
 package asterpulley.lab.world;
 
-/** One setup that came to a server: where it stands there, and how the server answers it. */
+/** One setup that reached a server: its state there, and how the server answers it. */
 public final class Setup {
     public enum State {
         UNDELIVERED,
@@ -9,7 +9,7 @@
         CLOSED
     }
 
-    /** How a server's answer goes back; after {@link #broke} nothing more is said. */
+    /** Carries the answer of a server back; after {@link #connectionLost} nothing more is sent. */
     public interface Reply {
         void opened(double load);
 
@@ -17,7 +17,7 @@
 
         void error();
 
-        /** The connection ends, in the middle of whatever it was. */
+        /** The connection ends, whatever state the setup is in. */
         void connectionLost();
     }
 
@@ -27,10 +27,10 @@
     final Reply reply;
     public State state = State.UNDELIVERED;
 
-    /** What is true of its effect, whatever anybody knows. */
+    /** Whether it really ran, regardless of what the relay or client knows. */
     boolean ran;
 
-    /** Proved not to have run: turned away, or never read. */
+    /** Proven not to have run: it was refused, or never read. */
     boolean provenNotRun;
 
     boolean brokenByServer;
--- a/lab/src/main/java/asterpulley/lab/world/Simulation.java
+++ b/lab/src/main/java/asterpulley/lab/world/Simulation.java
@@ -11,37 +11,41 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The served world: servers, store, rooms, list and clients, and what happens between them by rules
- * that hold on any carrier. Clients and servers act here; the carrier brings their words to relays
- * and back. It must never look into a relay, and never do input or output.
+ * Simulates servers, session store, rooms (zones), server list and clients, and what happens
+ * between them, by rules that are the same on every testbed. Clients and servers act here; the
+ * testbed carries their messages to the relays and back. It must never look into a relay, and never
+ * do input or output.
  */
 public final class Simulation {
     private static final double TICK_SECONDS = 0.1;
 
-    /** Tries are looked at by profile in windows of so long, where so many were answered. */
+    /**
+     * The share of opened requests is measured by profile in windows of this length, if the window
+     * has enough answers.
+     */
     private static final double ANSWER_WINDOW_SECONDS = 5;
 
     private static final int MIN_ANSWERS_PER_WINDOW = 10;
 
-    /** Faults after which clients have a way home. */
+    /** Faults after which spilled clients fail back to their own room. */
     private static final List<String> FAILBACK_FAULTS =
             List.of("room-dark", "room-cut", "relay-cut", "silent", "vanish");
 
-    /** A process that fell over or crashed is up again after this, where nobody says otherwise. */
+    /** A server that collapsed is up again after this time, where the plan gives none. */
     private static final double RESTART_SECONDS = 3;
 
-    /** How soon a client comes again that was moved, or cut off. */
+    /** Upper bounds of the time after which a client reconnects. */
     private static final double RECONNECT_AFTER_MOVE_SECONDS = 0.2,
             RECONNECT_AFTER_CUT_SECONDS = 0.8,
             RECONNECT_AFTER_REFUSAL_SECONDS = 0.25;
 
     /**
-     * A crowd loses its connections over this time: all in one instant would only hold up the run
-     * itself.
+     * Connections of a disconnected crowd break over this time; breaking all at one instant would
+     * only delay the run itself.
      */
     private static final double DISCONNECT_SPREAD_SECONDS = 0.3;
 
-    /** A client's own pause before a further try, doubled each time up to a limit. */
+    /** A client's pause before a retry, doubled each time up to a limit. */
     private static final double RETRY_PAUSE_SECONDS = 0.2, MAX_RETRY_PAUSE_SECONDS = 3;
 
     public final Plan plan;
@@ -56,23 +60,23 @@
     private final int relayCount;
 
     /**
-     * How often each relay has died, and whether it serves; what the front knows of that comes
-     * later.
+     * How often each relay has stopped. Whether it serves is in {@code relayUp}; the frontend
+     * learns of that later.
      */
     private final int[] relayIncarnation;
 
-    /** The life that each ended as it was told to; -1: none. */
+    /** The incarnation that ended by a graceful shutdown; -1 if none. */
     private final int[] gracefulExitIncarnation;
 
     private final Runnable[] onRelayStopped;
     private final boolean[] relayUp, relayShuttingDown, frontendKnows;
 
-    /** Rooms that are cut off, and for how many seconds each was, for what crosses its border. */
+    /** Rooms that are cut off from all others, and for how many seconds in total. */
     private final boolean[] roomCutOff;
 
     private final double[] roomCutOffSeconds, roomCutOffSince;
 
-    /** Rooms that single relays are cut off from, kept as those are. */
+    /** The same for single relays that are cut off from a room. */
     private final boolean[][] relayCutOff;
 
     private final double[][] relayCutOffSeconds, relayCutOffSince;
@@ -80,7 +84,7 @@
     private final List<Setup> undeliveredSetups = new ArrayList<>();
     private double wantedCredit, servedCredit;
 
-    /** Of a tunnel's second, over the profiles. */
+    /** The mean credit of one tunnel second over all profiles. */
     private final double meanCredit;
 
     private final double[] wantedCreditByProfile,
@@ -98,8 +102,8 @@
             currentSpilledLoad;
 
     /**
-     * By profile: tries that were opened, and all that were answered, in the window that runs; the
-     * worst so far.
+     * By profile: opened and answered requests of the current window, and the worst share of any
+     * window.
      */
     private final int[] openedInWindow, answeredInWindow;
 
@@ -162,12 +166,12 @@
         }
     }
 
-    /** What carries it; to be told before anything else. */
+    /** Must be called before any other method. */
     public void setTestbed(Testbed testbed) {
         this.testbed = testbed;
     }
 
-    /** Everything begins: call at time 0, when all relays are ready. */
+    /** Starts the run: called at time 0, when all relays are ready. */
     public void start() {
         Testbed testbed = this.testbed;
         for (int r = 0; r < relayCount; r++) {
@@ -187,7 +191,10 @@
         testbed.schedule(ANSWER_WINDOW_SECONDS, this::closeAnswerWindow);
     }
 
-    /** How far the carrier's own clients may be behind, by which the judge is the milder. */
+    /**
+     * Sets by how much the testbed's own clients may be late; the rule checker allows that much
+     * more.
+     */
     public void setClockTolerance(double seconds) {
         ruleChecker.clockTolerance = seconds;
     }
@@ -206,17 +213,17 @@
         return testbed.now();
     }
 
-    /** One way, between a relay and a server, or a client and a relay. */
+    /** The one-way delay between a relay and a server, or a client and a relay. */
     public double delay(int fromRoom, int toRoom) {
         return fromRoom == toRoom ? plan.localDelay : plan.crossRoomDelay;
     }
 
-    /** Nothing passes between a room that is cut off and the others. */
+    /** False between a room that is cut off and any other room. */
     public boolean areConnected(int fromRoom, int toRoom) {
         return fromRoom == toRoom || !roomCutOff[fromRoom] && !roomCutOff[toRoom];
     }
 
-    /** The same for a relay, which may be cut off from a room by itself. */
+    /** Whether a relay reaches a room; a single relay may be cut off from it too. */
     public boolean canReach(int relay, int room) {
         return areConnected(roomOfRelay(relay), room) && !relayCutOff[relay][room];
     }
@@ -262,7 +269,7 @@
 
     // ---- Clients
 
-    /** Clients come one after the other; the next is looked for when one has come. */
+    /** Admits all clients that are due, and schedules the next arrival. */
     private void admitArrivals(int from) {
         int i = from;
         while (i < clients.size() && clients.get(i).spec.arrivesAt() <= testbed.now()) {
@@ -280,8 +287,8 @@
     }
 
     /**
-     * The front deals out connections among the relays of the client's room, as far as it knows
-     * them.
+     * Like a connection frontend: picks a random relay of the client's room, or of any room if the
+     * frontend knows none there. Returns -1 if it knows none at all.
      */
     private int chooseRelay(Client client) {
         int room = client.spec.room();
@@ -342,12 +349,12 @@
         retryOrDepart(request, RETRY_PAUSE_SECONDS, true);
     }
 
-    /** A relay that died took what it had with it; who was told of that counts nobody. */
+    /** The relay has stopped since this request was sent, so its clients count as lost with it. */
     private boolean relayWasReplaced(ClientRequest request) {
         return relayIncarnation[request.relay] != request.relayIncarnation;
     }
 
-    /** The first connection never came up: nobody has taken anything. */
+    /** The connection was not established, so no relay has accepted the request. */
     public void connectionRefused(ClientRequest request) {
         if (request.finished) {
             return;
@@ -425,8 +432,8 @@
     }
 
     /**
-     * What a client does that was not served: it comes again as long as that is harmless and of use
-     * to it.
+     * A client that was not served retries as long as a retry is harmless and its retries last;
+     * otherwise it departs.
      */
     private void retryOrDepart(ClientRequest request, double pause, boolean mayHaveRun) {
         Client client = request.client;
@@ -448,7 +455,7 @@
         testbed.schedule(delay, () -> sendRequest(client, intendedAt, true));
     }
 
-    /** Told to move: it comes again soon. */
+    /** The client was told to move; it reconnects soon. */
     public void tunnelMoved(ClientRequest request, double servedSeconds) {
         if (endTunnel(request, servedSeconds)) {
             figures.increment("moves");
@@ -456,7 +463,7 @@
         }
     }
 
-    /** Its standing tunnel ended without a word. */
+    /** An open tunnel ended without notice. */
     public void tunnelCut(ClientRequest request, double servedSeconds) {
         if (!endTunnel(request, servedSeconds)) {
             return;
@@ -509,7 +516,7 @@
         servedCreditByRoom[client.spec.room()] += credit;
     }
 
-    /** A client's life is over: it leaves, wherever it is. */
+    /** The client's lifetime is over: it leaves, whatever its state. */
     private void endOfLifetime(Client client) {
         if (client.departed) {
             return;
@@ -550,8 +557,8 @@
     }
 
     /**
-     * A part of the clients loses its connections, a few at a time but soon all, and each comes
-     * back within a time.
+     * Breaks the connections of a share of the clients within a short time; each reconnects within
+     * the given time.
      */
     void disconnectShare(double share, double within) {
         List<ClientRequest> affected = new ArrayList<>();
@@ -578,10 +585,7 @@
         }
     }
 
-    /**
-     * The run is over: what still stands counts up to now, and nothing is asked of anybody any
-     * more.
-     */
+    /** Ends the run: open tunnels are credited up to now, and the figures are computed. */
     public void finish() {
         double now = testbed.now();
         for (Client client : clients) {
@@ -662,7 +666,7 @@
     // ---- Servers
 
     /**
-     * A setup's opening has come whole to a server; {@code saidAt}: when its relay began to send
+     * A complete setup message has reached a server; {@code sentAt} is when its relay began to send
      * it.
      */
     public Setup setupArrived(
@@ -693,7 +697,7 @@
                 && canReach(setup.request.relay, setup.server.room);
     }
 
-    /** What nobody heard is heard now, where it can be again. */
+    /** Starts the setups that could not be delivered before and now can. */
     void deliverPending() {
         for (Setup setup : List.copyOf(undeliveredSetups)) {
             if (setup.state == Setup.State.CLOSED) {
@@ -742,7 +746,7 @@
         }
         Server server = setup.server;
         if (!isDeliverable(setup)) {
-            // It fell silent over the work: the answer goes out when it speaks again.
+            // The server went silent during the work: it answers when it responds again.
             testbed.schedule(TICK_SECONDS, () -> completeSetup(setup, fails));
         } else if (fails) {
             figures.increment("setups.errors");
@@ -777,7 +781,7 @@
         setup.reply.connectionLost();
     }
 
-    /** Seconds in which this standing setup's messages came back in time. */
+    /** Seconds in which messages of this open setup were answered in time. */
     public double servedSeconds(Setup setup) {
         double now = testbed.now();
         double cutOffFor =
@@ -789,8 +793,8 @@
     }
 
     /**
-     * How long a message of a tunnel between these takes at its server; without end where nothing
-     * comes back.
+     * How long a message of a tunnel between these takes at the server; infinite if there is no
+     * answer.
      */
     public double messageDelay(int relay, Server server) {
         return canReach(relay, server.room)
@@ -799,8 +803,8 @@
     }
 
     /**
-     * True while some tunnels may have no message answered: nobody needs to look for them
-     * otherwise.
+     * True while some tunnels may get no answer to messages; only then do relays need to look for
+     * such tunnels.
      */
     public boolean anyUnresponsive() {
         for (boolean isCutOff : roomCutOff) {
@@ -811,12 +815,12 @@
         return relayCutOffCount > 0 || servers.stream().anyMatch(server -> server.silent);
     }
 
-    /** What a question for load brings; empty where nothing does. */
+    /** The load report that a probe brings; empty if the server does not answer. */
     public Optional<LoadReport> probe(int relay, Server server) {
         return canReach(relay, server.room) ? probe(server) : Optional.empty();
     }
 
-    /** The same from within its room. */
+    /** The same for a probe from within the server's room. */
     public Optional<LoadReport> probe(Server server) {
         if (server.silent || server.down) {
             return Optional.empty();
@@ -829,7 +833,9 @@
         return Optional.of(report);
     }
 
-    /** Its process ends: all its connections break, and after a time it is up again, cold. */
+    /**
+     * The server process ends: all its connections break, and it is restarted cold after a time.
+     */
     void stopServer(Server server, double restartAfter, boolean planned) {
         if (server.down) {
             return;
@@ -868,7 +874,7 @@
         publishState(server, ServerEntry.State.DRAINING);
     }
 
-    /** The list comes to know of a server's state, late. */
+    /** Changes the state in the server list, after the delay of the list. */
     void publishState(Server server, ServerEntry.State state) {
         double listDelay =
                 plan.minListDelay
@@ -882,7 +888,7 @@
                 });
     }
 
-    /** A relay was told these entries. */
+    /** A relay has received these entries of the server list. */
     public void entriesDelivered(int relay, List<ServerRegistry.Entry> entries) {
         for (ServerRegistry.Entry entry : entries) {
             ruleChecker.recordListedState(
@@ -895,7 +901,7 @@
 
     // ---- Relays
 
-    /** A relay's process is gone; the front notices later. */
+    /** A relay's process has ended; the frontend notices later. */
     public void relayStopped(int relay, boolean graceful) {
         relayUp[relay] = false;
         gracefulExitIncarnation[relay] = graceful ? relayIncarnation[relay] : -1;
@@ -914,14 +920,14 @@
         onRelayStopped[relay] = callback;
     }
 
-    /** It was told to leave: the front deals out nothing to it from soon on. */
+    /** Asks a relay to shut down; the frontend soon sends it no more clients. */
     void shutDownRelay(int relay) {
         relayShuttingDown[relay] = true;
         testbed.schedule(0.3, () -> frontendKnows[relay] = false);
         testbed.shutDownRelay(relay);
     }
 
-    /** A relay serves again. */
+    /** A relay serves again after a restart. */
     public void relayReady(int relay) {
         relayUp[relay] = true;
         frontendKnows[relay] = true;
@@ -953,8 +959,8 @@
     }
 
     /**
-     * How much of a room's capacity clients of others take, in the fullest of them, and for how
-     * long more than may.
+     * Measures the share of each room's capacity that spilled tunnels take, and for how long it
+     * exceeds the limit.
      */
     private void measureSpill() {
         double[] spilledLoad = new double[plan.rooms.size()];
@@ -980,8 +986,8 @@
     }
 
     /**
-     * Seconds from when the last room was back until its clients were home but for a hundredth of a
-     * room.
+     * Seconds from the end of the last fault until spilled load was back below a hundredth of a
+     * room's capacity.
      */
     private double failbackSeconds(double now) {
         double endOfFaults = 0;
@@ -1005,7 +1011,7 @@
                 : Math.max(0, homeSecond + 1 - endOfFaults);
     }
 
-    /** The worst part of a profile's tries that were opened, window by window. */
+    /** Updates the worst share of opened requests by profile, and starts the next window. */
     private void closeAnswerWindow() {
         for (int profileIndex = 0; profileIndex < worstOpenedShare.length; profileIndex++) {
             if (answeredInWindow[profileIndex] >= MIN_ANSWERS_PER_WINDOW) {
--- a/lab/src/main/java/asterpulley/lab/world/Testbed.java
+++ b/lab/src/main/java/asterpulley/lab/world/Testbed.java
@@ -1,39 +1,40 @@
 package asterpulley.lab.world;
 
 /**
- * What the world asks of whatever carries it: in virtual time or on sockets. The world calls these,
- * and hears what came of them through {@link World}. A carrier must add no rule of its own: what
- * servers can do and what clients count as served stands in the world.
+ * The environment of a simulation: it runs the relays in virtual time or on sockets, and carries
+ * messages. The simulation calls these methods and receives the results through {@link Simulation}.
+ * A testbed must add no rules of its own: what servers can do and what counts as served is decided
+ * by the simulation.
  */
 public interface Testbed extends Clock {
-    /** A client says its opening to a relay; the end of it comes back through the world. */
+    /** Sends a client's request to a relay; the outcome is reported to the simulation. */
     void openTunnel(ClientRequest request);
 
-    /** The client ends its tunnel; the answer is how many of its seconds were served. */
+    /** The client ends its tunnel; returns how many of its seconds were served. */
     double closeTunnel(ClientRequest request);
 
-    /** A client whose connection breaks without its doing, as a crowd does that comes back. */
+    /** Breaks a connection without the client's doing; returns as {@link #closeTunnel} does. */
     double breakConnection(ClientRequest request);
 
-    /** A relay starts, is killed outright, or is told to leave. */
+    /** A relay starts, is killed, or is asked to shut down gracefully. */
     void startRelay(int relay);
 
     void killRelay(int relay);
 
     void shutDownRelay(int relay);
 
-    /** Relays are told anew what the plan says of pools now. */
+    /** Sends the current routes of the plan to all relays. */
     void reloadRelays();
 
     /**
-     * A server's process ends or listens again: its connections were told already, new ones are
-     * refused or taken.
+     * A server stops or starts to listen: new connections are refused or accepted. Its present
+     * connections were already broken.
      */
     void setListening(Server server, boolean up);
 
-    /** The list has news; whoever watches it hears of it. */
+    /** The server list has changed; relays that watch it are notified. */
     void serverListChanged();
 
-    /** The list's service went down or came back. */
+    /** The service of the server list went down or came back. */
     void setServerListDown(boolean down);
 }
--- a/lab/src/test/java/asterpulley/lab/model/ExperimentsTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/ExperimentsTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * The experiments of a lost room hold in virtual time, but for the large ones; and what they hold
- * by is what holds them.
+ * The room experiments, but for the large ones, meet their expectations in virtual time, and the
+ * settings that they depend on are the cause.
  */
 class ExperimentsTest {
     private static final Path ROOM_EXPERIMENTS = Path.of("..", "experiments", "rooms");
@@ -113,8 +113,8 @@
     }
 
     /**
-     * One play without the limit ends now above, now under full, as its seed has it: eight seeds
-     * tell.
+     * Without the limit a single run ends above or below full depending on its seed, so eight seeds
+     * are compared.
      */
     @Test
     void spillLoadLimitKeepsServersBelowFull() throws IOException {
--- a/lab/src/test/java/asterpulley/lab/model/RoomFailureTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/RoomFailureTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A room that is lost, in virtual time: what spills, and the way back. */
+/** The failure of a room in virtual time: spill to the other room, and failback. */
 class RoomFailureTest {
     private static final String PLAN =
             """
@@ -59,7 +59,8 @@
         assertTrue(
                 unlimited.figure("spill.worst_share") > 0.33,
                 "free " + unlimited.figure("spill.worst_share"));
-        // Limits count tunnels and rooms hold loads: a tenth of the limit is the draw of the loads.
+        // Limits count tunnels but capacity counts loads: the tenth above the limit allows for the
+        // random loads.
         assertTrue(
                 limited.figure("spill.worst_share") < 0.33,
                 "bound " + limited.figure("spill.worst_share"));
--- a/lab/src/test/java/asterpulley/lab/model/RuleCheckerTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/RuleCheckerTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * The judge: each world has a relay that is broken in one way, and is caught under the right rule;
- * a sound one is not.
+ * Each relay here breaks one rule in one way, and must be reported under that rule; a correct relay
+ * must not.
  */
 class RuleCheckerTest {
     private static final String PLAN =
@@ -59,7 +59,7 @@
             relays = ["r2"]
             """;
 
-    /** What a relay can do wrong. */
+    /** Creates a relay with one defect. */
     private interface BrokenRelay {
         VirtualRelay create(
                 int index,
@@ -74,7 +74,7 @@
             new Setup.Reply() {
                 @Override
                 public void opened(double cores) {
-                    // A setup that nobody listens to.
+                    // The answer to this setup is ignored.
                 }
 
                 @Override
@@ -93,7 +93,7 @@
                 }
             };
 
-    /** Sends setups elsewhere than its brain said, where there is such a server. */
+    /** Sends setups to another server than its policy chose, if there is one to prefer. */
     private static final class MisdirectingRelay extends VirtualRelay {
         private final Predicate<Server> target;
 
@@ -225,8 +225,7 @@
                                     new VirtualRelay(r, clock, simulation, serversByName) {
                                         @Override
                                         public void move(long id) {
-                                            // Its clients stay where they are until they are cut
-                                            // off.
+                                            // Clients stay until they are cut off.
                                         }
                                     }),
                     new Case(
--- a/lab/src/test/java/asterpulley/lab/model/VirtualTestbedTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/VirtualTestbedTest.java
@@ -23,7 +23,8 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * The world in virtual time: the same each time, and each fault does to figures what its name says.
+ * The simulation in virtual time: the same for each run of a seed, and each fault shifts the figure
+ * that it should.
  */
 class VirtualTestbedTest {
     private static final String SMALL =
@@ -73,7 +74,7 @@
                                                 VirtualTestbed.MODULE_POLICY)))));
     }
 
-    /** A fault, what it does to a figure compared with the calm, and how. */
+    /** A fault, and whether it raises or lowers a figure compared with the run without faults. */
     private record Case(String fault, String figure, String sign) {}
 
     private static final List<Case> CASES =
