--- a/lab/src/main/java/asterpulley/lab/model/VirtualTestbed.java
+++ b/lab/src/main/java/asterpulley/lab/model/VirtualTestbed.java
@@ -13,21 +13,21 @@
 import java.util.Map;
 
 /**
- * Carries a world in virtual time, with the decision module itself in every relay or a baseline in
- * its place. One thread, one clock: the same plan and seed give the same run to the last bit. It
- * must never read a real clock.
+ * Runs a simulation in virtual time, with the load balancer or a baseline in every relay. One
+ * thread, one clock: the same plan and seed give the same run to the last bit. It must never read a
+ * real clock.
  */
 public class VirtualTestbed implements Testbed {
-    /** The policy that stands for the module itself. */
+    /** The name of the load balancer among the policies. */
     public static final String MODULE_POLICY = "asterpulley";
 
-    /** The module alone, with the crossing fee and nothing that narrows its choice. */
+    /** The load balancer alone, with the cross-zone fee and no routing policy. */
     public static final String MODULE_WITHOUT_ROUTES = "no-routes";
 
-    /** Relays are there this long before the first client, as on sockets. */
+    /** Relays run this long before the first client, as on sockets. */
     private static final double LEAD_SECONDS = 1;
 
-    /** A relay's process takes so long to start. */
+    /** How long the process of a relay takes to start. */
     private static final double RELAY_START_SECONDS = 0.8;
 
     private final Plan plan;
@@ -43,14 +43,14 @@
         this.policy = policy;
         simulation = new Simulation(plan);
         simulation.setTestbed(this);
-        simulation.servers.forEach(s -> serversByName.put(s.name, s));
+        simulation.servers.forEach(server -> serversByName.put(server.name, server));
         relays = new VirtualRelay[simulation.relayCount()];
     }
 
-    /** Plays the whole plan; the world then has the figures. */
+    /** Runs the whole plan; the simulation then has the figures. */
     public Simulation run() {
-        for (int r = 0; r < relays.length; r++) {
-            createRelay(r);
+        for (int index = 0; index < relays.length; index++) {
+            createRelay(index);
         }
         clock.schedule(LEAD_SECONDS, simulation::start);
         eventCount = clock.runUntil(plan.duration + plan.settleTime);
@@ -62,39 +62,44 @@
         return eventCount;
     }
 
-    private void createRelay(int r) {
-        VirtualRelay host = newRelay(r, clock, serversByName);
-        Settings settings = plan.settings(simulation.roomOfRelay(r));
-        long seed = plan.seed * 1_000_003 + r * 1009L + simulation.relayIncarnation(r);
-        relays[r] = host;
-        boolean module = policy.equals(MODULE_POLICY) || policy.equals(MODULE_WITHOUT_ROUTES);
-        BalancingPolicy brain =
-                module
-                        ? new ModulePolicy(settings, seed, host)
+    private void createRelay(int index) {
+        VirtualRelay relay = newRelay(index, clock, serversByName);
+        Settings settings = plan.settings(simulation.roomOfRelay(index));
+        long seed = plan.seed * 1_000_003 + index * 1009L + simulation.relayIncarnation(index);
+        relays[index] = relay;
+        boolean usesModule = policy.equals(MODULE_POLICY) || policy.equals(MODULE_WITHOUT_ROUTES);
+        BalancingPolicy balancingPolicy =
+                usesModule
+                        ? new ModulePolicy(settings, seed, relay)
                         : new BaselinePolicy(
                                 policy,
                                 settings,
-                                host,
+                                relay,
                                 LoadGenerator.newRandom(seed),
                                 this::trueLoadFactor);
-        RoutingPolicy charter =
-                policy.equals(MODULE_POLICY) ? plan.routingPolicy(simulation.roomOfRelay(r)) : null;
-        host.start(
-                brain,
-                charter == null
+        RoutingPolicy routingPolicy =
+                policy.equals(MODULE_POLICY)
+                        ? plan.routingPolicy(simulation.roomOfRelay(index))
+                        : null;
+        relay.start(
+                balancingPolicy,
+                routingPolicy == null
                         ? null
                         : new PoolRouter(
-                                charter, host.now(), l -> {}, simulation.figures::increment));
+                                routingPolicy,
+                                relay.now(),
+                                l -> {},
+                                simulation.figures::increment));
     }
 
-    /** A relay; tests put broken ones in its place, to see them caught. */
-    VirtualRelay newRelay(int r, VirtualClock on, Map<String, Server> servers) {
-        return new VirtualRelay(r, on, simulation, servers);
+    /** Overridden in tests, to check that faulty relays are detected. */
+    VirtualRelay newRelay(int index, VirtualClock clock, Map<String, Server> serversByName) {
+        return new VirtualRelay(index, clock, simulation, serversByName);
     }
 
     private double trueLoadFactor(String name) {
-        Server s = serversByName.get(name);
-        return s.isImpaired() ? Double.POSITIVE_INFINITY : s.loadFactor(clock.now());
+        Server server = serversByName.get(name);
+        return server.isImpaired() ? Double.POSITIVE_INFINITY : server.loadFactor(clock.now());
     }
 
     @Override
@@ -103,35 +108,36 @@
     }
 
     @Override
-    public void schedule(double seconds, Runnable what) {
-        clock.schedule(seconds, what);
+    public void schedule(double seconds, Runnable task) {
+        clock.schedule(seconds, task);
     }
 
     @Override
-    public void openTunnel(ClientRequest t) {
+    public void openTunnel(ClientRequest request) {
         clock.schedule(
                 plan.localDelay,
                 () -> {
-                    VirtualRelay host = relays[t.relay];
-                    if (t.finished) {
+                    VirtualRelay relay = relays[request.relay];
+                    if (request.finished) {
                         return;
                     }
-                    if (host.dead()) {
-                        clock.schedule(plan.localDelay, () -> simulation.connectionRefused(t));
+                    if (relay.isStopped()) {
+                        clock.schedule(
+                                plan.localDelay, () -> simulation.connectionRefused(request));
                     } else {
-                        host.take(t);
+                        relay.acceptRequest(request);
                     }
                 });
     }
 
     @Override
-    public double closeTunnel(ClientRequest t) {
-        return relays[t.relay].hangUp(t);
+    public double closeTunnel(ClientRequest request) {
+        return relays[request.relay].clientClosed(request);
     }
 
     @Override
-    public double breakConnection(ClientRequest t) {
-        return closeTunnel(t);
+    public double breakConnection(ClientRequest request) {
+        return closeTunnel(request);
     }
 
     @Override
@@ -146,37 +152,37 @@
 
     @Override
     public void killRelay(int relay) {
-        if (!relays[relay].dead()) {
+        if (!relays[relay].isStopped()) {
             relays[relay].kill();
         }
     }
 
     @Override
     public void shutDownRelay(int relay) {
-        relays[relay].leave();
+        relays[relay].shutDown();
     }
 
     @Override
     public void reloadRelays() {
-        for (VirtualRelay host : relays) {
-            host.reload();
+        for (VirtualRelay relay : relays) {
+            relay.reload();
         }
     }
 
     @Override
     public void setListening(Server server, boolean up) {
-        // Whether it does is asked of the server itself.
+        // Relays ask the server itself whether it listens.
     }
 
     @Override
     public void serverListChanged() {
-        for (VirtualRelay host : relays) {
-            if (!host.dead()) {
+        for (VirtualRelay relay : relays) {
+            if (!relay.isStopped()) {
                 clock.schedule(
                         plan.localDelay,
                         () -> {
-                            if (!host.dead() && !simulation.registry.isDown()) {
-                                host.tell();
+                            if (!relay.isStopped() && !simulation.registry.isDown()) {
+                                relay.deliverListChanges();
                             }
                         });
             }
@@ -185,9 +191,9 @@
 
     @Override
     public void setServerListDown(boolean down) {
-        for (VirtualRelay host : relays) {
-            if (down && !host.dead()) {
-                host.listFailed();
+        for (VirtualRelay relay : relays) {
+            if (down && !relay.isStopped()) {
+                relay.serverListFailed();
             }
         }
     }
--- a/lab/src/main/java/asterpulley/lab/report/RunResult.java
+++ b/lab/src/main/java/asterpulley/lab/report/RunResult.java
@@ -7,8 +7,7 @@
 import java.util.TreeMap;
 
 /**
- * What one play of a plan gave: its figures, what happened by the second, and which expectations
- * held.
+ * The result of one run of a plan: its figures, the rows by second, and which expectations hold.
  */
 public final class RunResult {
     public final String testbed, policy;
@@ -16,15 +15,15 @@
     public final List<double[]> secondRows;
     public final List<String> notes;
 
-    /** Why there is no verdict; null where there is one. */
+    /** Why there is no verdict; null if there is one. */
     public final String noVerdictReason;
 
-    public RunResult(String carrier, String policy, Simulation world, String noVerdict) {
+    public RunResult(String carrier, String policy, Simulation simulation, String noVerdict) {
         this.testbed = carrier;
         this.policy = policy;
-        this.figures = new TreeMap<>(world.figures.byName());
-        this.secondRows = world.figures.rows();
-        this.notes = world.ruleChecker.notes();
+        this.figures = new TreeMap<>(simulation.figures.byName());
+        this.secondRows = simulation.figures.rows();
+        this.notes = simulation.ruleChecker.notes();
         this.noVerdictReason = noVerdict;
     }
 
@@ -32,11 +31,11 @@
         return figures.getOrDefault(name, Double.NaN);
     }
 
-    public boolean holds(Plan.Expectation e) {
-        return e.holds(figure(e.figure()));
+    public boolean holds(Plan.Expectation expectation) {
+        return expectation.holds(figure(expectation.figure()));
     }
 
-    /** Every expectation holds, and the run is worth a verdict. */
+    /** Every expectation holds, and the run is valid. */
     public boolean meetsExpectations(Plan plan) {
         return noVerdictReason == null && plan.expectations.stream().allMatch(this::holds);
     }
--- a/lab/src/main/java/asterpulley/lab/world/Figures.java
+++ b/lab/src/main/java/asterpulley/lab/world/Figures.java
@@ -8,16 +8,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Owns the figures of a run: counts, times and what happened second by second. Times are kept from
- * when a client meant to start, so that a relay that makes clients late is not spared for it. It
- * must never judge.
+ * Collects the figures of a run: counters, times and one row a second. Times run from when a client
+ * meant to start, so that a relay that delays clients is not spared for it. It must not judge them.
  */
 public final class Figures {
     private static final double[] PERCENTILES = {50, 90, 99};
     private static final String[] TIMES = {"setup", "answer", "gap"};
     private static final long MAX_TIME_MICROS = 600_000_000L;
 
-    /** Counts that every run gives, also where nothing was counted. */
+    /** Counters that every run reports, even if they are 0. */
     public static final List<String> COUNTS =
             List.of(
                     "clients.count",
@@ -57,7 +56,7 @@
                     "spill.over_s",
                     "spill.home_s");
 
-    /** One row a second. */
+    /** The columns of the row that is written each second. */
     public static final List<String> SERIES =
             List.of(
                     "standing",
@@ -80,12 +79,12 @@
 
     Figures() {
         COUNTS.forEach(c -> counts.put(c, 0L));
-        for (String t : TIMES) {
-            times.put(t, new Histogram(MAX_TIME_MICROS, 3));
+        for (String timeName : TIMES) {
+            times.put(timeName, new Histogram(MAX_TIME_MICROS, 3));
         }
     }
 
-    /** True where some run of this plan can give that figure. */
+    /** Whether a run of this plan can give this figure. */
     public static boolean isKnown(String figure, Plan plan) {
         if (COUNTS.contains(figure) || OTHER_FIGURES.contains(figure)) {
             return true;
@@ -95,38 +94,38 @@
                 return true;
             }
         }
-        for (Plan.ProfilePlan p : plan.profiles) {
+        for (Plan.ProfilePlan profile : plan.profiles) {
             if (List.of("credit.share.", "opened.worst.", "declined.")
-                            .contains(figure.replace(p.name, ""))
-                    && figure.endsWith(p.name)) {
+                            .contains(figure.replace(profile.name, ""))
+                    && figure.endsWith(profile.name)) {
                 return true;
             }
         }
         if (figure.startsWith("credit.room.")) {
             return plan.rooms.contains(figure.substring("credit.room.".length()));
         }
-        for (String t : TIMES) {
-            if (figure.matches(t + "\\.(p50|p90|p99|max)_ms")) {
+        for (String timeName : TIMES) {
+            if (figure.matches(timeName + "\\.(p50|p90|p99|max)_ms")) {
                 return true;
             }
         }
         return false;
     }
 
-    public void increment(String what) {
-        counts.merge(what, 1L, Long::sum);
+    public void increment(String figure) {
+        counts.merge(figure, 1L, Long::sum);
     }
 
-    public long counterValue(String what) {
-        return counts.getOrDefault(what, 0L);
+    public long counterValue(String figure) {
+        return counts.getOrDefault(figure, 0L);
     }
 
-    public void set(String what, double value) {
-        values.put(what, value);
+    public void set(String figure, double value) {
+        values.put(figure, value);
     }
 
-    void recordTime(String what, double seconds) {
-        times.get(what)
+    void recordTime(String figure, double seconds) {
+        times.get(figure)
                 .recordValue(Math.max(0, Math.min(MAX_TIME_MICROS, Math.round(seconds * 1e6))));
     }
 
@@ -138,18 +137,18 @@
         return rows;
     }
 
-    /** All figures by name, in the order of the names. */
+    /** All figures, sorted by name. */
     public Map<String, Double> byName() {
         Map<String, Double> all = new TreeMap<>(values);
         counts.forEach((k, v) -> all.put(k, (double) v));
         times.forEach(
-                (name, h) -> {
-                    for (double share : PERCENTILES) {
+                (name, histogram) -> {
+                    for (double percentile : PERCENTILES) {
                         all.put(
-                                name + ".p" + (int) share + "_ms",
-                                h.getValueAtPercentile(share) / 1e3);
+                                name + ".p" + (int) percentile + "_ms",
+                                histogram.getValueAtPercentile(percentile) / 1e3);
                     }
-                    all.put(name + ".max_ms", h.getMaxValue() / 1e3);
+                    all.put(name + ".max_ms", histogram.getMaxValue() / 1e3);
                 });
         return all;
     }
--- a/lab/src/main/java/asterpulley/lab/world/Setup.java
+++ b/lab/src/main/java/asterpulley/lab/world/Setup.java
@@ -1,6 +1,6 @@
 package asterpulley.lab.world;
 
-/** One setup that came to a server: where it stands there, and how the server answers it. */
+/** One setup that reached a server: its state there, and how the server answers it. */
 public final class Setup {
     public enum State {
         UNDELIVERED,
@@ -9,15 +9,15 @@
         CLOSED
     }
 
-    /** How a server's answer goes back; after {@link #broke} nothing more is said. */
+    /** Carries the answer of a server back; after {@link #connectionLost} nothing more is sent. */
     public interface Reply {
-        void opened(double cores);
+        void opened(double load);
 
         void full();
 
         void error();
 
-        /** The connection ends, in the middle of whatever it was. */
+        /** The connection ends, whatever state the setup is in. */
         void connectionLost();
     }
 
@@ -27,17 +27,17 @@
     final Reply reply;
     public State state = State.UNDELIVERED;
 
-    /** What is true of its effect, whatever anybody knows. */
-    boolean mayHaveRun;
+    /** Whether it really ran, regardless of what the relay or client knows. */
+    boolean ran;
 
-    /** Proved not to have run: turned away, or never read. */
+    /** Proven not to have run: it was refused, or never read. */
     boolean provenNotRun;
 
     boolean brokenByServer;
     double responsiveSecondsAtStart, cutOffSecondsAtStart;
 
-    Setup(ClientRequest of, Server server, double arrivedAt, Reply reply) {
-        this.request = of;
+    Setup(ClientRequest request, Server server, double arrivedAt, Reply reply) {
+        this.request = request;
         this.server = server;
         this.arrivedAt = arrivedAt;
         this.reply = reply;
