--- a/lab/src/main/java/asterpulley/lab/model/BalancingPolicy.java
+++ b/lab/src/main/java/asterpulley/lab/model/BalancingPolicy.java
@@ -16,7 +16,7 @@
 
         void onLoad(double cores);
 
-        void onMessageDelay(double message);
+        void onMessageDelay(double seconds);
 
         void onEnded(Outcome outcome, double lag, boolean last);
 
--- a/lab/src/main/java/asterpulley/lab/model/BaselinePolicy.java
+++ b/lab/src/main/java/asterpulley/lab/model/BaselinePolicy.java
@@ -114,7 +114,7 @@
         }
 
         @Override
-        public void onMessageDelay(double message) {
+        public void onMessageDelay(double seconds) {
             exclude(server);
         }
 
@@ -174,7 +174,8 @@
             case "priority" -> pickByPriority(candidates);
             case "random" -> candidates.get(random.nextInt(candidates.size()));
             case "round-robin" -> candidates.get(roundRobinIndex++ % candidates.size());
-            case "least-own" -> pickLowest(candidates, s -> ownTunnels.getOrDefault(s, 0));
+            case "least-own" ->
+                    pickLowest(candidates, serverName -> ownTunnels.getOrDefault(serverName, 0));
             case "two-choices" -> {
                 String first = candidates.get(random.nextInt(candidates.size()));
                 String second = candidates.get(random.nextInt(candidates.size()));
@@ -202,27 +203,31 @@
                             : 0;
         }
         List<String> home = new ArrayList<>(), others = new ArrayList<>();
-        candidates.forEach(s -> (servers.get(s).zone() == settings.zone ? home : others).add(s));
+        candidates.forEach(
+                serverName ->
+                        (servers.get(serverName).zone() == settings.zone ? home : others)
+                                .add(serverName));
         double homeShare =
                 homeServerCount == 0
                         ? 0
                         : Math.min(1, OVERPROVISIONING_FACTOR * home.size() / homeServerCount);
         boolean staysHome = others.isEmpty() || !home.isEmpty() && random.nextDouble() < homeShare;
-        return pickLowest(staysHome ? home : others, s -> ownTunnels.getOrDefault(s, 0));
+        return pickLowest(
+                staysHome ? home : others, serverName -> ownTunnels.getOrDefault(serverName, 0));
     }
 
     private String pickLowest(List<String> candidates, ToDoubleFunction<String> score) {
         String best = null;
         double lowest = Double.POSITIVE_INFINITY;
         int ties = 0;
-        for (String s : candidates) {
-            double value = score.applyAsDouble(s);
+        for (String serverName : candidates) {
+            double value = score.applyAsDouble(serverName);
             if (best == null || value < lowest) {
                 lowest = value;
-                best = s;
+                best = serverName;
                 ties = 1;
             } else if (value == lowest && random.nextInt(++ties) == 0) {
-                best = s;
+                best = serverName;
             }
         }
         return best;
--- a/lab/src/main/java/asterpulley/lab/model/ModulePolicy.java
+++ b/lab/src/main/java/asterpulley/lab/model/ModulePolicy.java
@@ -98,8 +98,8 @@
             }
 
             @Override
-            public void onMessageDelay(double message) {
-                tunnel.onMessageDelay(message);
+            public void onMessageDelay(double seconds) {
+                tunnel.onMessageDelay(seconds);
             }
 
             @Override
--- a/lab/src/main/java/asterpulley/lab/model/VirtualRelay.java
+++ b/lab/src/main/java/asterpulley/lab/model/VirtualRelay.java
@@ -29,14 +29,25 @@
      */
     static final double EPOCH_SECONDS = 1e6;
 
+    /**
+     * The interval of the search for tunnels without answers, how long an answer must be missing
+     * for each slow report to the policy, and for a move.
+     */
     private static final double SWEEP_SECONDS = 0.25,
             SLOW_REPORT_SECONDS = 1.1,
             SILENCE_LIMIT_SECONDS = 3.5;
+
+    /**
+     * A graceful shutdown, as of the real relay: it ends after the longest pending wait and the
+     * kill margin, less the time for final answers; moves end MOVE_LEAD_SECONDS earlier and are
+     * spread over MOVE_SPREAD_SECONDS.
+     */
     private static final double SHUTDOWN_STEP_SECONDS = 0.05,
             KILL_MARGIN_SECONDS = 0.7,
             FINAL_ANSWERS_SECONDS = 0.3,
             MOVE_LEAD_SECONDS = 0.4,
             MOVE_SPREAD_SECONDS = 1;
+
     private static final double MAX_PENDING_WAIT_SECONDS = 3;
 
     /** One mean load, in the cores that servers report. */
@@ -226,8 +237,8 @@
         return clock.now() + EPOCH_SECONDS;
     }
 
-    private void sendToClient(Runnable message) {
-        clock.schedule(plan.localDelay, message);
+    private void sendToClient(Runnable notification) {
+        clock.schedule(plan.localDelay, notification);
     }
 
     @Override
--- a/lab/src/main/java/asterpulley/lab/plan/Plan.java
+++ b/lab/src/main/java/asterpulley/lab/plan/Plan.java
@@ -13,6 +13,7 @@
  * times are in seconds, loads in mean loads of a tunnel.
  */
 public final class Plan {
+    /** A profile of tunnels; {@code share} is its weight among the requests. */
     public static final class ProfilePlan {
         public String name = "live";
         public Settings.Repeatability repeatability = Settings.Repeatability.REPEATABLE;
@@ -27,6 +28,7 @@
         public int maxRetries = 3;
     }
 
+    /** A customer; {@code room} is the home of its clients, or null for a random one. */
     public static final class CustomerPlan {
         public String name = "all", room;
         public double share = 1;
@@ -45,6 +47,7 @@
         public boolean startsCold;
     }
 
+    /** A fault; which of the values count depends on its kind. */
     public static final class Fault {
         public String kind;
         public double at,
@@ -101,10 +104,20 @@
 
     public int relaysPerRoom = 1, maxSetupsPerTunnel = 4, memoryMb = 128, maxSockets = 8192;
     public double tick = 0.004, connectTimeout = 1, maxRetryAfter = 1.5, frontendNoticeDelay = 1;
+
+    /**
+     * The bounds of the delay of the server list, after which time a relay counts as informed of a
+     * drain, and how long it may still send setups then.
+     */
     public double minListDelay = 0.2, maxListDelay = 0.6, assumedListDelay = 6, drainGrace = 0.5;
+
     public double collapseMultiple = 2, collapseTime = 1;
     public double crossZoneFee = 0.02, probeFee;
+
+    /** Whether load reports of servers hold the number of their open tunnels. */
     public boolean reportsOpenTunnels;
+
+    /** Setups a second that the session store can take; 0 if there is no store. */
     public double sessionStoreRate;
 
     /**
@@ -134,6 +147,7 @@
         }
     }
 
+    /** The number of servers in all rooms. */
     public int serverCount() {
         return servers.stream()
                 .mapToInt(serverPlan -> serverPlan.count * serverPlan.rooms.size())
--- a/lab/src/main/java/asterpulley/lab/plan/RelaySettings.java
+++ b/lab/src/main/java/asterpulley/lab/plan/RelaySettings.java
@@ -82,6 +82,7 @@
         return settings;
     }
 
+    /** A map of alternating keys and values, in their order. */
     public static Map<String, Object> mapOf(Object... pairs) {
         Map<String, Object> map = new LinkedHashMap<>();
         for (int i = 0; i < pairs.length; i += 2) {
--- a/lab/src/main/java/asterpulley/lab/report/RunResult.java
+++ b/lab/src/main/java/asterpulley/lab/report/RunResult.java
@@ -27,6 +27,7 @@
         this.noVerdictReason = noVerdict;
     }
 
+    /** The figure of this name; NaN if the run did not give it. */
     public double figure(String name) {
         return figures.getOrDefault(name, Double.NaN);
     }
--- a/lab/src/main/java/asterpulley/lab/report/Tables.java
+++ b/lab/src/main/java/asterpulley/lab/report/Tables.java
@@ -30,6 +30,7 @@
 
     private Tables() {}
 
+    /** Whole numbers without decimals, others with three; "-" for NaN. */
     public static String formatNumber(double value) {
         if (Double.isNaN(value)) {
             return "-";
--- a/lab/src/main/java/asterpulley/lab/world/ClientRequest.java
+++ b/lab/src/main/java/asterpulley/lab/world/ClientRequest.java
@@ -43,7 +43,7 @@
             int relayLife,
             double intendedAt,
             double sentAt,
-            double patience,
+            double clientTimeout,
             boolean again,
             boolean retry) {
         this.client = client;
@@ -52,7 +52,7 @@
         this.relayIncarnation = relayLife;
         this.intendedAt = intendedAt;
         this.sentAt = sentAt;
-        this.clientTimeout = patience;
+        this.clientTimeout = clientTimeout;
         this.reconnecting = again;
         this.retry = retry;
     }
--- a/lab/src/main/java/asterpulley/lab/world/EventQueue.java
+++ b/lab/src/main/java/asterpulley/lab/world/EventQueue.java
@@ -7,23 +7,25 @@
  * or reordered.
  */
 public final class EventQueue {
-    private record Event(double at, long order, Runnable task) implements Comparable<Event> {
+    private record Event(double time, long order, Runnable task) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            return at != other.at ? Double.compare(at, other.at) : Long.compare(order, other.order);
+            return time != other.time
+                    ? Double.compare(time, other.time)
+                    : Long.compare(order, other.order);
         }
     }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(1 << 12);
     private long nextOrder;
 
-    public void add(double at, Runnable task) {
-        events.add(new Event(at, nextOrder++, task));
+    public void add(double time, Runnable task) {
+        events.add(new Event(time, nextOrder++, task));
     }
 
     /** The time of the next task; infinite if there is none. */
     public double nextTime() {
-        return events.isEmpty() ? Double.POSITIVE_INFINITY : events.peek().at;
+        return events.isEmpty() ? Double.POSITIVE_INFINITY : events.peek().time;
     }
 
     /** Removes and returns the next task. */
--- a/lab/src/main/java/asterpulley/lab/world/FaultInjector.java
+++ b/lab/src/main/java/asterpulley/lab/world/FaultInjector.java
@@ -67,21 +67,21 @@
 
     private List<Integer> selectRelays(Plan.Fault fault) {
         List<Integer> selected = new ArrayList<>();
-        for (int r = 0; r < simulation.relayCount(); r++) {
+        for (int relay = 0; relay < simulation.relayCount(); relay++) {
             boolean inAnyRoom = fault.room == null || fault.kind.equals("relay-cut");
             boolean named =
                     fault.relays.isEmpty()
-                            ? inAnyRoom && r == 0
-                            : fault.relays.contains("r" + (r + 1));
+                            ? inAnyRoom && relay == 0
+                            : fault.relays.contains("r" + (relay + 1));
             if (named
                     || fault.relays.isEmpty()
                             && !inAnyRoom
                             && simulation
                                     .plan
                                     .rooms
-                                    .get(simulation.roomOfRelay(r))
+                                    .get(simulation.roomOfRelay(relay))
                                     .equals(fault.room)) {
-                selected.add(r);
+                selected.add(relay);
             }
         }
         return selected;
@@ -152,12 +152,14 @@
             case "relay-cut" ->
                     selectRelays(fault)
                             .forEach(
-                                    r -> {
+                                    relay -> {
                                         int room = simulation.plan.rooms.indexOf(fault.room);
-                                        simulation.setRelayCutOff(r, room, true);
+                                        simulation.setRelayCutOff(relay, room, true);
                                         testbed.schedule(
                                                 fault.duration,
-                                                () -> simulation.setRelayCutOff(r, room, false));
+                                                () ->
+                                                        simulation.setRelayCutOff(
+                                                                relay, room, false));
                                     });
             case "reload" -> {
                 if (!Double.isNaN(fault.spillShare)) {
@@ -178,22 +180,22 @@
             case "relay-kill" ->
                     selectRelays(fault)
                             .forEach(
-                                    r -> {
-                                        testbed.killRelay(r);
+                                    relay -> {
+                                        testbed.killRelay(relay);
                                         testbed.schedule(
-                                                fault.downTime, () -> testbed.startRelay(r));
+                                                fault.downTime, () -> testbed.startRelay(relay));
                                     });
             case "relay-restart" ->
                     selectRelays(fault)
                             .forEach(
-                                    r -> {
+                                    relay -> {
                                         simulation.onRelayStopped(
-                                                r,
+                                                relay,
                                                 () ->
                                                         testbed.schedule(
                                                                 fault.downTime,
-                                                                () -> testbed.startRelay(r)));
-                                        simulation.shutDownRelay(r);
+                                                                () -> testbed.startRelay(relay)));
+                                        simulation.shutDownRelay(relay);
                                     });
             case "reconnect" -> simulation.disconnectShare(fault.share, fault.withinSeconds);
             default -> {
--- a/lab/src/main/java/asterpulley/lab/world/Simulation.java
+++ b/lab/src/main/java/asterpulley/lab/world/Simulation.java
@@ -17,6 +17,7 @@
  * do input or output.
  */
 public final class Simulation {
+    /** The interval of the checks for collapse and of the spill measurement. */
     private static final double TICK_SECONDS = 0.1;
 
     /**
@@ -34,7 +35,10 @@
     /** A server that collapsed is up again after this time, where the plan gives none. */
     private static final double RESTART_SECONDS = 3;
 
-    /** Upper bounds of the time after which a client reconnects. */
+    /**
+     * How soon a client reconnects: at most this after a move or a cut, and from this up to twice
+     * as much after a refused connection.
+     */
     private static final double RECONNECT_AFTER_MOVE_SECONDS = 0.2,
             RECONNECT_AFTER_CUT_SECONDS = 0.8,
             RECONNECT_AFTER_REFUSAL_SECONDS = 0.25;
@@ -48,6 +52,12 @@
     /** A client's pause before a retry, doubled each time up to a limit. */
     private static final double RETRY_PAUSE_SECONDS = 0.2, MAX_RETRY_PAUSE_SECONDS = 3;
 
+    /** How long a server takes to refuse a setup. */
+    private static final double REFUSAL_SECONDS = 0.001;
+
+    /** How soon the frontend knows that a relay is shutting down. */
+    private static final double SHUTDOWN_NOTICE_SECONDS = 0.3;
+
     public final Plan plan;
     public final List<Server> servers = new ArrayList<>();
     public final SessionStore sessionStore;
@@ -174,8 +184,8 @@
     /** Starts the run: called at time 0, when all relays are ready. */
     public void start() {
         Testbed testbed = this.testbed;
-        for (int r = 0; r < relayCount; r++) {
-            relayUp[r] = frontendKnows[r] = true;
+        for (int relay = 0; relay < relayCount; relay++) {
+            relayUp[relay] = frontendKnows[relay] = true;
         }
         servers.stream()
                 .filter(server -> server.plan.startsCold)
@@ -201,10 +211,12 @@
 
     // ---- Places
 
+    /** The number of relays in all rooms. */
     public int relayCount() {
         return relayCount;
     }
 
+    /** The index of the room of a relay; relays are numbered room by room. */
     public int roomOfRelay(int relay) {
         return relay / plan.relaysPerRoom;
     }
@@ -294,14 +306,16 @@
         int room = client.spec.room();
         int found = -1;
         int ties = 0;
-        for (int r = room * plan.relaysPerRoom; r < (room + 1) * plan.relaysPerRoom; r++) {
-            if (frontendKnows[r] && client.random.nextInt(++ties) == 0) {
-                found = r;
+        for (int relay = room * plan.relaysPerRoom;
+                relay < (room + 1) * plan.relaysPerRoom;
+                relay++) {
+            if (frontendKnows[relay] && client.random.nextInt(++ties) == 0) {
+                found = relay;
             }
         }
-        for (int r = 0; found < 0 && r < relayCount; r++) {
-            if (frontendKnows[r] && client.random.nextInt(++ties) == 0) {
-                found = r;
+        for (int relay = 0; found < 0 && relay < relayCount; relay++) {
+            if (frontendKnows[relay] && client.random.nextInt(++ties) == 0) {
+                found = relay;
             }
         }
         return found;
@@ -368,6 +382,7 @@
                 () -> sendRequest(request.client, request.intendedAt, request.retry));
     }
 
+    /** The client has its answer: the tunnel is open. */
     public void tunnelOpened(ClientRequest request) {
         double now = testbed.now();
         ruleChecker.checkAnswer(request, ClientRequest.Answer.OPENED, now, false);
@@ -389,6 +404,7 @@
         openTunnels++;
     }
 
+    /** The request was declined; 0 seconds means that the relay named no time to come back. */
     public void requestDeclined(ClientRequest request, double retryAfter) {
         ruleChecker.checkAnswer(request, ClientRequest.Answer.DECLINED, testbed.now(), false);
         if (recordAnswer(request, ClientRequest.Answer.DECLINED, "tries.declined")) {
@@ -396,6 +412,7 @@
         }
     }
 
+    /** The request was closed with error. */
     public void requestFailed(ClientRequest request) {
         ruleChecker.checkAnswer(request, ClientRequest.Answer.ERROR, testbed.now(), false);
         if (recordAnswer(request, ClientRequest.Answer.ERROR, "tries.errors")) {
@@ -717,7 +734,7 @@
             breakSetup(setup);
         } else if (server.refusesSetups(now)) {
             testbed.schedule(
-                    0.001,
+                    REFUSAL_SECONDS,
                     () -> {
                         if (setup.state == Setup.State.IN_PROGRESS) {
                             figures.increment("setups.full");
@@ -923,7 +940,7 @@
     /** Asks a relay to shut down; the frontend soon sends it no more clients. */
     void shutDownRelay(int relay) {
         relayShuttingDown[relay] = true;
-        testbed.schedule(0.3, () -> frontendKnows[relay] = false);
+        testbed.schedule(SHUTDOWN_NOTICE_SECONDS, () -> frontendKnows[relay] = false);
         testbed.shutDownRelay(relay);
     }
 
@@ -933,6 +950,7 @@
         frontendKnows[relay] = true;
     }
 
+    /** How often this relay has stopped, to tell a restarted relay from the one before. */
     public int relayIncarnation(int relay) {
         return relayIncarnation[relay];
     }
--- a/lab/src/test/java/asterpulley/lab/model/RuleCheckerTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/RuleCheckerTest.java
@@ -127,8 +127,8 @@
                     new Case(
                             "answers twice",
                             RuleChecker.Rule.ANSWER,
-                            (r, clock, simulation, serversByName) ->
-                                    new VirtualRelay(r, clock, simulation, serversByName) {
+                            (index, clock, simulation, serversByName) ->
+                                    new VirtualRelay(index, clock, simulation, serversByName) {
                                         @Override
                                         void acceptRequest(ClientRequest request) {
                                             super.acceptRequest(request);
@@ -139,8 +139,8 @@
                     new Case(
                             "forgets every fifth client",
                             RuleChecker.Rule.ANSWER,
-                            (r, clock, simulation, serversByName) ->
-                                    new VirtualRelay(r, clock, simulation, serversByName) {
+                            (index, clock, simulation, serversByName) ->
+                                    new VirtualRelay(index, clock, simulation, serversByName) {
                                         private int n;
 
                                         @Override
@@ -153,8 +153,8 @@
                     new Case(
                             "ends clients without an answer",
                             RuleChecker.Rule.ANSWER,
-                            (r, clock, simulation, serversByName) ->
-                                    new VirtualRelay(r, clock, simulation, serversByName) {
+                            (index, clock, simulation, serversByName) ->
+                                    new VirtualRelay(index, clock, simulation, serversByName) {
                                         @Override
                                         public void closeWithError(long id) {
                                             ClientRequest request = requestOf(id);
@@ -166,8 +166,8 @@
                     new Case(
                             "has two setups out",
                             RuleChecker.Rule.EFFECT,
-                            (r, clock, simulation, serversByName) ->
-                                    new VirtualRelay(r, clock, simulation, serversByName) {
+                            (index, clock, simulation, serversByName) ->
+                                    new VirtualRelay(index, clock, simulation, serversByName) {
                                         @Override
                                         public void sendSetup(
                                                 long id, String name, double timeout) {
@@ -186,8 +186,8 @@
                     new Case(
                             "declines what may have run",
                             RuleChecker.Rule.EFFECT,
-                            (r, clock, simulation, serversByName) ->
-                                    new VirtualRelay(r, clock, simulation, serversByName) {
+                            (index, clock, simulation, serversByName) ->
+                                    new VirtualRelay(index, clock, simulation, serversByName) {
                                         @Override
                                         public void closeWithError(long id) {
                                             decline(id, 0.5);
@@ -196,9 +196,9 @@
                     new Case(
                             "sends to servers that drain",
                             RuleChecker.Rule.DRAIN,
-                            (r, clock, simulation, serversByName) ->
+                            (index, clock, simulation, serversByName) ->
                                     new MisdirectingRelay(
-                                            r,
+                                            index,
                                             clock,
                                             simulation,
                                             serversByName,
@@ -209,9 +209,9 @@
                     new Case(
                             "floods a cold server",
                             RuleChecker.Rule.COLD,
-                            (r, clock, simulation, serversByName) ->
+                            (index, clock, simulation, serversByName) ->
                                     new MisdirectingRelay(
-                                            r,
+                                            index,
                                             clock,
                                             simulation,
                                             serversByName,
@@ -221,8 +221,8 @@
                     new Case(
                             "never moves a client",
                             RuleChecker.Rule.MOVE,
-                            (r, clock, simulation, serversByName) ->
-                                    new VirtualRelay(r, clock, simulation, serversByName) {
+                            (index, clock, simulation, serversByName) ->
+                                    new VirtualRelay(index, clock, simulation, serversByName) {
                                         @Override
                                         public void move(long id) {
                                             // Clients stay until they are cut off.
@@ -231,8 +231,8 @@
                     new Case(
                             "leaves at once",
                             RuleChecker.Rule.MOVE,
-                            (r, clock, simulation, serversByName) ->
-                                    new VirtualRelay(r, clock, simulation, serversByName) {
+                            (index, clock, simulation, serversByName) ->
+                                    new VirtualRelay(index, clock, simulation, serversByName) {
                                         @Override
                                         void shutDown() {
                                             stop(true);
@@ -245,10 +245,11 @@
         assertEquals(List.of(), document.problems());
         return new VirtualTestbed(plan, VirtualTestbed.MODULE_POLICY) {
             @Override
-            VirtualRelay newRelay(int r, VirtualClock clock, Map<String, Server> serversByName) {
+            VirtualRelay newRelay(
+                    int index, VirtualClock clock, Map<String, Server> serversByName) {
                 return brokenRelay == null
-                        ? super.newRelay(r, clock, serversByName)
-                        : brokenRelay.create(r, clock, simulation, serversByName);
+                        ? super.newRelay(index, clock, serversByName)
+                        : brokenRelay.create(index, clock, simulation, serversByName);
             }
         }.run();
     }
--- a/lab/src/test/java/asterpulley/lab/model/VirtualTestbedTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/VirtualTestbedTest.java
@@ -75,7 +75,7 @@
     }
 
     /** A fault, and whether it raises or lowers a figure compared with the run without faults. */
-    private record Case(String fault, String figure, String sign) {}
+    private record Case(String fault, String figure, String direction) {}
 
     private static final List<Case> CASES =
             List.of(
@@ -123,11 +123,17 @@
                                                     run(
                                                             SMALL + "[[fault]]\n" + c.fault + "\n",
                                                             VirtualTestbed.MODULE_POLICY);
-                                            double is = with.figure(c.figure);
-                                            double was = baseline.figure(c.figure);
+                                            double value = with.figure(c.figure);
+                                            double baselineValue = baseline.figure(c.figure);
                                             assertTrue(
-                                                    c.sign.equals(">") ? is > was : is < was,
-                                                    c.figure + " was " + was + ", is " + is);
+                                                    c.direction.equals(">")
+                                                            ? value > baselineValue
+                                                            : value < baselineValue,
+                                                    c.figure
+                                                            + " was "
+                                                            + baselineValue
+                                                            + ", is "
+                                                            + value);
                                             assertEquals(
                                                     0,
                                                     with.figure("rules.broken"),
@@ -165,11 +171,11 @@
     Stream<DynamicTest> baselinesKeepTheRulesWithoutFaults() {
         return Stream.of(PlanReader.BASELINES)
                 .map(
-                        b ->
+                        policy ->
                                 DynamicTest.dynamicTest(
-                                        b,
+                                        policy,
                                         () -> {
-                                            RunResult result = run(SMALL, b);
+                                            RunResult result = run(SMALL, policy);
                                             assertEquals(
                                                     0,
                                                     result.figure("rules.broken"),
@@ -179,7 +185,7 @@
                                                     run(
                                                             SMALL
                                                                     + "[[fault]]\nkind=\"silent\"\nat_s=3\nfor_s=5\ncount=3\n",
-                                                            b);
+                                                            policy);
                                             assertTrue(
                                                     withSilence.figure("credit.share")
                                                             < result.figure("credit.share"));
@@ -189,15 +195,15 @@
     @Test
     void everyExperimentFileIsValid() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("../experiments"))) {
-            Map<String, List<String>> wrong = new java.util.TreeMap<>();
+            Map<String, List<String>> problemsByFile = new java.util.TreeMap<>();
             for (Path file : files.filter(f -> f.toString().endsWith(".toml")).toList()) {
                 TomlDocument document = TomlDocument.read(file);
                 Plan plan = PlanReader.read(document, file.getFileName().toString());
                 if (!document.problems().isEmpty() || plan.expectations.isEmpty()) {
-                    wrong.put(file.toString(), document.problems());
+                    problemsByFile.put(file.toString(), document.problems());
                 }
             }
-            assertEquals(Map.of(), wrong);
+            assertEquals(Map.of(), problemsByFile);
         }
     }
 }
