--- a/lab/src/main/java/asterpulley/lab/report/Reports.java
+++ b/lab/src/main/java/asterpulley/lab/report/Reports.java
@@ -31,12 +31,12 @@
         root.put("experiment", plan.name);
         root.put("title", plan.title);
         root.put("seed", plan.seed);
-        List<Object> plays = new ArrayList<>();
+        List<Object> runs = new ArrayList<>();
         for (RunResult result : results) {
-            Map<String, Object> play = new LinkedHashMap<>();
-            play.put("on", result.testbed);
-            play.put("policy", result.policy);
-            play.put(
+            Map<String, Object> run = new LinkedHashMap<>();
+            run.put("on", result.testbed);
+            run.put("policy", result.policy);
+            run.put(
                     "verdict",
                     result.noVerdictReason != null
                             ? "none: " + result.noVerdictReason
@@ -52,9 +52,9 @@
                 row.put("holds", result.holds(expectation));
                 expects.add(row);
             }
-            play.put("expect", expects);
-            play.put("figures", result.figures);
-            play.put("notes", result.notes);
+            run.put("expect", expects);
+            run.put("figures", result.figures);
+            run.put("notes", result.notes);
             Map<String, Object> series = new LinkedHashMap<>();
             for (int i = 0; i < Figures.SERIES.size(); i++) {
                 int column = i;
@@ -62,10 +62,10 @@
                         Figures.SERIES.get(i),
                         result.secondRows.stream().map(row -> row[column]).toList());
             }
-            play.put("by_second", series);
-            plays.add(play);
+            run.put("by_second", series);
+            runs.add(run);
         }
-        root.put("plays", plays);
+        root.put("plays", runs);
         return JSON_MAPPER.writeValueAsBytes(root);
     }
 
--- a/lab/src/main/java/asterpulley/lab/report/RunResult.java
+++ b/lab/src/main/java/asterpulley/lab/report/RunResult.java
@@ -18,13 +18,13 @@
     /** Why there is no verdict; null if there is one. */
     public final String noVerdictReason;
 
-    public RunResult(String carrier, String policy, Simulation simulation, String noVerdict) {
-        this.testbed = carrier;
+    public RunResult(String testbed, String policy, Simulation simulation, String noVerdictReason) {
+        this.testbed = testbed;
         this.policy = policy;
         this.figures = new TreeMap<>(simulation.figures.byName());
         this.secondRows = simulation.figures.rows();
         this.notes = simulation.ruleChecker.notes();
-        this.noVerdictReason = noVerdict;
+        this.noVerdictReason = noVerdictReason;
     }
 
     /** The figure of this name; NaN if the run did not give it. */
--- a/lab/src/main/java/asterpulley/lab/world/FaultInjector.java
+++ b/lab/src/main/java/asterpulley/lab/world/FaultInjector.java
@@ -19,9 +19,9 @@
     private final Simulation simulation;
     private final Testbed testbed;
 
-    FaultInjector(Simulation simulation, Testbed carrier) {
+    FaultInjector(Simulation simulation, Testbed testbed) {
         this.simulation = simulation;
-        this.testbed = carrier;
+        this.testbed = testbed;
     }
 
     void start() {
--- a/lab/src/test/java/asterpulley/lab/model/RuleCheckerTest.java
+++ b/lab/src/test/java/asterpulley/lab/model/RuleCheckerTest.java
@@ -262,13 +262,14 @@
                                 DynamicTest.dynamicTest(
                                         c.name,
                                         () -> {
-                                            RuleChecker judge = runWith(c.brokenRelay).ruleChecker;
+                                            RuleChecker ruleChecker =
+                                                    runWith(c.brokenRelay).ruleChecker;
                                             assertTrue(
-                                                    judge.violationCount(c.rule) > 0,
+                                                    ruleChecker.violationCount(c.rule) > 0,
                                                     "caught under "
                                                             + c.rule
                                                             + ": "
-                                                            + judge.notes());
+                                                            + ruleChecker.notes());
                                         }))
                 .toList();
     }
