--- a/lab/src/main/java/asterpulley/lab/model/VirtualRelay.java
+++ b/lab/src/main/java/asterpulley/lab/model/VirtualRelay.java
@@ -604,17 +604,17 @@
                                     * SHUTDOWN_STEP_SECONDS
                                     / Math.max(SHUTDOWN_STEP_SECONDS, untilMoved));
         }
-        for (TunnelState profile : List.copyOf(tunnels.values())) {
-            if (profile.established && moveAllowance >= 1) {
+        for (TunnelState tunnel : List.copyOf(tunnels.values())) {
+            if (tunnel.established && moveAllowance >= 1) {
                 moveAllowance--;
-                move(profile.id);
+                move(tunnel.id);
             }
         }
         if (elapsed > end) {
-            for (TunnelState profile : List.copyOf(tunnels.values())) {
-                if (!profile.answered) {
-                    abandon(profile);
-                    closeWithError(profile.id);
+            for (TunnelState tunnel : List.copyOf(tunnels.values())) {
+                if (!tunnel.answered) {
+                    abandon(tunnel);
+                    closeWithError(tunnel.id);
                 }
             }
         }
--- a/lab/src/main/java/asterpulley/lab/plan/Plan.java
+++ b/lab/src/main/java/asterpulley/lab/plan/Plan.java
@@ -78,15 +78,26 @@
         }
     }
 
+    /** {@code testbed}: "model", "sockets" or "both". */
     public String name, title, testbed = "sockets";
+
     public long seed = 1;
     public double duration = 20, settleTime = 3;
+
+    /**
+     * The load: the arrival rate, which swings by {@code arrivalSwing} of itself, clients that are
+     * there from the start, and how often a tunnel sends a message and how soon it must be
+     * answered.
+     */
     public double arrivalsPerSecond = 20,
             initialClients = 0,
             arrivalSwing = 0,
             messageInterval = 2,
             messageGoal = 0.25;
+
     public int groupCount;
+
+    /** The load that the first tunnel of a group adds to a server. */
     public double groupCost = 2;
 
     public List<String> rooms = new ArrayList<>();
@@ -94,7 +105,9 @@
     /** The weight of each room as the home of clients. */
     public List<Double> roomShares = new ArrayList<>();
 
+    /** One-way delays within a room and between rooms. */
     public double localDelay = 0.0005, crossRoomDelay = 0.01;
+
     public final List<ProfilePlan> profiles = new ArrayList<>();
     public final List<CustomerPlan> customers = new ArrayList<>();
     public final List<ServerPlan> servers = new ArrayList<>();
@@ -111,7 +124,9 @@
      */
     public double minListDelay = 0.2, maxListDelay = 0.6, assumedListDelay = 6, drainGrace = 0.5;
 
+    /** A cold server collapses when it is above this load factor for this long. */
     public double collapseMultiple = 2, collapseTime = 1;
+
     public double crossZoneFee = 0.02, probeFee;
 
     /** Whether load reports of servers hold the number of their open tunnels. */
--- a/lab/src/main/java/asterpulley/lab/plan/PlanReader.java
+++ b/lab/src/main/java/asterpulley/lab/plan/PlanReader.java
@@ -192,11 +192,11 @@
             plan.profiles.add(new Plan.ProfilePlan());
         }
         for (TomlSection section : root.sections("customer")) {
-            Plan.CustomerPlan profile = new Plan.CustomerPlan();
-            profile.name = section.require("name").text("name", "");
-            profile.share = section.number("share", profile.share, 0, MAX_COUNT);
-            profile.room = readRoom(section, plan);
-            plan.customers.add(profile);
+            Plan.CustomerPlan customer = new Plan.CustomerPlan();
+            customer.name = section.require("name").text("name", "");
+            customer.share = section.number("share", customer.share, 0, MAX_COUNT);
+            customer.room = readRoom(section, plan);
+            plan.customers.add(customer);
         }
         if (plan.customers.isEmpty()) {
             plan.customers.add(new Plan.CustomerPlan());
