--- a/lab/src/main/java/asterpulley/lab/plan/Plan.java
+++ b/lab/src/main/java/asterpulley/lab/plan/Plan.java
@@ -13,6 +13,7 @@
  * times are in seconds, loads in mean loads of a tunnel.
  */
 public final class Plan {
+    /** A profile of tunnels; {@code share} is its weight among the requests. */
     public static final class ProfilePlan {
         public String name = "live";
         public Settings.Repeatability repeatability = Settings.Repeatability.REPEATABLE;
@@ -27,6 +28,7 @@
         public int maxRetries = 3;
     }
 
+    /** A customer; {@code room} is the home of its clients, or null for a random one. */
     public static final class CustomerPlan {
         public String name = "all", room;
         public double share = 1;
@@ -45,6 +47,7 @@
         public boolean startsCold;
     }
 
+    /** A fault; which of the values count depends on its kind. */
     public static final class Fault {
         public String kind;
         public double at,
@@ -75,15 +78,26 @@
         }
     }
 
+    /** {@code testbed}: "model", "sockets" or "both". */
     public String name, title, testbed = "sockets";
+
     public long seed = 1;
     public double duration = 20, settleTime = 3;
+
+    /**
+     * The load: the arrival rate, which swings by {@code arrivalSwing} of itself, clients that are
+     * there from the start, and how often a tunnel sends a message and how soon it must be
+     * answered.
+     */
     public double arrivalsPerSecond = 20,
             initialClients = 0,
             arrivalSwing = 0,
             messageInterval = 2,
             messageGoal = 0.25;
+
     public int groupCount;
+
+    /** The load that the first tunnel of a group adds to a server. */
     public double groupCost = 2;
 
     public List<String> rooms = new ArrayList<>();
@@ -91,7 +105,9 @@
     /** The weight of each room as the home of clients. */
     public List<Double> roomShares = new ArrayList<>();
 
+    /** One-way delays within a room and between rooms. */
     public double localDelay = 0.0005, crossRoomDelay = 0.01;
+
     public final List<ProfilePlan> profiles = new ArrayList<>();
     public final List<CustomerPlan> customers = new ArrayList<>();
     public final List<ServerPlan> servers = new ArrayList<>();
@@ -101,10 +117,22 @@
 
     public int relaysPerRoom = 1, maxSetupsPerTunnel = 4, memoryMb = 128, maxSockets = 8192;
     public double tick = 0.004, connectTimeout = 1, maxRetryAfter = 1.5, frontendNoticeDelay = 1;
+
+    /**
+     * The bounds of the delay of the server list, after which time a relay counts as informed of a
+     * drain, and how long it may still send setups then.
+     */
     public double minListDelay = 0.2, maxListDelay = 0.6, assumedListDelay = 6, drainGrace = 0.5;
+
+    /** A cold server collapses when it is above this load factor for this long. */
     public double collapseMultiple = 2, collapseTime = 1;
+
     public double crossZoneFee = 0.02, probeFee;
+
+    /** Whether load reports of servers hold the number of their open tunnels. */
     public boolean reportsOpenTunnels;
+
+    /** Setups a second that the session store can take; 0 if there is no store. */
     public double sessionStoreRate;
 
     /**
@@ -134,6 +162,7 @@
         }
     }
 
+    /** The number of servers in all rooms. */
     public int serverCount() {
         return servers.stream()
                 .mapToInt(serverPlan -> serverPlan.count * serverPlan.rooms.size())
