--- a/cli/src/main/java/asterpulley/cli/Main.java
+++ b/cli/src/main/java/asterpulley/cli/Main.java
@@ -38,6 +38,10 @@
             "3:an expectation fell short"
         })
 public final class Main implements Callable<Integer> {
+    /**
+     * Exit codes. {@link #EXPECTATION_FAILED} is also returned where the load tool could not keep
+     * its own pace, so that its figures allow no verdict.
+     */
     static final int SUCCESS = 0, BAD_INPUT = 1, BAD_USAGE = 2, EXPECTATION_FAILED = 3;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
--- a/core/src/main/java/asterpulley/LoadBalancer.java
+++ b/core/src/main/java/asterpulley/LoadBalancer.java
@@ -1723,7 +1723,7 @@
         double maxBackoff =
                 Math.min(
                         Math.max(1, settings.relayCount / RELAYS_PER_BACKOFF_SECOND),
-                        Math.min(MAX_LIST_BACKOFF_SECONDS, settings.listPollInterval / 2));
+                        Math.min(MAX_LIST_BACKOFF_SECONDS, settings.listChangesKnownAfter / 2));
         maxBackoff = settings.subscribesToServerList ? maxBackoff : settings.drainGrace / 2;
         double delay =
                 !timedOut
--- a/core/src/main/java/asterpulley/Settings.java
+++ b/core/src/main/java/asterpulley/Settings.java
@@ -66,10 +66,15 @@
 
     public int maxSetupsPerTunnel = 1;
 
-    /** Resolution of the frontend's clock. */
+    /** The least time between two batches of events that the frontend hands in, in seconds. */
     public double tick = 0.001;
 
-    public double listPollInterval = 10;
+    /**
+     * Time without a request for the server list, in seconds, after which the list's changes count
+     * as known to this relay; four times as long after a failed request. Only where the relay
+     * subscribes to the list.
+     */
+    public double listChangesKnownAfter = 10;
 
     /**
      * A server that starts draining may still get new tunnels for this long after this relay was
@@ -84,10 +89,16 @@
 
     public double warmUpTime = 20;
 
-    /** Multiple of its capacity at which a server collapses. */
+    /**
+     * Multiple of its present capacity above which a cold server collapses, if the load lasts for
+     * {@link #collapseTime}; a ratio without a unit.
+     */
     public double collapseMultiple = 2;
 
-    /** How long a server withstands a load above {@link #collapseMultiple}. */
+    /**
+     * A cold server collapses when its load exceeds {@link #collapseMultiple} times its present
+     * capacity for this long, in seconds.
+     */
     public double collapseTime = 1;
 
     /**
--- a/decode/src/main/java/asterpulley/decode/SettingsDecoder.java
+++ b/decode/src/main/java/asterpulley/decode/SettingsDecoder.java
@@ -49,8 +49,8 @@
                         : 0;
         settings.maxSetupsPerTunnel =
                 (int) Json.number(limits, "mostSetups", settings.maxSetupsPerTunnel);
-        settings.listPollInterval =
-                Json.number(rules, "askEveryMs", 1000 * settings.listPollInterval) / 1000;
+        settings.listChangesKnownAfter =
+                Json.number(rules, "askEveryMs", 1000 * settings.listChangesKnownAfter) / 1000;
         settings.drainGrace = Json.number(rules, "drainGraceMs", 1000 * settings.drainGrace) / 1000;
         settings.coldCapacityFraction =
                 Json.number(rules, "coldFrom", settings.coldCapacityFraction);
--- a/relay/src/test/java/asterpulley/serve/OperatorApiTest.java
+++ b/relay/src/test/java/asterpulley/serve/OperatorApiTest.java
@@ -472,7 +472,8 @@
         assertEquals(
                 "UP r1",
                 lateClient.readLine(),
-                "a client that arrives before the health check has failed is still served");
+                "a client that arrives before the load balancer in front has noticed is still"
+                        + " served");
         awaitCounter("moved", 1);
         backends.get(0).send("ne\r\n");
         assertEquals("half a line", clients.get(0).readLine());
