--- a/lab/src/main/java/asterpulley/lab/world/ClientRequest.java
+++ b/lab/src/main/java/asterpulley/lab/world/ClientRequest.java
@@ -8,6 +8,7 @@
  * rule checker judges them.
  */
 public final class ClientRequest {
+    /** How the request was answered; BROKEN: its connection ended without an answer. */
     public enum Answer {
         NONE,
         OPENED,
--- a/lab/src/main/java/asterpulley/lab/world/Setup.java
+++ b/lab/src/main/java/asterpulley/lab/world/Setup.java
@@ -2,6 +2,7 @@
 
 /** One setup that reached a server: its state there, and how the server answers it. */
 public final class Setup {
+    /** A setup is UNDELIVERED until its server reads it, and CLOSED once it has failed or ended. */
     public enum State {
         UNDELIVERED,
         IN_PROGRESS,
